--- a/guavagate/auth/__init__.py
+++ b/guavagate/auth/__init__.py
@@ -1,30 +1,30 @@
-"""Bearer tokens by team: who calls, and what that token allows.
+"""Authentication and authorisation by bearer token or key, per team.
 
-`Access` knows the tokens of the product's own settings, `KeyRing` the keys of
-the operators' configuration of routes.
+`Authenticator` checks the tokens of the instance and team settings, `KeyRing`
+the keys of the operators' route configuration.
 """
 
-from guavagate.auth._access import Access, Identity
+from guavagate.auth._authenticator import Authenticator, Identity
 from guavagate.auth._keys import (
     KeyRing,
     KeyState,
     KeyVerdict,
     ProofBounds,
-    judge_key,
+    check_key,
     make_bounds,
     may_deny,
 )
 from guavagate.auth._tokens import hash_token, make_token
 
 __all__ = (
-    'Access',
+    'Authenticator',
     'Identity',
     'KeyRing',
     'KeyState',
     'KeyVerdict',
     'ProofBounds',
     'hash_token',
-    'judge_key',
+    'check_key',
     'make_bounds',
     'make_token',
     'may_deny',
--- a/guavagate/auth/_access.py
+++ b/guavagate/auth/_authenticator.py
@@ -25,7 +25,7 @@
     role: Role
 
     @property
-    def is_fleet(self) -> bool:
+    def is_fleet_operator(self) -> bool:
         """Return whether this is an operator of the whole fleet."""
         return not self.team
 
@@ -39,21 +39,21 @@
                 ),
             )
 
-    def may_see(self, team: TeamId) -> bool:
+    def can_access_team(self, team: TeamId) -> bool:
         """Return whether the team's subtree is open to this token."""
-        return self.is_fleet or self.team == team
+        return self.is_fleet_operator or self.team == team
 
     def require_team(self, team: TeamId) -> None:
         """Refuse a token of another team."""
-        if not self.may_see(team):
+        if not self.can_access_team(team):
             raise _forbid(
                 f'this token does not belong to the team {team!r}',
                 'use a token of that team',
             )
 
-    def require_fleet(self) -> None:
+    def require_fleet_operator(self) -> None:
         """Refuse a token that is no fleet operator's."""
-        if not self.is_fleet:
+        if not self.is_fleet_operator:
             raise _forbid(
                 'this concerns every team',
                 "use the token of an operator in the instances' own settings",
@@ -65,7 +65,7 @@
     identity: Identity
 
 
-class Access:
+class Authenticator:
     """Finds the identity of a token.
 
     Hashes are looked up by value, which takes no account of the secret: who
--- a/guavagate/auth/_keys.py
+++ b/guavagate/auth/_keys.py
@@ -22,7 +22,7 @@
 # Of a bound on the age of the proof. The rest is for clocks of two machines
 # that do not run equally fast, and for what passes between the look at the
 # proof and the first byte to an upstream.
-SAFE_SHARE: Final = 0.9
+SAFETY_FACTOR: Final = 0.9
 _NOBODY: Final = TeamId('')
 
 
@@ -30,7 +30,7 @@
     """What is known of a request's key."""
 
     NOT_NEEDED = 'not needed'
-    HELD = 'held'
+    VALID = 'held'
     MISSING = 'missing'
     UNKNOWN = 'unknown'
     UNPROVEN = 'unproven'
@@ -43,9 +43,9 @@
     team: TeamId = _NOBODY
 
     @property
-    def good(self) -> bool:
+    def allowed(self) -> bool:
         """Return whether the request may run."""
-        return self.state in {KeyState.NOT_NEEDED, KeyState.HELD}
+        return self.state in {KeyState.NOT_NEEDED, KeyState.VALID}
 
 
 class ProofBounds(msgspec.Struct, frozen=True, kw_only=True):
@@ -55,12 +55,12 @@
     ----------
     deny
         For telling a caller that a key, or a route, is not there.
-    honour
+    accept
         For running a request by its key.
     """
 
     deny: float
-    honour: float
+    accept: float
 
 
 def make_bounds(apply: float, revoke: float, *, strict: bool) -> ProofBounds:
@@ -76,8 +76,8 @@
         Whether that holds for instances that are cut off, too.
     """
     return ProofBounds(
-        deny=apply * SAFE_SHARE,
-        honour=revoke * SAFE_SHARE if strict else math.inf,
+        deny=apply * SAFETY_FACTOR,
+        accept=revoke * SAFETY_FACTOR if strict else math.inf,
     )
 
 
@@ -97,7 +97,7 @@
             for key_hash in team.key_hashes:
                 self._held.setdefault(key_hash, _Held(key_hash, team.id))
 
-    def find(self, key: str) -> TeamId | None:
+    def find_team(self, key: str) -> TeamId | None:
         """Return whose key it is, or nothing.
 
         Hashes are looked up by value, which takes no account of the key: who
@@ -111,7 +111,7 @@
         return None
 
 
-def judge_key(
+def check_key(
     ring: KeyRing,
     authorizations: Sequence[str],
     proof_age: float,
@@ -131,10 +131,10 @@
         return KeyVerdict(KeyState.NOT_NEEDED)
     values = set(authorizations)
     key = read_bearer(values.pop()) if len(values) == 1 else None
-    team = None if key is None else ring.find(key)
+    team = None if key is None else ring.find_team(key)
     if team is not None:
-        if proof_age < bounds.honour:
-            return KeyVerdict(KeyState.HELD, team)
+        if proof_age < bounds.accept:
+            return KeyVerdict(KeyState.VALID, team)
         return KeyVerdict(KeyState.UNPROVEN)
     if not may_deny(proof_age, bounds):
         return KeyVerdict(KeyState.UNPROVEN)
--- a/guavagate/callers/_completions.py
+++ b/guavagate/callers/_completions.py
@@ -6,7 +6,7 @@
 import falcon
 import msgspec
 
-from guavagate.auth import Access
+from guavagate.auth import Authenticator
 from guavagate.callers import _render
 from guavagate.callers._once import describe_once, read_key, run_keyed
 from guavagate.callers._request import (
@@ -56,7 +56,7 @@
     """What both routes work with."""
 
     runtime: Runtime
-    access: Access
+    authenticator: Authenticator
     homes: PoolHomes
     permits: PermitClient
     chooser: PoolChooser
@@ -231,7 +231,7 @@
 
 
 def _open(parts: Completions, request: falcon.Request) -> CallerRequest:
-    return open_request(request, parts.access, parts.runtime.clock)
+    return open_request(request, parts.authenticator, parts.runtime.clock)
 
 
 def _start(
--- a/guavagate/callers/_request.py
+++ b/guavagate/callers/_request.py
@@ -6,7 +6,7 @@
 import falcon
 import msgspec
 
-from guavagate.auth import Access, Identity
+from guavagate.auth import Authenticator, Identity
 from guavagate.clock import Clock
 from guavagate.const import HEADER_DEADLINE, HEADER_REQUEST_ID
 from guavagate.exceptions import RefusalError
@@ -29,7 +29,7 @@
 
 def open_request(
     request: falcon.Request,
-    access: Access,
+    authenticator: Authenticator,
     clock: Clock,
 ) -> CallerRequest:
     """Authenticate a request, and give it an id and a deadline.
@@ -39,7 +39,7 @@
     RefusalError
         The token is not known, or a header is malformed.
     """
-    identity = access.identify(request.get_header('Authorization'))
+    identity = authenticator.identify(request.get_header('Authorization'))
     request.env[ENV_TEAM] = identity.team
     return CallerRequest(
         id=_read_id(request),
--- a/guavagate/callers/_services.py
+++ b/guavagate/callers/_services.py
@@ -7,7 +7,7 @@
 import falcon
 import msgspec
 
-from guavagate.auth import Access
+from guavagate.auth import Authenticator
 from guavagate.callers._once import describe_once, read_key, run_keyed
 from guavagate.callers._request import (
     CallerRequest,
@@ -57,7 +57,7 @@
     """What the route works with."""
 
     runtime: Runtime
-    access: Access
+    authenticator: Authenticator
     permits: PermitClient
     service: PlainService
     ledger: Ledger
@@ -83,7 +83,7 @@
     ) -> None:
         """Answer one call with the upstream's whole answer."""
         opened = open_request(
-            req, self._parts.access, self._parts.runtime.clock
+            req, self._parts.authenticator, self._parts.runtime.clock
         )
         team, settings = _find_service(self._parts, opened, kwargs['service'])
         call = ServiceCall(
--- a/guavagate/front/_gate.py
+++ b/guavagate/front/_gate.py
@@ -9,7 +9,7 @@
     KeyState,
     KeyVerdict,
     ProofBounds,
-    judge_key,
+    check_key,
     may_deny,
 )
 from guavagate.events import edge as events
@@ -54,13 +54,13 @@
 
     def admit(self, exchange: Exchange, request_id: str) -> TeamId | None:
         """Return whose request it is, or nothing once it was refused."""
-        verdict = judge_key(
+        verdict = check_key(
             self._routes.keys,
             exchange.find_all(_AUTHORIZATION),
             self._proof_age(),
             self._bounds,
         )
-        if verdict.good:
+        if verdict.allowed:
             return verdict.team
         self._deny(exchange, request_id, verdict)
         return None
--- a/guavagate/instance.py
+++ b/guavagate/instance.py
@@ -6,7 +6,7 @@
 from gevent.pywsgi import WSGIServer
 
 from guavagate import callers, trainers
-from guavagate.auth import Access
+from guavagate.auth import Authenticator
 from guavagate.callers import make_id
 from guavagate.health import HealthResource, Readiness, ReadinessResource
 from guavagate.integrations.model_engine import HttpModelEngine
@@ -41,7 +41,7 @@
         self.runtime = runtime
         self.engine = HttpModelEngine(runtime.clock)
         self.service = HttpPlainService(runtime.clock)
-        self.access = Access(runtime.settings, runtime.teams)
+        self.authenticator = Authenticator(runtime.settings, runtime.teams)
         self.homes = PoolHomes(runtime)
         serve_homes(runtime, self.homes)
         self.chooser = PoolChooser(runtime)
@@ -107,7 +107,7 @@
             app,
             callers.Completions(
                 runtime=self.runtime,
-                access=self.access,
+                authenticator=self.authenticator,
                 homes=self.homes,
                 permits=self.permits,
                 chooser=self.chooser,
@@ -116,7 +116,7 @@
             ),
             callers.Services(
                 runtime=self.runtime,
-                access=self.access,
+                authenticator=self.authenticator,
                 permits=self.permits,
                 service=self.service,
                 ledger=self.ledger,
@@ -125,7 +125,9 @@
         trainers.add_routes(
             app,
             trainers.Trainers(
-                runtime=self.runtime, access=self.access, runs=self.runs
+                runtime=self.runtime,
+                authenticator=self.authenticator,
+                runs=self.runs,
             ),
         )
         app.add_route('/healthz', HealthResource())
--- a/guavagate/operations.py
+++ b/guavagate/operations.py
@@ -40,7 +40,7 @@
         add_routes(
             instance.app,
             Operators(
-                access=instance.access,
+                authenticator=instance.authenticator,
                 teams=teams,
                 explainer=explainer,
                 collector=Collector(runtime, self._reports, self._series),
--- a/guavagate/operators/_base.py
+++ b/guavagate/operators/_base.py
@@ -6,7 +6,7 @@
 
 import falcon
 
-from guavagate.auth import Access, Identity
+from guavagate.auth import Authenticator, Identity
 from guavagate.exceptions import GuavagateError
 from guavagate.explain import Explainer
 from guavagate.operators._answers import answer_error
@@ -21,7 +21,7 @@
 class Operators:
     """The parts that the operators' routes answer from."""
 
-    access: Access
+    authenticator: Authenticator
     teams: TeamsInForce
     explainer: Explainer
     collector: Collector
@@ -34,7 +34,7 @@
         RefusalError
             No token, or not an operator's.
         """
-        identity = self.access.identify(request.auth)
+        identity = self.authenticator.identify(request.auth)
         identity.require(Role.OPERATOR)
         return identity
 
--- a/guavagate/operators/_fleet.py
+++ b/guavagate/operators/_fleet.py
@@ -122,7 +122,7 @@
                 samplers=tuple(
                     report
                     for report in samplers
-                    if identity.may_see(report.team)
+                    if identity.can_access_team(report.team)
                 ),
                 missing=found.missing,
             ),
@@ -143,7 +143,7 @@
         deployments = [
             _sum_up(team.team, deployment.id, samplers)
             for team in self._parts.teams.all()
-            if identity.may_see(team.team)
+            if identity.can_access_team(team.team)
             for deployment in team.deployments
         ]
         write_json(
@@ -171,7 +171,9 @@
         write_json(
             response,
             RunsBody(
-                runs=tuple(run for run in runs if identity.may_see(run.team)),
+                runs=tuple(
+                    run for run in runs if identity.can_access_team(run.team)
+                ),
                 missing=found.missing,
             ),
         )
@@ -185,7 +187,7 @@
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
         """Return them."""
-        self._parts.identify(request).require_fleet()
+        self._parts.identify(request).require_fleet_operator()
         found = self._parts.collector.collect(Matter.SERIES)
         instances = {
             instance: answer.series
@@ -208,7 +210,7 @@
     ) -> None:
         """Have an instance begin one; it ends when its work has."""
         identity = self._parts.identify(request)
-        identity.require_fleet()
+        identity.require_fleet_operator()
         name = InstanceId(instance)
         self._parts.collector.drain(name, identity.caller)
         write_json(response, DrainBody(instance=name), 202)
--- a/guavagate/operators/_settings.py
+++ b/guavagate/operators/_settings.py
@@ -103,7 +103,7 @@
             [
                 TeamBody(team=record.team, change=record.change)
                 for record in self._parts.teams.table.records()
-                if identity.may_see(record.team)
+                if identity.can_access_team(record.team)
             ],
         )
 
--- a/guavagate/trainers/_resources.py
+++ b/guavagate/trainers/_resources.py
@@ -6,7 +6,7 @@
 import falcon
 import msgspec
 
-from guavagate.auth import Access, Identity
+from guavagate.auth import Authenticator, Identity
 from guavagate.events import write
 from guavagate.events.runs import (
     BATCH_DELIVERED,
@@ -66,7 +66,7 @@
     """What the routes work with."""
 
     runtime: Runtime
-    access: Access
+    authenticator: Authenticator
     runs: RunsClient
 
 
@@ -145,7 +145,7 @@
 def _find_run(
     parts: Trainers, request: falcon.Request, run: str
 ) -> tuple[RunAddress, DeploymentSettings]:
-    identity = parts.access.identify(request.get_header('Authorization'))
+    identity = parts.authenticator.identify(request.get_header('Authorization'))
     identity.require(Role.TRAINER)
     return find_run(parts.runtime, identity, RunId(run))
 
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -8,7 +8,7 @@
     Safeguard(
         'a key is honoured only with a young proof',
         'guavagate/auth/_keys.py',
-        '        if proof_age < bounds.honour:\n',
+        '        if proof_age < bounds.accept:\n',
         '        if True:\n',
         'tests/test_keys.py',
     ),
--- a/tests/operators_bench.py
+++ b/tests/operators_bench.py
@@ -6,7 +6,7 @@
 import msgspec
 from falcon import testing
 
-from guavagate.auth import Access, hash_token
+from guavagate.auth import Authenticator, hash_token
 from guavagate.explain import Explainer, RecentDecisions
 from guavagate.measure.settings import SettingsFleet
 from guavagate.metrics import Metrics, SeriesKeeper, names
@@ -176,7 +176,7 @@
         add_routes(
             app,
             Operators(
-                access=Access(settings, teams),
+                authenticator=Authenticator(settings, teams),
                 teams=teams,
                 explainer=Explainer(
                     settings.id, runtime.bus, runtime.members, recent
--- a/tests/test_auth.py
+++ b/tests/test_auth.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from guavagate.auth import Access, hash_token, make_token
+from guavagate.auth import Authenticator, hash_token, make_token
 from guavagate.exceptions import RefusalError
 from guavagate.measure.fakes import FakeTeams
 from guavagate.models import TeamId
@@ -51,28 +51,28 @@
 def test_a_token_opens_its_own_team_only() -> None:
     """Another team's subtree, and the fleet, stay shut."""
     teams = FakeTeams()
-    access = Access(_instance(), teams)
+    authenticator = Authenticator(_instance(), teams)
     with pytest.raises(RefusalError):
-        access.identify(f'Bearer {_OWN}')
+        authenticator.identify(f'Bearer {_OWN}')
     teams.put(_team('operator'))
-    identity = access.identify(f'Bearer {_OWN}')
+    identity = authenticator.identify(f'Bearer {_OWN}')
     identity.require(Role.OPERATOR)
     identity.require_team(TeamId('trust'))
     _forbidden(lambda: identity.require_team(TeamId('authority')))
-    _forbidden(identity.require_fleet)
+    _forbidden(identity.require_fleet_operator)
     _forbidden(lambda: identity.require(Role.TRAINER))
-    access.identify(f'bearer {_FLEET}').require_team(TeamId('authority'))
+    authenticator.identify(f'bearer {_FLEET}').require_team(TeamId('authority'))
 
 
 def test_a_withdrawn_token_is_refused_at_once() -> None:
     """Once new settings are in force, the old token opens nothing."""
     teams = FakeTeams()
-    access = Access(_instance(), teams)
+    authenticator = Authenticator(_instance(), teams)
     teams.put(_team('caller'))
-    assert access.identify(f'Bearer {_OWN}').role is Role.CALLER
+    assert authenticator.identify(f'Bearer {_OWN}').role is Role.CALLER
     teams.put(TeamSettings(team=TeamId('trust')))
     with pytest.raises(RefusalError) as caught:
-        access.identify(f'Bearer {_OWN}')
+        authenticator.identify(f'Bearer {_OWN}')
     assert caught.value.status == 401
     assert _OWN not in str(caught.value)
 
@@ -81,5 +81,5 @@
 def test_no_token_is_refused(header: str | None) -> None:
     """A header without a usable token gets a 401."""
     with pytest.raises(RefusalError) as caught:
-        Access(_instance(), FakeTeams()).identify(header)
+        Authenticator(_instance(), FakeTeams()).identify(header)
     assert caught.value.status == 401
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -8,8 +8,8 @@
     KeyRing,
     KeyState,
     ProofBounds,
+    check_key,
     hash_token,
-    judge_key,
     make_bounds,
 )
 from guavagate.models import TeamId
@@ -28,7 +28,7 @@
 
 
 def _judge(*values: str, age: float = 0, bounds: ProofBounds = _BOUNDS) -> str:
-    verdict = judge_key(_RING, values, age, bounds)
+    verdict = check_key(_RING, values, age, bounds)
     return f'{verdict.state.value} {verdict.team}'.strip()
 
 
@@ -41,7 +41,7 @@
 
 def test_a_configuration_without_teams_asks_for_no_key() -> None:
     """An upstream's own credentials go on untouched there."""
-    verdict = judge_key(KeyRing(), ['Basic x'], math.inf, _BOUNDS)
+    verdict = check_key(KeyRing(), ['Basic x'], math.inf, _BOUNDS)
     assert verdict.state is KeyState.NOT_NEEDED
 
 
