--- a/guavagate/forwarding/_attempt.py
+++ b/guavagate/forwarding/_attempt.py
@@ -71,7 +71,7 @@
         drops the work.
         """
         load = self._upstreams.load(upstream.id)
-        load.held += 1
+        load.in_flight += 1
         began = self._clock.now()
         answer: Answer | None = None
         try:
@@ -81,15 +81,15 @@
             attempt = Attempt(
                 upstream, AttemptState.NOT_RUN, problem=error.problem
             )
-            self._upstreams.note_failure(upstream.id)
+            self._upstreams.record_failure(upstream.id)
         except UpstreamError as error:
             attempt = Attempt(
                 upstream, AttemptState.BROKEN, problem=error.problem
             )
             if not self._was_hurried(call, began):
-                self._upstreams.note_failure(upstream.id)
+                self._upstreams.record_failure(upstream.id)
         finally:
-            load.held -= 1
+            load.in_flight -= 1
             if answer is not None:
                 answer.close()
         self._note(call, attempt, self._clock.now() - began)
@@ -125,7 +125,7 @@
         )
         marks = self._dialect.read(call, answer)
         if marks.busy is not None:
-            self._upstreams.note_report(upstream.id, marks.busy)
+            self._upstreams.record_report(upstream.id, marks.busy)
         if marks.crossed:
             answer.close()
             raise UpstreamError(
@@ -154,7 +154,7 @@
 
     def _note(self, call: Call, attempt: Attempt, seconds: float) -> None:
         if attempt.state is AttemptState.ANSWERED:
-            self._upstreams.note_success(attempt.upstream.id, seconds)
+            self._upstreams.record_success(attempt.upstream.id, seconds)
             return
         write(
             _LOGGER,
--- a/guavagate/forwarding/_forward.py
+++ b/guavagate/forwarding/_forward.py
@@ -97,7 +97,7 @@
     ) -> Upstream | None:
         """Return where one more request goes, among those not tried."""
 
-    def note_silence(self, upstream: UpstreamId) -> None:
+    def record_timeout(self, upstream: UpstreamId) -> None:
         """Note that a request got nothing in all the time that it had."""
 
 
@@ -185,7 +185,7 @@
         before = self._clock.now() - enough
         for upstream, sent_at in progress.unheard.items():
             if sent_at <= before:
-                self._upstreams.note_silence(upstream)
+                self._upstreams.record_timeout(upstream)
 
     def _take_failure(self, progress: _Progress, attempt: Attempt) -> None:
         if attempt.state is AttemptState.NOT_RUN:
--- a/guavagate/forwarding/_rewards.py
+++ b/guavagate/forwarding/_rewards.py
@@ -56,9 +56,9 @@
         }
         return self._upstreams.choose(service, tried | others)
 
-    def note_silence(self, upstream: UpstreamId) -> None:
+    def record_timeout(self, upstream: UpstreamId) -> None:
         """Note that a request got nothing in all the time that it had."""
-        self._upstreams.note_silence(upstream)
+        self._upstreams.record_timeout(upstream)
 
     def _list_sound(self, service: ServiceId) -> list[Upstream]:
         """Return the upstreams in use, ejected ones if there are no others."""
@@ -67,14 +67,14 @@
         sound = [
             each
             for each in serving
-            if self._upstreams.load(each.id).out_until <= now
+            if self._upstreams.load(each.id).ejected_until <= now
         ]
         return sound or serving
 
     def _measure_room(self, upstream: Upstream) -> int:
         load = self._upstreams.load(upstream.id)
         slots = upstream.slots or DEFAULT_SLOTS
-        return limit_background(slots, load.callers) - load.held
+        return limit_background(slots, load.foreground_slots) - load.in_flight
 
 
 class RewardForwarder:
--- a/guavagate/forwarding/_stream.py
+++ b/guavagate/forwarding/_stream.py
@@ -77,7 +77,7 @@
 
     def _pass_on(self, run: '_StreamRun', upstream: Upstream) -> None:
         load = self._upstreams.load(upstream.id)
-        load.held += 1
+        load.in_flight += 1
         answer: Answer | None = None
         try:
             answer = self._attempts.open(
@@ -87,7 +87,7 @@
             run.exchange.on_gone(answer.close)
             self._copy(run, answer, upstream)
         finally:
-            load.held -= 1
+            load.in_flight -= 1
             run.exchange.on_gone(None)
             if answer is not None:
                 answer.close()
@@ -126,7 +126,7 @@
     ) -> None:
         run.may_have_run = True
         run.rest = b''
-        self._upstreams.note_failure(upstream.id)
+        self._upstreams.record_failure(upstream.id)
         write(
             _LOGGER,
             events.ATTEMPT_FAILED,
--- a/guavagate/jobs/_runner.py
+++ b/guavagate/jobs/_runner.py
@@ -118,7 +118,7 @@
             self._take_events(work, progress, upstream)
         finally:
             run.cancel()
-        self._upstreams.note_success(upstream.id, 0)
+        self._upstreams.record_success(upstream.id, 0)
         if not progress.done:
             progress.text.whole = True
             self._take_whole(work, progress)
@@ -212,9 +212,9 @@
             state.avoid_until = max(state.avoid_until, now + REFUSED_SECONDS)
             return
         load = self._upstreams.load(upstream.id)
-        self._upstreams.note_failure(upstream.id)
+        self._upstreams.record_failure(upstream.id)
         broken = now + BROKEN_SECONDS if load.failures > 1 else now
-        state.avoid_until = max(state.avoid_until, broken, load.out_until)
+        state.avoid_until = max(state.avoid_until, broken, load.ejected_until)
 
 
 def _silence(upstream: Upstream) -> Callable[[], Exception]:
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -83,7 +83,7 @@
             me.availability_zone,
             is_connected=self._pool.is_connected,
         )
-        self._upstreams.subscribe_left(self._pool.forget)
+        self._upstreams.subscribe_address_released(self._pool.forget)
         self._upstreams.subscribe_restarts(
             lambda upstream: self._pool.forget(upstream.address)
         )
@@ -311,7 +311,7 @@
             return
         # Until it is read: an older one stays in force if it can not be.
         self._feed.proof.doubt()
-        self._routes.take(decode_manifest(stored.value))
+        self._routes.apply(decode_manifest(stored.value))
         self._feed.proof.trust()
         self._services.refresh()
 
--- a/guavagate/routing/__init__.py
+++ b/guavagate/routing/__init__.py
@@ -1,7 +1,13 @@
 """Which route a request takes, and which upstream of its service."""
 
-from guavagate.routing._choice import Load, choose
+from guavagate.routing._choice import Load, choose_upstream
 from guavagate.routing._routes import RouteTable, pick_service
 from guavagate.routing._upstreams import UpstreamTable
 
-__all__ = ('Load', 'RouteTable', 'UpstreamTable', 'choose', 'pick_service')
+__all__ = (
+    'Load',
+    'RouteTable',
+    'UpstreamTable',
+    'choose_upstream',
+    'pick_service',
+)
--- a/guavagate/routing/_choice.py
+++ b/guavagate/routing/_choice.py
@@ -34,7 +34,7 @@
 IsConnected: TypeAlias = Callable[[str], bool]
 
 
-def keep_none(address: str) -> bool:
+def has_no_connection(address: str) -> bool:
     """Take no connection for kept."""
     return False
 
@@ -47,23 +47,23 @@
     their callers allowed.
     """
 
-    held: int = 0
-    reported: int = 0
+    in_flight: int = 0
+    reported_busy: int = 0
     reported_at: float = -1e9
-    callers: float = 0
+    foreground_slots: float = 0
     failures: float = 0
-    silences: int = 0
+    timeouts: int = 0
     latency: float = 0
-    out_until: float = 0
+    ejected_until: float = 0
 
 
-def choose(
+def choose_upstream(
     upstreams: Sequence[Upstream],
     loads: dict[str, Load],
     zone: str,
     now: float,
     rng: random.Random,
-    is_connected: IsConnected = keep_none,
+    is_connected: IsConnected = has_no_connection,
 ) -> Upstream | None:
     """Return the upstream for one more request, or nothing to choose from.
 
@@ -80,7 +80,7 @@
     usable = [
         each
         for each in upstreams
-        if loads.setdefault(each.id, Load()).out_until <= now
+        if loads.setdefault(each.id, Load()).ejected_until <= now
     ]
     return min(
         usable or upstreams,
@@ -95,7 +95,7 @@
 def score(upstream: Upstream, load: Load, zone: str, now: float) -> float:
     """Return how full an upstream seems; lower is better."""
     fresh = now - load.reported_at < REPORT_SECONDS
-    busy = max(load.held, load.reported if fresh else 0)
+    busy = max(load.in_flight, load.reported_busy if fresh else 0)
     slots = max(upstream.slots, 1)
     far = 0 if upstream.zone == zone else FAR_COST
     return busy / slots + far + load.failures * FAILURE_COST
--- a/guavagate/routing/_dark.py
+++ b/guavagate/routing/_outage.py
@@ -15,20 +15,20 @@
 from guavagate.routing._choice import Load
 
 # A single silence is an answer that was lost.
-DARK_SILENCES: Final = 2
+UNAVAILABLE_AFTER_TIMEOUTS: Final = 2
 
 
-def is_dark(loads: Iterable[Load]) -> bool:
+def is_unavailable(loads: Iterable[Load]) -> bool:
     """Return whether there are upstreams and all of them are silent."""
-    silences = [each.silences for each in loads]
-    return bool(silences) and min(silences) >= DARK_SILENCES
+    silences = [each.timeouts for each in loads]
+    return bool(silences) and min(silences) >= UNAVAILABLE_AFTER_TIMEOUTS
 
 
-def list_askable(
+def list_eligible(
     serving: Sequence[Upstream], loads: dict[str, Load]
 ) -> list[Upstream]:
     """Return the upstreams that a request may go to now."""
     held = {each.id: loads.setdefault(each.id, Load()) for each in serving}
-    if not is_dark(held.values()):
+    if not is_unavailable(held.values()):
         return list(serving)
-    return [each for each in serving if not held[each.id].held]
+    return [each for each in serving if not held[each.id].in_flight]
--- a/guavagate/routing/_routes.py
+++ b/guavagate/routing/_routes.py
@@ -34,7 +34,7 @@
         """Call back, without blocking, after each change."""
         self._subscribers.append(changed)
 
-    def take(self, configuration: Configuration) -> bool:
+    def apply(self, configuration: Configuration) -> bool:
         """Put a configuration in force; an older one is refused.
 
         A lagging copy of the store, or a peer that was cut off, may offer
--- a/guavagate/routing/_upstreams.py
+++ b/guavagate/routing/_upstreams.py
@@ -11,8 +11,13 @@
 from guavagate.events import write
 from guavagate.models import ServiceId, UpstreamId, ZoneId
 from guavagate.ports.upstreams import Upstream
-from guavagate.routing._choice import IsConnected, Load, choose, keep_none
-from guavagate.routing._dark import list_askable
+from guavagate.routing._choice import (
+    IsConnected,
+    Load,
+    choose_upstream,
+    has_no_connection,
+)
+from guavagate.routing._outage import list_eligible
 
 _LOGGER: Final = logging.getLogger(__name__)
 
@@ -40,7 +45,7 @@
         clock: Clock,
         zone: ZoneId,
         rng: random.Random | None = None,
-        is_connected: IsConnected = keep_none,
+        is_connected: IsConnected = has_no_connection,
     ) -> None:
         self._is_connected = is_connected
         self._clock = clock
@@ -61,7 +66,7 @@
         """Call back, without blocking, when an upstream has started again."""
         self._on_restart.append(restarted)
 
-    def subscribe_left(self, left: Callable[[str], None]) -> None:
+    def subscribe_address_released(self, left: Callable[[str], None]) -> None:
         """Call back, without blocking, with an address that one has left.
 
         Another upstream may be there soon; connections to it are not kept.
@@ -143,9 +148,9 @@
         Nothing while the whole service is dark and each of its upstreams is
         being asked already.
         """
-        askable = list_askable(self.serving(service), self._loads)
+        askable = list_eligible(self.serving(service), self._loads)
         candidates = [each for each in askable if each.id not in tried]
-        return choose(
+        return choose_upstream(
             candidates,
             self._loads,
             self._zone,
@@ -158,26 +163,28 @@
         """Return what is known of an upstream's load."""
         return self._loads.setdefault(upstream, Load())
 
-    def note_report(self, upstream: UpstreamId, busy: int) -> None:
+    def record_report(self, upstream: UpstreamId, busy: int) -> None:
         """Take in the load that came with an answer."""
         load = self.load(upstream)
-        load.reported = busy
+        load.reported_busy = busy
         load.reported_at = self._clock.now()
-        load.callers = follow_callers(load.callers, busy, load.held)
+        load.foreground_slots = follow_callers(
+            load.foreground_slots, busy, load.in_flight
+        )
 
-    def note_success(self, upstream: UpstreamId, seconds: float) -> None:
+    def record_success(self, upstream: UpstreamId, seconds: float) -> None:
         """Note an answer, whatever it says."""
         load = self.load(upstream)
         load.failures = 0
-        load.silences = 0
+        load.timeouts = 0
         share = LATENCY_SHARE if load.latency else 1
         load.latency += (seconds - load.latency) * share
 
-    def note_silence(self, upstream: UpstreamId) -> None:
+    def record_timeout(self, upstream: UpstreamId) -> None:
         """Note that a request got nothing in all the time that it had."""
-        self.load(upstream).silences += 1
+        self.load(upstream).timeouts += 1
 
-    def note_failure(self, upstream: UpstreamId) -> None:
+    def record_failure(self, upstream: UpstreamId) -> None:
         """Note that a request broke off or got no answer."""
         load = self.load(upstream)
         load.failures += 1
@@ -185,7 +192,7 @@
             return
         doubled = EJECT_SECONDS * 2 ** (load.failures - EJECT_FAILURES)
         seconds = min(doubled, EJECT_LONGEST)
-        load.out_until = self._clock.now() + seconds
+        load.ejected_until = self._clock.now() + seconds
         write(
             _LOGGER,
             events.UPSTREAM_EJECTED,
--- a/tests/duties/test_scaler.py
+++ b/tests/duties/test_scaler.py
@@ -99,7 +99,7 @@
         service = Service(id=_SERVICE, scaling=scaling)
         held = self.routes.configuration
         version = 1 if held is None else held.version + 1
-        self.routes.take(Configuration(version=version, services=(service,)))
+        self.routes.apply(Configuration(version=version, services=(service,)))
 
     def add(self, name: str, zone: ZoneId, *, spot: bool = False) -> None:
         """Register an upstream."""
--- a/tests/forwarding/test_forward.py
+++ b/tests/forwarding/test_forward.py
@@ -202,7 +202,7 @@
         assert outcome.kind is OutcomeKind.LATE
         assert seconds > 1
     for name in 'ab':
-        setting.upstreams.load(UpstreamId(name)).held += 1
+        setting.upstreams.load(UpstreamId(name)).in_flight += 1
     made = len(setting.attempts.made)
     outcome, seconds = setting.forward()
     assert outcome.kind is OutcomeKind.NOT_RUN
@@ -216,4 +216,4 @@
     setting = _Setting(a=_SLOW, b=_SLOW)
     for _ in range(5):
         setting.forward(limit=0.2)
-    assert setting.upstreams.load(UpstreamId('a')).silences == 0
+    assert setting.upstreams.load(UpstreamId('a')).timeouts == 0
--- a/tests/forwarding/test_rewards.py
+++ b/tests/forwarding/test_rewards.py
@@ -65,7 +65,7 @@
         route = make_route(
             '/p/', kind=kind, max_attempts=3, timeout=0.6, objective=0.2
         )
-        self.routes.take(Configuration(version=version, routes=(route,)))
+        self.routes.apply(Configuration(version=version, routes=(route,)))
 
     def add(self, name: str, *answers: bytes, zone: str = 'z') -> None:
         """Add an upstream; after its last answer it closes at once."""
@@ -168,7 +168,7 @@
     assert setting.client.find_route(_REWARD) is not None
     setting.put_route(RouteKind.JOB, version=2)
     assert setting.client.find_route(_REWARD) is None
-    setting.routes.take(Configuration(version=3))
+    setting.routes.apply(Configuration(version=3))
     assert setting.client.find_route(_REWARD) is None
     assert setting.send().kind is RewardKind.NO_ROUTE
 
@@ -179,9 +179,9 @@
     setting.add('b', _GOOD, zone='y')
     service = ServiceId('s')
     assert setting.client.count_room(service) == 6
-    setting.upstreams.load(UpstreamId('a')).held = 3
+    setting.upstreams.load(UpstreamId('a')).in_flight = 3
     for _ in range(2):
-        setting.upstreams.note_failure(UpstreamId('b'))
+        setting.upstreams.record_failure(UpstreamId('b'))
     assert setting.client.count_room(service) == 0
     assert setting.send().kind is RewardKind.FAILED
     assert not setting.requests
--- a/tests/platform/test_edge_keys.py
+++ b/tests/platform/test_edge_keys.py
@@ -120,7 +120,7 @@
             make_route('/open/', open=True),
             make_route('/jobs/', kind=RouteKind.JOB),
         )
-        self.routes.take(
+        self.routes.apply(
             Configuration(
                 version=1 if held is None else held.version + 1,
                 routes=routes,
--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -48,7 +48,7 @@
         self.clock = world.clock
         store = MemoryStore(self.clock)
         routes = RouteTable()
-        routes.take(make_configuration(single_version=single_version))
+        routes.apply(make_configuration(single_version=single_version))
         self.upstreams = UpstreamTable(self.clock, ZoneId('zone-0'))
         for name in 'abcdef':
             self.upstreams.put(make_upstream(name))
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -37,7 +37,7 @@
         chosen = table.choose(_DESK, set())
         assert chosen is not None
         given[chosen.id] += 1
-        table.load(chosen.id).held += int(hold)
+        table.load(chosen.id).in_flight += int(hold)
     return given
 
 
@@ -66,5 +66,5 @@
 def test_one_that_fails_is_left_although_it_is_connected() -> None:
     """A sampler that drops requests keeps its connections all the same."""
     table = _make_table({'10.0.0.1:1'})
-    table.note_failure(UpstreamId('u1'))
+    table.record_failure(UpstreamId('u1'))
     assert 'u1' not in _ask(table, 10, hold=False)
--- a/tests/routing/test_dark.py
+++ b/tests/routing/test_outage.py
@@ -15,7 +15,7 @@
     for name in _NAMES:
         table.put(make_upstream(name))
         for _ in range(silences):
-            table.note_silence(name)
+            table.record_timeout(name)
     return table
 
 
@@ -25,7 +25,7 @@
     for _ in range(requests):
         upstream = table.choose(_SERVICE, set())
         if upstream is not None:
-            table.load(upstream.id).held += 1
+            table.load(upstream.id).in_flight += 1
         chosen.append(None if upstream is None else upstream.id)
     return chosen
 
@@ -45,7 +45,7 @@
 def test_one_that_answers_keeps_the_service_open() -> None:
     """The others are out of use as before; nobody is refused for them."""
     table = _make(silences=5)
-    table.note_success(_NAMES[0], 0.02)
+    table.record_success(_NAMES[0], 0.02)
     assert None not in _burst(table, 12)
 
 
@@ -54,7 +54,7 @@
     table = _make(silences=3)
     first = table.choose(_SERVICE, set())
     assert first is not None
-    table.note_success(first.id, 0.02)
+    table.record_success(first.id, 0.02)
     assert None not in _burst(table, 6)
 
 
--- a/tests/routing/test_restarts.py
+++ b/tests/routing/test_restarts.py
@@ -31,12 +31,12 @@
     held = _Setting()
     held.put(100)
     load = held.table.load(UpstreamId('a'))
-    load.held = 5
-    held.table.note_failure(UpstreamId('a'))
-    held.table.note_failure(UpstreamId('a'))
+    load.in_flight = 5
+    held.table.record_failure(UpstreamId('a'))
+    held.table.record_failure(UpstreamId('a'))
     held.put(200)
     fresh = held.table.load(UpstreamId('a'))
-    assert (fresh.held, fresh.failures, fresh.out_until) == (0, 0, 0)
+    assert (fresh.in_flight, fresh.failures, fresh.ejected_until) == (0, 0, 0)
     assert held.told == [200]
 
 
--- a/tests/routing/test_routes.py
+++ b/tests/routing/test_routes.py
@@ -15,7 +15,7 @@
     Load,
     RouteTable,
     UpstreamTable,
-    choose,
+    choose_upstream,
     pick_service,
 )
 
@@ -54,7 +54,7 @@
 def test_the_longest_prefix_of_the_host_wins() -> None:
     """Prefixes end with a slash, so none matches the middle of a name."""
     table = RouteTable()
-    table.take(_configure(1, make_route('/a/'), make_route('/a/b/')))
+    table.apply(_configure(1, make_route('/a/'), make_route('/a/b/')))
     found = table.find('A.example:80', '/a/b/c?d=/x/')
     assert found is not None
     assert found.prefix == '/a/b/'
@@ -65,8 +65,8 @@
 def test_a_configuration_never_goes_back() -> None:
     """A lagging copy offers what was in force before."""
     table = RouteTable()
-    assert table.take(_configure(7, make_route('/new/')))
-    assert not table.take(_configure(4, make_route('/old/')))
+    assert table.apply(_configure(7, make_route('/new/')))
+    assert not table.apply(_configure(4, make_route('/old/')))
     assert table.find('a.example', '/new/') is not None
 
 
@@ -84,9 +84,9 @@
 
 def test_the_least_loaded_upstream_is_chosen() -> None:
     """One holds three requests of ours, the other none."""
-    loads = {'a': Load(held=3), 'b': Load()}
+    loads = {'a': Load(in_flight=3), 'b': Load()}
     upstreams = [make_upstream('a'), make_upstream('b')]
-    chosen = choose(upstreams, loads, 'z', 0, random.Random(1))
+    chosen = choose_upstream(upstreams, loads, 'z', 0, random.Random(1))
     assert chosen is not None
     assert chosen.id == 'b'
 
@@ -96,18 +96,18 @@
     near, far = make_upstream('a'), make_upstream('b', 'y')
     loads = {'a': Load(), 'b': Load()}
     rng = random.Random(1)
-    assert choose([far, near], loads, 'z', 0, rng) is near
-    loads['a'].held = 1
-    assert choose([far, near], loads, 'z', 0, rng) is far
+    assert choose_upstream([far, near], loads, 'z', 0, rng) is near
+    loads['a'].in_flight = 1
+    assert choose_upstream([far, near], loads, 'z', 0, rng) is far
 
 
 def test_what_others_send_counts_while_the_report_is_fresh() -> None:
     """An answer told that the upstream is full; our own count is nothing."""
-    loads = {'a': Load(reported=4, reported_at=10), 'b': Load(held=1)}
+    loads = {'a': Load(reported_busy=4, reported_at=10), 'b': Load(in_flight=1)}
     upstreams = [make_upstream('a'), make_upstream('b')]
     rng = random.Random(1)
-    early = choose(upstreams, loads, 'z', 10.1, rng)
-    late = choose(upstreams, loads, 'z', 12, rng)
+    early = choose_upstream(upstreams, loads, 'z', 10.1, rng)
+    late = choose_upstream(upstreams, loads, 'z', 12, rng)
     assert early is not None
     assert late is not None
     assert (early.id, late.id) == ('b', 'a')
@@ -119,15 +119,15 @@
     table = UpstreamTable(clock, ZoneId('z'), random.Random(1))
     table.put(make_upstream('a'))
     table.put(make_upstream('b', 'y'))
-    table.note_failure(UpstreamId('a'))
-    table.note_failure(UpstreamId('a'))
+    table.record_failure(UpstreamId('a'))
+    table.record_failure(UpstreamId('a'))
     chosen = table.choose(ServiceId('s'), set())
     assert chosen is not None
     assert chosen.id == 'b'
     only = table.choose(ServiceId('s'), {UpstreamId('b')})
     assert only is not None
     clock.advance(2)
-    table.note_success(UpstreamId('a'), 0.1)
+    table.record_success(UpstreamId('a'), 0.1)
     back = table.choose(ServiceId('s'), set())
     assert back is not None
     assert back.id == 'a'
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -41,7 +41,7 @@
     clock: PausedClock = world.clock
     store = world.store_of(name)
     routes = RouteTable()
-    routes.take(make_configuration())
+    routes.apply(make_configuration())
     services = Services(
         name,
         clock,
