--- a/guavagate/front/_jobs.py
+++ b/guavagate/front/_jobs.py
@@ -13,11 +13,11 @@
 from guavagate.jobs import (
     ItemId,
     Job,
+    JobConflictError,
     JobId,
     JobReader,
-    JobShelf,
+    JobStore,
     Knowledge,
-    OtherJobError,
     Page,
 )
 from guavagate.metrics import Metrics, names
@@ -48,14 +48,14 @@
         self,
         clock: Clock,
         routes: RouteTable,
-        shelf: JobShelf,
+        job_store: JobStore,
         reader: JobReader,
         metrics: Metrics,
         encode_page: Callable[[Page], bytes],
     ) -> None:
         self._clock = clock
         self._routes = routes
-        self._shelf = shelf
+        self._job_store = job_store
         self._reader = reader
         self._metrics = metrics
         self._encode_page = encode_page
@@ -63,8 +63,8 @@
     def accept(self, exchange: Exchange, job: Job) -> None:
         """Keep a job, and say so once it is durable."""
         try:
-            new = self._shelf.accept(job, ACCEPT_SECONDS)
-        except OtherJobError:
+            new = self._job_store.accept(job, ACCEPT_SECONDS)
+        except JobConflictError:
             say(exchange, 409, 'the id is taken by another job; use a new one')
         except (NotWrittenError, MaybeWrittenError) as error:
             self._tell_not_accepted(exchange, job, error)
@@ -139,7 +139,7 @@
             _tell_unknown(exchange, known)
             return
         try:
-            self._shelf.end(job, END_SECONDS)
+            self._job_store.end(job, END_SECONDS)
         except (NotWrittenError, MaybeWrittenError):
             say(exchange, 504, 'it may have been ended; send it again')
         else:
--- a/guavagate/jobs/__init__.py
+++ b/guavagate/jobs/__init__.py
@@ -16,7 +16,7 @@
 from guavagate.jobs._owner import JobOwner
 from guavagate.jobs._ownership import Ownership
 from guavagate.jobs._reader import JobReader
-from guavagate.jobs._shelf import JobShelf, OtherJobError
+from guavagate.jobs._store import JobConflictError, JobStore
 
 __all__ = (
     'GroupId',
@@ -26,9 +26,9 @@
     'JobItem',
     'JobOwner',
     'JobReader',
-    'JobShelf',
+    'JobStore',
     'Knowledge',
-    'OtherJobError',
+    'JobConflictError',
     'Ownership',
     'Page',
     'Result',
--- a/guavagate/jobs/_held.py
+++ b/guavagate/jobs/_held.py
@@ -28,7 +28,7 @@
     cut_page,
 )
 from guavagate.jobs._schedule import count_demands
-from guavagate.jobs._shelf import JobShelf
+from guavagate.jobs._store import JobStore
 from guavagate.jobs._work import JobWork
 from guavagate.metrics import Metrics, names
 from guavagate.models import TeamId
@@ -97,7 +97,7 @@
     def __init__(
         self,
         clock: Clock,
-        shelf: JobShelf,
+        job_store: JobStore,
         metrics: Metrics,
         taken: Callable[[Job], None],
         finish: Callable[[JobWork, Result], None],
@@ -105,7 +105,7 @@
     ) -> None:
         self.active = False
         self._clock = clock
-        self._shelf = shelf
+        self._job_store = job_store
         self._metrics = metrics
         self._taken = taken
         self._finish = finish
@@ -212,7 +212,7 @@
     def _take_stored(self, stored: StoredObject, fresh: bool) -> None:
         while self.active:
             try:
-                self._load(self._shelf.complete(stored), fresh=fresh)
+                self._load(self._job_store.assemble(stored), fresh=fresh)
             except StoreError as error:
                 _LOGGER.debug('a job can not be loaded: %s', error)
                 self._clock.sleep(RETRY_SECONDS)
@@ -268,7 +268,7 @@
         if held is not None:
             return Knowledge.FOUND, held
         try:
-            found = self._shelf.read(job)
+            found = self._job_store.read(job)
             if found is None:
                 return Knowledge.MISSING, None
             self._load(found, fresh=False)
@@ -313,7 +313,7 @@
         done = Event()
         self._loading[job.id] = done
         try:
-            log = self._shelf.make_log(job.id)
+            log = self._job_store.open_log(job.id)
             if not fresh:
                 log.load()
             if job.id not in self._held and self.active:
--- a/guavagate/jobs/_owner.py
+++ b/guavagate/jobs/_owner.py
@@ -31,7 +31,7 @@
 from guavagate.jobs._pace import STALL_SECONDS
 from guavagate.jobs._rewards import Rewards
 from guavagate.jobs._runner import ItemRunner
-from guavagate.jobs._shelf import JobShelf, decode_job
+from guavagate.jobs._store import JobStore, decode_job
 from guavagate.jobs._work import JobWork, Progress
 from guavagate.metrics import Metrics, names
 from guavagate.models import InstanceId, ServiceId, TeamId
@@ -69,7 +69,7 @@
         self,
         service: ServiceId,
         clock: Clock,
-        shelf: JobShelf,
+        job_store: JobStore,
         upstreams: UpstreamTable,
         states: SamplerStates,
         client: SamplerClient,
@@ -85,7 +85,7 @@
         self._boot_clock = boot_clock
         self._service = service
         self._clock = clock
-        self._shelf = shelf
+        self._job_store = job_store
         self._upstreams = upstreams
         self._states = states
         self._metrics = metrics
@@ -112,7 +112,7 @@
         )
         self._held = HeldJobs(
             clock,
-            shelf,
+            job_store,
             metrics,
             self._note_taken,
             self._finish,
@@ -120,7 +120,7 @@
         )
         self._task: Task | None = None
         self._helpers: list[Task] = []
-        store = shelf.store
+        store = job_store.object_store
         self._jobs = Mirror(
             store,
             clock,
@@ -234,7 +234,9 @@
                 if work.open or not expired:
                     continue
                 try:
-                    remove_job(self._shelf.store, self._clock, work.job)
+                    remove_job(
+                        self._job_store.object_store, self._clock, work.job
+                    )
                 except StoreError as error:
                     _LOGGER.debug('%s is not removed: %s', work.job.id, error)
                     break
--- a/guavagate/jobs/_reader.py
+++ b/guavagate/jobs/_reader.py
@@ -17,7 +17,7 @@
 from guavagate.jobs._models import ItemId, Job, JobId, Page, cut_page
 from guavagate.jobs._owner import JobOwner
 from guavagate.jobs._ownership import Ownership
-from guavagate.jobs._shelf import JobShelf, measure_item
+from guavagate.jobs._store import JobStore, measure_item
 from guavagate.links import Bus, Message, expect
 from guavagate.models import InstanceId, ServiceId, TeamId
 
@@ -41,13 +41,13 @@
         self,
         clock: Clock,
         bus: Bus,
-        shelf: JobShelf,
+        job_store: JobStore,
         ownership: Ownership,
         find_owner: FindOwner,
     ) -> None:
         self._clock = clock
         self._bus = bus
-        self._shelf = shelf
+        self._job_store = job_store
         self._ownership = ownership
         self._find_owner = find_owner
         self._cache: dict[JobId, Job] = {}
@@ -107,7 +107,7 @@
             if reply is not None and reply.known is Knowledge.FOUND:
                 return reply.known, reply.body
         try:
-            found = self._shelf.read(job)
+            found = self._job_store.read(job)
         except StoreError as error:
             _LOGGER.debug('job %s can not be read: %s', job, error)
             return Knowledge.UNSURE, b''
@@ -130,13 +130,13 @@
         self, job: JobId, after: int, team: TeamId
     ) -> tuple[Knowledge, Page | None]:
         try:
-            found = self._cache.get(job) or self._shelf.read(job)
+            found = self._cache.get(job) or self._job_store.read(job)
             if found is None:
                 return Knowledge.MISSING, None
             self.remember(found)
             if not found.is_open_to(team):
                 return Knowledge.MISSING, None
-            log = self._shelf.make_log(job)
+            log = self._job_store.open_log(job)
             log.load()
         except StoreError as error:
             _LOGGER.debug('job %s can not be read: %s', job, error)
--- a/guavagate/jobs/_shelf.py
+++ b/guavagate/jobs/_store.py
@@ -28,11 +28,11 @@
 _UNREADABLE: Final = UnreadableObjects()
 
 
-class OtherJobError(Exception):
+class JobConflictError(Exception):
     """Another job was accepted under the same id."""
 
 
-class JobShelf:
+class JobStore:
     """Writes and reads jobs.
 
     Parameters
@@ -42,7 +42,7 @@
     """
 
     def __init__(self, store: ObjectStore, clock: Clock, writer: str) -> None:
-        self.store = store
+        self.object_store = store
         self._clock = clock
         self._writer = writer
 
@@ -54,7 +54,7 @@
 
         Raises
         ------
-        OtherJobError
+        JobConflictError
             The id is taken by a job with another content.
         NotWrittenError, MaybeWrittenError
             As `create` says.
@@ -64,10 +64,12 @@
             for number, items in enumerate(parts):
                 path = part_path(job.id, number)
                 value = msgspec.json.encode(items)
-                create(self.store, self._clock, path, value, limit)
+                create(self.object_store, self._clock, path, value, limit)
             job = msgspec.structs.replace(job, items=[], parts=len(parts))
         value = msgspec.json.encode(job)
-        other = create(self.store, self._clock, job_path(job.id), value, limit)
+        other = create(
+            self.object_store, self._clock, job_path(job.id), value, limit
+        )
         if other is None:
             return True
         try:
@@ -77,7 +79,7 @@
         except ValueError:
             same = False
         if not same:
-            raise OtherJobError(job.id)
+            raise JobConflictError(job.id)
         return False
 
     def read(self, job: JobId) -> Job | None:
@@ -85,23 +87,23 @@
 
         What another writer put there, and can not be read, was never accepted.
         """
-        stored = self.store.get(job_path(job))
+        stored = self.object_store.get(job_path(job))
         if stored is None:
             return None
         try:
-            return self.complete(stored)
+            return self.assemble(stored)
         except ValueError as error:
             _UNREADABLE.note(stored.path, str(error))
             return None
 
-    def complete(self, stored: StoredObject) -> Job:
+    def assemble(self, stored: StoredObject) -> Job:
         """Return a stored job with all its items."""
         job = decode_job(stored.value)
         if not job.parts:
             return job
         items: list[JobItem] = []
         for number in range(job.parts):
-            part = self.store.get(part_path(job.id, number))
+            part = self.object_store.get(part_path(job.id, number))
             if part is None:
                 raise ValueError(f'part {number} of job {job.id} is missing')
             items += msgspec.json.decode(part.value, type=list[JobItem])
@@ -109,11 +111,11 @@
 
     def end(self, job: JobId, limit: float) -> None:
         """Keep that a job was ended; may be repeated."""
-        create(self.store, self._clock, end_path(job), b'{}', limit)
+        create(self.object_store, self._clock, end_path(job), b'{}', limit)
 
-    def make_log(self, job: JobId) -> JobLog:
+    def open_log(self, job: JobId) -> JobLog:
         """Return the list of a job's results, not loaded."""
-        return JobLog(self.store, self._clock, job, self._writer)
+        return JobLog(self.object_store, self._clock, job, self._writer)
 
 
 def decode_job(value: bytes) -> Job:
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -29,7 +29,7 @@
     time_calls,
 )
 from guavagate.integrations.object_api.over_pool import connect_store
-from guavagate.jobs import JobReader, JobShelf, Ownership
+from guavagate.jobs import JobReader, JobStore, Ownership
 from guavagate.lifecycle import Lifecycle
 from guavagate.links import ZmqBus
 from guavagate.membership import Membership
@@ -92,13 +92,13 @@
         self._me = me.id
         self._renewals = Renewals(self._bus)
         self._duties = PlatformDuties(settings.cloud_api.address, self._pool)
-        shelf = JobShelf(
+        job_store = JobStore(
             self._store, self._clock, f'{me.id}/{secrets.token_hex(4)}'
         )
         self._services = Services(
             me.id,
             self._clock,
-            shelf,
+            job_store,
             ownership,
             self._routes,
             self._upstreams,
@@ -121,7 +121,7 @@
             else None,
         )
         reader = JobReader(
-            self._clock, self._bus, shelf, ownership, self._services.find
+            self._clock, self._bus, job_store, ownership, self._services.find
         )
         self._registry = MemberRegistry(
             self._store, self._clock, self._members, me, settings.bootstrap
@@ -137,7 +137,7 @@
             settings.bounds.grace_s,
         )
         self._metrics.before_reading(self._refresh_gauges)
-        self._servers = self._make_servers(shelf, reader)
+        self._servers = self._make_servers(job_store, reader)
 
         self.ask_to_stop = self.lifecycle.ask_to_stop
         self.wait_asked = self.lifecycle.wait_asked
@@ -218,7 +218,7 @@
         return feed
 
     def _make_servers(
-        self, shelf: JobShelf, reader: JobReader
+        self, job_store: JobStore, reader: JobReader
     ) -> list[HttpServer]:
         listen = self._settings.listen
         address = f'{self._settings.ip}:{const.METRICS_PORT}'
@@ -228,7 +228,7 @@
             )
         ]
         if listen.front:
-            edge = self._make_edge(shelf, reader)
+            edge = self._make_edge(job_store, reader)
             servers.append(
                 HttpServer(
                     listen.front, self._clock, edge.handle, self._get_limits
@@ -240,7 +240,7 @@
             )
         return servers
 
-    def _make_edge(self, shelf: JobShelf, reader: JobReader) -> Edge:
+    def _make_edge(self, job_store: JobStore, reader: JobReader) -> Edge:
         clock, routes, metrics = self._clock, self._routes, self._metrics
         attempts = self._make_attempts()
         bounds = self._settings.bounds
@@ -255,7 +255,7 @@
                 metrics,
                 self._usage.note,
             ),
-            JobCalls(clock, routes, shelf, reader, metrics, encode_page),
+            JobCalls(clock, routes, job_store, reader, metrics, encode_page),
             self._feed.wait_loaded,
         )
 
--- a/guavagate/service.py
+++ b/guavagate/service.py
@@ -9,7 +9,7 @@
 from guavagate.exceptions import StoreUnavailableError
 from guavagate.jobs import (
     JobOwner,
-    JobShelf,
+    JobStore,
     Ownership,
     TextCopies,
     TextFolder,
@@ -74,7 +74,7 @@
         self,
         me: InstanceId,
         clock: Clock,
-        shelf: JobShelf,
+        job_store: JobStore,
         ownership: Ownership,
         routes: RouteTable,
         upstreams: UpstreamTable,
@@ -94,7 +94,7 @@
         self._folder = TextFolder(data_dir)
         self._me = me
         self._clock = clock
-        self._shelf = shelf
+        self._job_store = job_store
         self._ownership = ownership
         self._routes = routes
         self._upstreams = upstreams
@@ -151,7 +151,7 @@
             moment that nobody works on them.
         """
         try:
-            former = list_holders(self._shelf.store)
+            former = list_holders(self._job_store.object_store)
         except StoreUnavailableError as error:
             _LOGGER.debug('former owners are not known: %s', error)
             return False
@@ -192,7 +192,7 @@
         owner = JobOwner(
             service,
             self._clock,
-            self._shelf,
+            self._job_store,
             self._upstreams,
             states,
             self._client,
@@ -205,7 +205,7 @@
             lambda: self._list_successors(service),
         )
         lease = Lease(
-            self._shelf.store,
+            self._job_store.object_store,
             lease_path(service),
             self._me,
             self._lease_seconds,
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -35,7 +35,7 @@
         'guavagate/helpers/store_writes.py',
         'return MaybeWrittenError() if unsure else NotWrittenError()',
         'return NotWrittenError()',
-        'tests/jobs/test_shelf.py',
+        'tests/jobs/test_job_store.py',
     ),
     Safeguard(
         'a successor waits',
--- a/tests/jobs/fleet.py
+++ b/tests/jobs/fleet.py
@@ -8,7 +8,7 @@
     JobItem,
     JobOwner,
     JobReader,
-    JobShelf,
+    JobStore,
     Knowledge,
     Ownership,
     Result,
@@ -71,7 +71,9 @@
         world = fleet.world
         self.clock = world.hosts[InstanceId(name)].clock
         store = world.store_of(name)
-        self.shelf = JobShelf(store, self.clock, f'{name}/{len(fleet.nodes)}')
+        self.job_store = JobStore(
+            store, self.clock, f'{name}/{len(fleet.nodes)}'
+        )
         self.ownership = Ownership(
             world.members[InstanceId(name)], InstanceId(name)
         )
@@ -91,7 +93,7 @@
         self.owner = JobOwner(
             SERVICE,
             self.clock,
-            self.shelf,
+            self.job_store,
             self.upstreams,
             self.states,
             self.samplers,
@@ -111,7 +113,7 @@
         self.reader = JobReader(
             self.clock,
             world.bus(name),
-            self.shelf,
+            self.job_store,
             self.ownership,
             lambda _: self.owner if self.owner.active else None,
         )
@@ -157,7 +159,7 @@
         """Accept a job at an instance."""
         node = self.nodes[at]
         stamped = self.stamp(job)
-        task = node.clock.spawn(node.shelf.accept, stamped, 2.5)
+        task = node.clock.spawn(node.job_store.accept, stamped, 2.5)
         self.clock.run_until(task.ready, 5)
         return bool(task.get(block=False))
 
--- a/tests/jobs/test_clocks.py
+++ b/tests/jobs/test_clocks.py
@@ -18,7 +18,7 @@
         make_job(), submitted_at=fleet.clock.wall() - 3
     )
     other = fleet.nodes[find_other(fleet)]
-    task = other.clock.spawn(other.shelf.accept, skewed, 2.5)
+    task = other.clock.spawn(other.job_store.accept, skewed, 2.5)
     fleet.clock.run_until(task.ready, 5)
     fleet.clock.advance(0.1)
     works = owner.owner._held.list_open()
--- a/tests/jobs/test_shelf.py
+++ b/tests/jobs/test_job_store.py
@@ -4,19 +4,19 @@
 
 from guavagate.clock import PausedClock
 from guavagate.helpers.store_writes import MaybeWrittenError
-from guavagate.jobs import JobItem, JobShelf, OtherJobError
+from guavagate.jobs import JobConflictError, JobItem, JobStore
 from guavagate.measure.fakes import MemoryStore, StoreState
 from tests.jobs.fleet import make_job
 
 
-class _Shelf:
-    """A shelf on a paused clock."""
+class _PausedJobStore:
+    """A job store on a paused clock."""
 
     def __init__(self) -> None:
         self.clock = PausedClock()
         self.state = StoreState()
         store = MemoryStore(self.clock, self.state)
-        self.shelf = JobShelf(store, self.clock, 'test')
+        self.job_store = JobStore(store, self.clock, 'test')
 
     def call(self, run: object, *args: object) -> object:
         """Run a call to its end in virtual time."""
@@ -27,7 +27,7 @@
 
 def test_a_large_job_comes_back_whole() -> None:
     """Its items are over what one object may hold."""
-    held = _Shelf()
+    held = _PausedJobStore()
     job = make_job(groups=40, size=1)
     items = [
         JobItem(
@@ -40,19 +40,19 @@
         for each in job.items
     ]
     job = make_job(items=items)
-    assert held.call(held.shelf.accept, job, 5)
+    assert held.call(held.job_store.accept, job, 5)
     assert all(
         len(each.value) < 1_000_000 for each in held.state.objects.values()
     )
-    assert held.call(held.shelf.read, job.id).items == items  # type: ignore[attr-defined]
+    assert held.call(held.job_store.read, job.id).items == items  # type: ignore[attr-defined]
 
 
 def test_an_id_names_one_content() -> None:
     """Another job under a taken id is refused, and nothing of it runs."""
-    held = _Shelf()
-    held.call(held.shelf.accept, make_job(), 5)
-    with pytest.raises(OtherJobError):
-        held.call(held.shelf.accept, make_job(fingerprint='other'), 5)
+    held = _PausedJobStore()
+    held.call(held.job_store.accept, make_job(), 5)
+    with pytest.raises(JobConflictError):
+        held.call(held.job_store.accept, make_job(fingerprint='other'), 5)
 
 
 def test_an_acceptance_in_doubt_is_not_called_refused() -> None:
@@ -61,14 +61,14 @@
     "Not run" would be a lie then, so the caller is told that it is not
     known.
     """
-    held = _Shelf()
+    held = _PausedJobStore()
     held.state.outage = True
     with pytest.raises(MaybeWrittenError):
-        held.call(held.shelf.accept, make_job(), 1)
+        held.call(held.job_store.accept, make_job(), 1)
 
 
 def test_a_lost_answer_is_still_an_acceptance() -> None:
     """The first answer is lost; the repetition finds the job there."""
-    held = _Shelf()
+    held = _PausedJobStore()
     held.state.lose_next = 1
-    assert held.call(held.shelf.accept, make_job(), 5)
+    assert held.call(held.job_store.accept, make_job(), 5)
--- a/tests/jobs/test_owner.py
+++ b/tests/jobs/test_owner.py
@@ -131,7 +131,7 @@
     fleet.submit(make_job(groups=20), 'a')
     fleet.clock.advance(1)
     node = fleet.nodes[find_other(fleet)]
-    node.clock.spawn(node.shelf.end, JobId('job-1'), 2.5)
+    node.clock.spawn(node.job_store.end, JobId('job-1'), 2.5)
     fleet.clock.advance(1)
     samplers = fleet.nodes[fleet.owner()].samplers
     started = len(samplers.started)
@@ -255,7 +255,7 @@
     _, shown = fleet.read('job-1', reader)
     assert len(shown) == 16
     node = fleet.nodes[reader]
-    node.clock.spawn(node.shelf.end, JobId('job-1'), 2.5)
+    node.clock.spawn(node.job_store.end, JobId('job-1'), 2.5)
     fleet.clock.advance(1)
     fleet.world.resume(first)
     fleet.clock.advance(1)
@@ -280,7 +280,9 @@
     other = fleet.nodes[find_other(fleet)]
     held = other.owner._held
     held.active = True
-    reading = other.clock.spawn(other.shelf.store.get, job_path(JobId('job-1')))
+    reading = other.clock.spawn(
+        other.job_store.object_store.get, job_path(JobId('job-1'))
+    )
     fleet.clock.run_until(reading.ready, 5)
     stored = reading.get(block=False)
     taking = other.clock.spawn(held.take_stored, stored, True)
@@ -306,7 +308,7 @@
     held = owner.owner._held
     job = held.get(JobId('job-1'))
     assert job is not None
-    job.work.log = owner.shelf.make_log(JobId('job-1'))
+    job.work.log = owner.job_store.open_log(JobId('job-1'))
     held.doubt()
     fleet.world.store.slow = 0.35
     asking = [
--- a/tests/jobs/test_rewards.py
+++ b/tests/jobs/test_rewards.py
@@ -135,7 +135,7 @@
     owner.rewards.seconds = 5
     fleet.submit(make_job(rated=True), 'a')
     fleet.clock.advance(3)
-    owner.clock.spawn(owner.shelf.end, JobId('job-1'), 2.5)
+    owner.clock.spawn(owner.job_store.end, JobId('job-1'), 2.5)
     fleet.clock.advance(1)
     sent = len(owner.rewards.sent)
     assert len(owner.rewards.cut) == 2
@@ -173,7 +173,7 @@
     owner.rewards.seconds = 1
     fleet.submit(make_job('job-0', groups=1, size=3, rated=True), 'a')
     fleet.clock.run_until(lambda: len(fleet.read('job-0', 'a')[1]) == 1, 10)
-    owner.clock.spawn(owner.shelf.end, JobId('job-0'), 2.5)
+    owner.clock.spawn(owner.job_store.end, JobId('job-0'), 2.5)
     fleet.clock.advance(0.2)
     owner.rewards.sent.clear()
     again = make_job(groups=1, size=3, rated=True)
--- a/tests/jobs/test_teams.py
+++ b/tests/jobs/test_teams.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from guavagate.jobs import Job, Knowledge, OtherJobError
+from guavagate.jobs import Job, JobConflictError, Knowledge
 from guavagate.models import TeamId
 from tests.jobs.fleet import JobFleet, find_other, make_job
 from tests.jobs.samplers import SERVICE
@@ -59,7 +59,7 @@
     fleet = JobFleet()
     fleet.submit(make_job(team=_BLUE), 'a')
     assert not fleet.submit(make_job(team=_BLUE), 'b')
-    with pytest.raises(OtherJobError):
+    with pytest.raises(JobConflictError):
         fleet.submit(make_job(team=_RED), 'b')
 
 
--- a/tests/jobs/test_texts.py
+++ b/tests/jobs/test_texts.py
@@ -46,7 +46,7 @@
     fleet.length = 40
     fleet.submit(make_job('job-0'), 'a')
     fleet.clock.advance(1)
-    owner.clock.spawn(owner.shelf.end, JobId('job-0'), 2.5)
+    owner.clock.spawn(owner.job_store.end, JobId('job-0'), 2.5)
     fleet.clock.advance(0.2)
     fleet.submit(make_job(), 'a')
     fleet.clock.advance(_LATER)
@@ -64,7 +64,7 @@
     node = fleet.nodes[fleet.owner()]
     fleet.submit(make_job('job-0', groups=1, size=6), 'a')
     fleet.clock.run_until(lambda: len(fleet.read('job-0', 'a')[1]) >= 4, 10)
-    node.clock.spawn(node.shelf.end, JobId('job-0'), 2.5)
+    node.clock.spawn(node.job_store.end, JobId('job-0'), 2.5)
     fleet.clock.advance(0.2)
     fleet.submit(make_job(groups=1, size=6), 'a')
     fleet.clock.advance(_LATER)
@@ -84,7 +84,7 @@
     fleet.length = 40
     fleet.submit(make_job('job-0'), 'a')
     fleet.clock.advance(1)
-    owner.clock.spawn(owner.shelf.end, JobId('job-0'), 2.5)
+    owner.clock.spawn(owner.job_store.end, JobId('job-0'), 2.5)
     fleet.clock.advance(0.2)
     for sampler in 'xyz':
         owner.samplers.versions[sampler] = 2  # type: ignore[assignment]
@@ -160,7 +160,7 @@
 ) -> JobWork:
     """Return a job of one item with so many events of a text."""
     job = make_job(groups=1, size=1)
-    work = JobWork(job, fleet.nodes['b'].shelf.make_log(job.id), 0, 0)
+    work = JobWork(job, fleet.nodes['b'].job_store.open_log(job.id), 0, 0)
     _grow(work, mark, events, version)
     return work
 
@@ -225,7 +225,7 @@
     """More was made than one copy may hold; the rest comes with the next."""
     node = fleet.nodes['a']
     job = make_job(groups=1, size=3)
-    work = JobWork(job, node.shelf.make_log(job.id), 0, 0)
+    work = JobWork(job, node.job_store.open_log(job.id), 0, 0)
     for number, progress in enumerate(work.items.values(), 1):
         for event in range(1, number + 1):
             made = TextEvent(event, 'x' * 30_000, WeightVersion(1))
@@ -244,14 +244,14 @@
     """A peer kept a text of version 1; the job wants version 2 by now."""
     node = fleet.nodes['a']
     job = make_job(groups=1, size=1, min_version=2)
-    work = JobWork(job, node.shelf.make_log(job.id), 0, 0)
+    work = JobWork(job, node.job_store.open_log(job.id), 0, 0)
     progress = work.items[ItemId('0-0')]
     progress.text.add(TextEvent(1, '0-0/1', WeightVersion(1)))
     task = node.clock.spawn(
         node.copies.send, SERVICE, [work], [InstanceId('b')]
     )
     fleet.clock.run_until(task.ready, 2)
-    other = JobWork(job, node.shelf.make_log(job.id), 0, 0)
+    other = JobWork(job, node.job_store.open_log(job.id), 0, 0)
     fleet.nodes['b'].copies.bring(other)
     assert not other.items[ItemId('0-0')].text.events
 
--- a/tests/platform/test_edge_keys.py
+++ b/tests/platform/test_edge_keys.py
@@ -30,7 +30,7 @@
 
 
 class _Jobs:
-    """Stands for the shelf and the reader; notes whose calls come."""
+    """Stands for the job store and the reader; notes whose calls come."""
 
     def __init__(self) -> None:
         self.teams: list[TeamId] = []
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -12,7 +12,7 @@
 
 from guavagate.feeds import FeedTable
 from guavagate.feeds._messages import FeedEntry
-from guavagate.jobs import JobId, JobShelf
+from guavagate.jobs import JobId, JobStore
 from guavagate.jobs._models import chunk_path, job_path
 from guavagate.measure.fakes import World
 from guavagate.models import Revision, UpstreamId, ZoneId
@@ -209,9 +209,9 @@
     fleet.clock.advance(20)
     _, results = fleet.read('job-1', 'b')
     assert len({each.id for each in results}) == len(results) == 6
-    shelf = JobShelf(fleet.world.store_of('a'), fleet.clock, 'a')
-    task = fleet.clock.spawn(shelf.read, JobId('other'))
-    holders = fleet.clock.spawn(list_holders, shelf.store)
+    job_store = JobStore(fleet.world.store_of('a'), fleet.clock, 'a')
+    task = fleet.clock.spawn(job_store.read, JobId('other'))
+    holders = fleet.clock.spawn(list_holders, job_store.object_store)
     fleet.clock.run_until(lambda: task.ready() and holders.ready(), 5)
     assert task.get(block=False) is None
     assert not holders.get(block=False)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from guavagate.clock import PausedClock
-from guavagate.jobs import JobShelf, Ownership
+from guavagate.jobs import JobStore, Ownership
 from guavagate.measure.fakes import World
 from guavagate.metrics import Metrics
 from guavagate.models import InstanceId, ZoneId
@@ -45,7 +45,7 @@
     services = Services(
         name,
         clock,
-        JobShelf(store, clock, name),
+        JobStore(store, clock, name),
         Ownership(world.members[name], name, boot_of),
         routes,
         UpstreamTable(clock, ZoneId('zone-0')),
