--- a/guavagate/jobs/__init__.py
+++ b/guavagate/jobs/__init__.py
@@ -1,7 +1,5 @@
 """Jobs: items submitted at once, run later, their results read by position."""
 
-from guavagate.jobs._copies import TextCopies
-from guavagate.jobs._folder import TextFolder
 from guavagate.jobs._messages import Knowledge
 from guavagate.jobs._models import (
     GroupId,
@@ -16,6 +14,8 @@
 from guavagate.jobs._owner import JobOwner
 from guavagate.jobs._ownership import Ownership
 from guavagate.jobs._reader import JobReader
+from guavagate.jobs._replicas import TextReplicas
+from guavagate.jobs._snapshots import TextSnapshots
 from guavagate.jobs._store import JobConflictError, JobStore
 
 __all__ = (
@@ -33,6 +33,6 @@
     'Page',
     'Result',
     'ResultState',
-    'TextCopies',
-    'TextFolder',
+    'TextReplicas',
+    'TextSnapshots',
 )
--- a/guavagate/jobs/_held.py
+++ b/guavagate/jobs/_active.py
@@ -15,9 +15,7 @@
 from guavagate.helpers.unreadable import UnreadableObjects
 from guavagate.helpers.waits import wait_for
 from guavagate.jobs._cadence import Cadence
-from guavagate.jobs._carried import CarriedTexts
 from guavagate.jobs._committer import Committer
-from guavagate.jobs._log import WRITE_SECONDS, JobLog
 from guavagate.jobs._messages import Knowledge
 from guavagate.jobs._models import (
     ItemId,
@@ -27,6 +25,8 @@
     Result,
     cut_page,
 )
+from guavagate.jobs._partial_texts import PartialTexts
+from guavagate.jobs._result_log import WRITE_SECONDS, ResultLog
 from guavagate.jobs._schedule import count_demands
 from guavagate.jobs._store import JobStore
 from guavagate.jobs._work import JobWork
@@ -45,7 +45,7 @@
 _ANYBODY: Final = TeamId('')
 
 
-class HeldJob(msgspec.Struct):
+class ActiveJob(msgspec.Struct):
     """A job in work, and who waits for its results.
 
     `doubts` counts how often another instance may have listed results that
@@ -75,7 +75,7 @@
         return self.doubts > self.settled and not whole
 
 
-class HeldJobs:
+class ActiveJobs:
     """What one owner has in work.
 
     Parameters
@@ -110,11 +110,11 @@
         self._taken = taken
         self._finish = finish
         self._bring = bring
-        self._held: dict[JobId, HeldJob] = {}
+        self._held: dict[JobId, ActiveJob] = {}
         self._ended: set[JobId] = set()
         self._loading: dict[JobId, Event] = {}
         self._expected: set[JobId] = set()
-        self._carried = CarriedTexts()
+        self._partial_texts = PartialTexts()
         self._unreadable = UnreadableObjects()
         self._cadences: defaultdict[str, Cadence] = defaultdict(Cadence)
 
@@ -122,11 +122,11 @@
         """Return whether a job is in work."""
         return job in self._held
 
-    def __iter__(self) -> Iterator[HeldJob]:
+    def __iter__(self) -> Iterator[ActiveJob]:
         """Return the jobs as they are now."""
         return iter(list(self._held.values()))
 
-    def get(self, job: JobId) -> HeldJob | None:
+    def get(self, job: JobId) -> ActiveJob | None:
         """Return a job in work."""
         return self._held.get(job)
 
@@ -249,7 +249,7 @@
 
     def _find_for(
         self, job: JobId, team: TeamId
-    ) -> tuple[Knowledge, HeldJob | None]:
+    ) -> tuple[Knowledge, ActiveJob | None]:
         """Return a job if a team's callers may see it.
 
         To others it is not there: whether an id is taken tells of the work of
@@ -260,7 +260,7 @@
             return Knowledge.MISSING, None
         return known, held
 
-    def _find(self, job: JobId) -> tuple[Knowledge, HeldJob | None]:
+    def _find(self, job: JobId) -> tuple[Knowledge, ActiveJob | None]:
         """Return a job in work; one not heard of yet is looked for."""
         if not self.active:
             return Knowledge.UNSURE, None
@@ -277,7 +277,7 @@
         held = self._held.get(job)
         return (Knowledge.UNSURE if held is None else Knowledge.FOUND), held
 
-    def _settle_soon(self, held: HeldJob) -> None:
+    def _settle_soon(self, held: ActiveJob) -> None:
         """Look up in a task of its own what others may have listed.
 
         What is here never changes, so only readers of a position without a
@@ -287,7 +287,7 @@
         if held.settling is None or held.settling.dead:
             held.settling = self._clock.spawn(self._settle, held)
 
-    def _settle(self, held: HeldJob) -> None:
+    def _settle(self, held: ActiveJob) -> None:
         doubts = held.doubts
         asked = self._clock.now()
         try:
@@ -336,13 +336,13 @@
             return 0
         return max(self._clock.wall() - job.submitted_at, 0)
 
-    def _hold(self, job: Job, log: JobLog, *, fresh: bool) -> None:
+    def _hold(self, job: Job, log: ResultLog, *, fresh: bool) -> None:
         age = self._find_age(job, fresh=fresh)
         work = JobWork(job, log, self._clock.now(), age)
         self._bring(work)
         changed = Event()
         committer = Committer(self._clock, work, changed.set)
-        held = HeldJob(work, committer, changed, int(fresh))
+        held = ActiveJob(work, committer, changed, int(fresh))
         self._held[job.id] = held
         self._cadences[job.model].note(job.step, work.since)
         write(
@@ -365,12 +365,12 @@
             self._take_carried(held)
         self._taken(job)
 
-    def _take_carried(self, held: HeldJob) -> None:
+    def _take_carried(self, held: ActiveJob) -> None:
         """Use what is there of items that an earlier job left unfinished."""
-        for result in self._carried.bring(held.work):
+        for result in self._partial_texts.restore(held.work):
             self._finish(held.work, result)
 
-    def _end(self, held: HeldJob) -> None:
+    def _end(self, held: ActiveJob) -> None:
         work = held.work
         work.ended = True
         held.doubts += 1
@@ -388,7 +388,7 @@
         )
         self._metrics.observe(names.JOB_SECONDS, seconds)
         _cancel(work)
-        self._carried.keep(work)
+        self._partial_texts.keep(work)
         held.changed.set()
 
 
--- a/guavagate/jobs/_owner.py
+++ b/guavagate/jobs/_owner.py
@@ -12,11 +12,9 @@
 from guavagate.exceptions import StoreError
 from guavagate.helpers.mirror import Mirror
 from guavagate.helpers.waits import wait_for
-from guavagate.jobs._copies import COPY_SECONDS, TextCopies
+from guavagate.jobs._active import ActiveJobs
 from guavagate.jobs._dispatch import Dispatcher
 from guavagate.jobs._expiry import is_expired, remove_job
-from guavagate.jobs._folder import TextFolder
-from guavagate.jobs._held import HeldJobs
 from guavagate.jobs._messages import Knowledge
 from guavagate.jobs._models import (
     ENDS,
@@ -29,8 +27,10 @@
     ResultState,
 )
 from guavagate.jobs._pace import STALL_SECONDS
+from guavagate.jobs._replicas import COPY_SECONDS, TextReplicas
 from guavagate.jobs._rewards import Rewards
 from guavagate.jobs._runner import ItemRunner
+from guavagate.jobs._snapshots import TextSnapshots
 from guavagate.jobs._store import JobStore, decode_job
 from guavagate.jobs._work import JobWork, Progress
 from guavagate.metrics import Metrics, names
@@ -77,8 +77,8 @@
         slots: Callable[[], int],
         metrics: Metrics,
         retention: float,
-        copies: TextCopies,
-        folder: TextFolder,
+        replicas: TextReplicas,
+        snapshots: TextSnapshots,
         list_successors: Callable[[], list[InstanceId]],
         boot_clock: Callable[[], float] = read_boot_clock,
     ) -> None:
@@ -90,8 +90,8 @@
         self._states = states
         self._metrics = metrics
         self._retention = retention
-        self._copies = copies
-        self._folder = folder
+        self._replicas = replicas
+        self._snapshots = snapshots
         self._list_successors = list_successors
         self._wake = Event()
         self._started_at = clock.now()
@@ -110,7 +110,7 @@
         self._dispatcher = Dispatcher(
             service, clock, upstreams, states, client, runner, slots, metrics
         )
-        self._held = HeldJobs(
+        self._held = ActiveJobs(
             clock,
             job_store,
             metrics,
@@ -143,7 +143,7 @@
         if self._task is None:
             write(_LOGGER, events.COORDINATES, service=self._service)
             self._held.active = True
-            self._folder.load(self._service)
+            self._snapshots.load(self._service)
             self._started_at = self._clock.now()
             self._taken_over = False
             self._jobs.start()
@@ -197,8 +197,8 @@
 
     def _bring(self, work: JobWork) -> None:
         """Give a job that is taken over what there is of its texts."""
-        self._copies.bring(work)
-        self._folder.bring(work)
+        self._replicas.restore(work)
+        self._snapshots.restore(work)
 
     def _take_whole(self, work: JobWork, progress: Progress) -> None:
         self._dispatcher.note_text(work, progress)
@@ -247,9 +247,9 @@
             self._clock.sleep(COPY_SECONDS)
             works = self._held.list_open()
             if works:
-                self._folder.save(self._service, works)
+                self._snapshots.save(self._service, works)
                 peers = self._list_successors()[:COPIES]
-                self._copies.send(self._service, works, peers)
+                self._replicas.send(self._service, works, peers)
 
     def _run(self) -> None:
         looked_at = self._boot_clock()
--- a/guavagate/jobs/_carried.py
+++ b/guavagate/jobs/_partial_texts.py
@@ -32,7 +32,7 @@
     result: Result | None = None
 
 
-class CarriedTexts:
+class PartialTexts:
     """Keeps what was made of items whose groups were not whole."""
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
         while len(self._kept) > MOST_ITEMS:
             self._kept.popitem(last=False)
 
-    def bring(self, work: JobWork) -> list[Result]:
+    def restore(self, work: JobWork) -> list[Result]:
         """Give a new job what fits it; return the results that are whole."""
         job = work.job
         whole = []
--- a/guavagate/jobs/_reader.py
+++ b/guavagate/jobs/_reader.py
@@ -6,7 +6,7 @@
 
 from guavagate.clock import Clock
 from guavagate.exceptions import LinkError, StoreError
-from guavagate.jobs._held import PAGE_BYTES
+from guavagate.jobs._active import PAGE_BYTES
 from guavagate.jobs._messages import (
     ItemReply,
     Knowledge,
--- a/guavagate/jobs/_copies.py
+++ b/guavagate/jobs/_replicas.py
@@ -88,7 +88,7 @@
 _Copies: TypeAlias = dict[JobId, dict[ItemId, _Copy]]
 
 
-class TextCopies:
+class TextReplicas:
     """The copies that this instance keeps for others, and sends."""
 
     def __init__(self, bus: Bus) -> None:
@@ -141,7 +141,7 @@
                 }
                 self._told[service, peer] = {**kept, **counts}
 
-    def bring(self, work: JobWork) -> None:
+    def restore(self, work: JobWork) -> None:
         """Give a job that is taken over the texts that were copied here."""
         for (service, _, _), copies in self._kept.items():
             if service != work.job.service:
--- a/guavagate/jobs/_log.py
+++ b/guavagate/jobs/_result_log.py
@@ -26,7 +26,7 @@
 WRITE_SECONDS: Final = 3.0
 
 
-class JobLog:
+class ResultLog:
     """What is durable of a job's results, in order."""
 
     def __init__(
--- a/guavagate/jobs/_folder.py
+++ b/guavagate/jobs/_snapshots.py
@@ -23,8 +23,8 @@
 
 from guavagate.events import jobs as events
 from guavagate.events import write
-from guavagate.jobs._copies import use_text
 from guavagate.jobs._models import ItemId, JobId
+from guavagate.jobs._replicas import use_text
 from guavagate.jobs._work import JobWork, Text
 from guavagate.models import ServiceId, WeightVersion
 
@@ -51,7 +51,7 @@
     whole: bool
 
 
-class TextFolder:
+class TextSnapshots:
     """Keeps the texts of the jobs that this instance works on.
 
     Parameters
@@ -98,7 +98,7 @@
         self._busy = True
         self._run_aside(lambda: self._write(path, content))
 
-    def bring(self, work: JobWork) -> None:
+    def restore(self, work: JobWork) -> None:
         """Give a job that is taken over the texts that were kept here."""
         for saved in self._kept.pop(work.job.id, []):
             text = Text(
--- a/guavagate/jobs/_store.py
+++ b/guavagate/jobs/_store.py
@@ -7,7 +7,6 @@
 from guavagate.clock import Clock
 from guavagate.helpers.store_writes import create
 from guavagate.helpers.unreadable import UnreadableObjects
-from guavagate.jobs._log import JobLog
 from guavagate.jobs._models import (
     Job,
     JobId,
@@ -16,6 +15,7 @@
     job_path,
     part_path,
 )
+from guavagate.jobs._result_log import ResultLog
 from guavagate.ports.store import ObjectStore, StoredObject
 
 # Bodies grow by a third in JSON; what is left of the store's limit is for the
@@ -113,9 +113,9 @@
         """Keep that a job was ended; may be repeated."""
         create(self.object_store, self._clock, end_path(job), b'{}', limit)
 
-    def open_log(self, job: JobId) -> JobLog:
+    def open_log(self, job: JobId) -> ResultLog:
         """Return the list of a job's results, not loaded."""
-        return JobLog(self.object_store, self._clock, job, self._writer)
+        return ResultLog(self.object_store, self._clock, job, self._writer)
 
 
 def decode_job(value: bytes) -> Job:
--- a/guavagate/jobs/_work.py
+++ b/guavagate/jobs/_work.py
@@ -7,8 +7,8 @@
 from gevent import getcurrent
 
 from guavagate.clock import Task
-from guavagate.jobs._log import JobLog
 from guavagate.jobs._models import GroupId, ItemId, Job, JobItem, Result
+from guavagate.jobs._result_log import ResultLog
 from guavagate.models import UpstreamId, WeightVersion
 from guavagate.ports.sampler import ItemRun, TextEvent
 
@@ -104,7 +104,9 @@
 class JobWork:
     """A job's items, groups and what waits to be listed."""
 
-    def __init__(self, job: Job, log: JobLog, now: float, age: float) -> None:
+    def __init__(
+        self, job: Job, log: ResultLog, now: float, age: float
+    ) -> None:
         self.job = job
         self.log = log
         self.since = now - age
--- a/guavagate/service.py
+++ b/guavagate/service.py
@@ -11,8 +11,8 @@
     JobOwner,
     JobStore,
     Ownership,
-    TextCopies,
-    TextFolder,
+    TextReplicas,
+    TextSnapshots,
 )
 from guavagate.links import Bus
 from guavagate.membership.registry import MemberRegistry
@@ -90,8 +90,8 @@
     ) -> None:
         self._duties = duties
         self._renewals = renewals
-        self._copies = TextCopies(bus)
-        self._folder = TextFolder(data_dir)
+        self._replicas = TextReplicas(bus)
+        self._snapshots = TextSnapshots(data_dir)
         self._me = me
         self._clock = clock
         self._job_store = job_store
@@ -200,8 +200,8 @@
             lambda: self._count_slots(service),
             self._metrics,
             self._retention,
-            self._copies,
-            self._folder,
+            self._replicas,
+            self._snapshots,
             lambda: self._list_successors(service),
         )
         lease = Lease(
--- a/standins/_safeguard_jobs.py
+++ b/standins/_safeguard_jobs.py
@@ -7,17 +7,17 @@
 JOB_SAFEGUARDS: Final = (
     Safeguard(
         'a chunk in doubt is settled by the one that stands there',
-        'guavagate/jobs/_log.py',
+        'guavagate/jobs/_result_log.py',
         '        self._next += 1\n        self._uncertain = None\n',
         '        self._next += 1\n',
-        'tests/jobs/test_log.py',
+        'tests/jobs/test_result_log.py',
     ),
     Safeguard(
         'an item that stands twice is read once',
-        'guavagate/jobs/_log.py',
+        'guavagate/jobs/_result_log.py',
         '            if result.id not in self.listed:\n',
         '            if True:\n',
-        'tests/jobs/test_log.py',
+        'tests/jobs/test_result_log.py',
     ),
     Safeguard(
         'a new owner waits until all jobs are read',
@@ -64,16 +64,16 @@
     Safeguard(
         'texts are kept on disk',
         'guavagate/jobs/_owner.py',
-        '                self._folder.save(self._service, works)\n',
+        '                self._snapshots.save(self._service, works)\n',
         '',
-        'tests/jobs/test_folder.py',
+        'tests/jobs/test_snapshots.py',
     ),
     Safeguard(
         'a stalled disk is not queued for',
-        'guavagate/jobs/_folder.py',
+        'guavagate/jobs/_snapshots.py',
         'if path is None or self._busy:',
         'if path is None:',
-        'tests/jobs/test_folder.py',
+        'tests/jobs/test_snapshots.py',
     ),
     Safeguard(
         'one that works on jobs does not stand in as a relay',
--- a/tests/jobs/fleet.py
+++ b/tests/jobs/fleet.py
@@ -13,8 +13,8 @@
     Ownership,
     Result,
     ResultState,
-    TextCopies,
-    TextFolder,
+    TextReplicas,
+    TextSnapshots,
 )
 from guavagate.measure.fakes import World
 from guavagate.metrics import Metrics
@@ -89,7 +89,7 @@
         self.states.take(self.upstreams.all())
         self.rewards = FakeRewards(self.clock)
         self.metrics = Metrics()
-        self.copies = TextCopies(world.bus(name))
+        self.replicas = TextReplicas(world.bus(name))
         self.owner = JobOwner(
             SERVICE,
             self.clock,
@@ -101,8 +101,8 @@
             lambda: 4,
             self.metrics,
             120.0,
-            self.copies,
-            TextFolder(fleet.folders.get(name, ''), lambda work: work()),
+            self.replicas,
+            TextSnapshots(fleet.folders.get(name, ''), lambda work: work()),
             lambda: [
                 each
                 for each in self.ownership.rank(SERVICE)
--- a/tests/jobs/load_model.py
+++ b/tests/jobs/load_model.py
@@ -14,7 +14,6 @@
 
 from guavagate.clock import PausedClock
 from guavagate.jobs._lengths import Lengths
-from guavagate.jobs._log import JobLog
 from guavagate.jobs._models import (
     GroupId,
     ItemId,
@@ -24,6 +23,7 @@
     Result,
     ResultState,
 )
+from guavagate.jobs._result_log import ResultLog
 from guavagate.jobs._schedule import SamplerSlots, find_slow, place
 from guavagate.jobs._work import JobWork, Progress
 from guavagate.measure.fakes import MemoryStore
@@ -149,7 +149,7 @@
             objective=OBJECTIVE,
             items=[item for group in groups for item in group],
         )
-        log = JobLog(self._store, self._clock, job.id, 'model')
+        log = ResultLog(self._store, self._clock, job.id, 'model')
         work = JobWork(job, log, now, 0)
         for progress in work.items.values():
             made = self._made.get(progress.item.id, 0)
--- a/tests/jobs/test_forecast.py
+++ b/tests/jobs/test_forecast.py
@@ -5,7 +5,7 @@
 from guavagate.clock import PausedClock
 from guavagate.jobs._forecast import GroupPlan, forecast
 from guavagate.jobs._lengths import LEAST_TEXTS, Lengths
-from guavagate.jobs._log import JobLog
+from guavagate.jobs._result_log import ResultLog
 from guavagate.jobs._work import JobWork
 from guavagate.measure.fakes import MemoryStore
 from tests.jobs.fleet import make_job
@@ -29,7 +29,7 @@
         for each in job.items
     ]
     clock = PausedClock()
-    log = JobLog(MemoryStore(clock), clock, job.id, 'test')
+    log = ResultLog(MemoryStore(clock), clock, job.id, 'test')
     return JobWork(msgspec.structs.replace(job, items=items), log, NOW, age)
 
 
--- a/tests/jobs/test_log.py
+++ b/tests/jobs/test_result_log.py
@@ -5,7 +5,7 @@
 from guavagate.clock import PausedClock
 from guavagate.helpers.store_writes import MaybeWrittenError
 from guavagate.jobs import ItemId, JobId, Result, ResultState
-from guavagate.jobs._log import JobLog
+from guavagate.jobs._result_log import ResultLog
 from guavagate.measure.fakes import MemoryStore, StoreState
 
 
@@ -20,7 +20,7 @@
         self.clock = PausedClock()
         self.state = StoreState()
         self.logs = [
-            JobLog(
+            ResultLog(
                 MemoryStore(self.clock, self.state),
                 self.clock,
                 JobId('job-1'),
@@ -105,7 +105,7 @@
     """
     logs = _Logs()
     logs.append(0, _make_result('i', 'first'))
-    other = JobLog(
+    other = ResultLog(
         MemoryStore(logs.clock, logs.state), logs.clock, JobId('job-1'), 'c'
     )
     other._next = 1
--- a/tests/jobs/test_rewards.py
+++ b/tests/jobs/test_rewards.py
@@ -4,7 +4,7 @@
 import pytest
 
 from guavagate.jobs import JobId, Result, ResultState
-from guavagate.jobs._log import JobLog
+from guavagate.jobs._result_log import ResultLog
 from guavagate.jobs._rewards import order_unrated
 from guavagate.jobs._work import JobWork
 from guavagate.measure.fakes import World
@@ -203,7 +203,7 @@
     world = World()
     world.add('a')
     job = make_job(groups=3, size=2, rated=True)
-    log = JobLog(world.store_of('a'), world.clock, job.id, 'a')
+    log = ResultLog(world.store_of('a'), world.clock, job.id, 'a')
     work = JobWork(job, log, 0, 0)
     for name in ('0-0', '1-0', '1-1', '2-0', '2-1'):
         work.items[name].text.whole = True  # type: ignore[index]
--- a/tests/jobs/test_schedule.py
+++ b/tests/jobs/test_schedule.py
@@ -5,7 +5,7 @@
 from guavagate.clock import PausedClock
 from guavagate.jobs._forecast import forecast
 from guavagate.jobs._lengths import Lengths
-from guavagate.jobs._log import JobLog
+from guavagate.jobs._result_log import ResultLog
 from guavagate.jobs._schedule import (
     Placement,
     SamplerSlots,
@@ -26,7 +26,7 @@
 ) -> JobWork:
     job = make_job(name, **fields)  # type: ignore[arg-type]
     clock = PausedClock()
-    log = JobLog(MemoryStore(clock), clock, job.id, 'test')
+    log = ResultLog(MemoryStore(clock), clock, job.id, 'test')
     return JobWork(job, log, 100.0, age)
 
 
--- a/tests/jobs/test_folder.py
+++ b/tests/jobs/test_snapshots.py
@@ -8,8 +8,8 @@
 
 from guavagate.clock import PausedClock
 from guavagate.events import jobs as events
-from guavagate.jobs._folder import TextFolder
-from guavagate.jobs._log import JobLog
+from guavagate.jobs._result_log import ResultLog
+from guavagate.jobs._snapshots import TextSnapshots
 from guavagate.jobs._work import JobWork, Text
 from guavagate.measure.fakes import MemoryStore
 from guavagate.models import WeightVersion
@@ -24,7 +24,7 @@
 def _make_work(name: str = 'job-1', **fields: object) -> JobWork:
     job = make_job(name, **fields)  # type: ignore[arg-type]
     clock = PausedClock()
-    log = JobLog(MemoryStore(clock), clock, job.id, 'test')
+    log = ResultLog(MemoryStore(clock), clock, job.id, 'test')
     return JobWork(job, log, 100, 0)
 
 
@@ -36,9 +36,9 @@
 
 def _restart(path: pathlib.Path, work: JobWork) -> list[int]:
     """Return how much of each text a new start has."""
-    folder = TextFolder(str(path), _run)
-    folder.load(SERVICE)
-    folder.bring(work)
+    snapshots = TextSnapshots(str(path), _run)
+    snapshots.load(SERVICE)
+    snapshots.restore(work)
     return [progress.text.last for progress in work.items.values()]
 
 
@@ -72,7 +72,7 @@
     _grow(work, 5)
     first = next(iter(work.items))
     work.log.listed.add(first)
-    TextFolder(str(tmp_path), _run).save(SERVICE, [work])
+    TextSnapshots(str(tmp_path), _run).save(SERVICE, [work])
     assert _restart(tmp_path, _make_work()) == [0, 5, 5, 5, 5, 5]
 
 
@@ -80,7 +80,7 @@
     """A file of long ago; the step accepts newer weights only."""
     work = _make_work()
     _grow(work, 5)
-    TextFolder(str(tmp_path), _run).save(SERVICE, [work])
+    TextSnapshots(str(tmp_path), _run).save(SERVICE, [work])
     newer = _make_work(min_version=WeightVersion(2))
     assert set(_restart(tmp_path, newer)) == {0}
 
@@ -90,7 +90,7 @@
     """Power was lost in a write, on a disk that tears it all the same."""
     work = _make_work()
     _grow(work, 5)
-    TextFolder(str(tmp_path), _run).save(SERVICE, [work])
+    TextSnapshots(str(tmp_path), _run).save(SERVICE, [work])
     file = next(tmp_path.iterdir())
     file.write_bytes(file.read_bytes()[:keep])
     assert set(_restart(tmp_path, _make_work())) == {0}
@@ -101,13 +101,13 @@
 ) -> None:
     """The folder itself is gone; saving and loading go on."""
     gone = tmp_path / 'gone'
-    folder = TextFolder(str(gone), _run)
+    snapshots = TextSnapshots(str(gone), _run)
     work = _make_work()
     _grow(work, 5)
-    folder.save(SERVICE, [work])
+    snapshots.save(SERVICE, [work])
     assert set(_restart(gone, _make_work())) == {0}
     gone.mkdir()
-    folder.save(SERVICE, [work])
+    snapshots.save(SERVICE, [work])
     assert set(_restart(gone, _make_work())) == {5}
 
 
@@ -115,11 +115,11 @@
     tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     """It is full for minutes; one line tells, not two a second."""
-    folder = TextFolder(str(tmp_path / 'gone'), _run)
+    snapshots = TextSnapshots(str(tmp_path / 'gone'), _run)
     work = _make_work()
     _grow(work, 1)
     for _ in range(5):
-        folder.save(SERVICE, [work])
+        snapshots.save(SERVICE, [work])
     told = [
         each
         for each in caplog.records
@@ -131,29 +131,29 @@
 def test_a_stalled_disk_holds_up_nothing(tmp_path: pathlib.Path) -> None:
     """A write hangs for seconds; later ones are left out, not queued."""
     hung: list[Callable[[], None]] = []
-    folder = TextFolder(str(tmp_path), hung.append)
+    snapshots = TextSnapshots(str(tmp_path), hung.append)
     work = _make_work()
     _grow(work, 1)
-    folder.save(SERVICE, [work])
+    snapshots.save(SERVICE, [work])
     _grow(work, 2)
-    folder.save(SERVICE, [work])
+    snapshots.save(SERVICE, [work])
     assert len(hung) == 1
     hung.pop()()
     _grow(work, 3)
-    folder.save(SERVICE, [work])
+    snapshots.save(SERVICE, [work])
     hung.pop()()
     assert set(_restart(tmp_path, _make_work())) == {3}
 
 
 def test_without_a_disk_nothing_is_kept() -> None:
     """Most instances have none."""
-    folder = TextFolder('', _run)
+    snapshots = TextSnapshots('', _run)
     work = _make_work()
     _grow(work, 1)
-    folder.save(SERVICE, [work])
-    folder.load(SERVICE)
+    snapshots.save(SERVICE, [work])
+    snapshots.load(SERVICE)
     fresh = _make_work()
-    folder.bring(fresh)
+    snapshots.restore(fresh)
     assert {each.text.last for each in fresh.items.values()} == {0}
 
 
@@ -161,7 +161,7 @@
     """Another release has written it."""
     work = _make_work()
     _grow(work, 5)
-    TextFolder(str(tmp_path), _run).save(SERVICE, [work])
+    TextSnapshots(str(tmp_path), _run).save(SERVICE, [work])
     file = next(tmp_path.iterdir())
     file.write_bytes(msgspec.msgpack.encode({'texts': []}))
     assert set(_restart(tmp_path, _make_work())) == {0}
--- a/tests/jobs/test_texts.py
+++ b/tests/jobs/test_texts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from guavagate.jobs import ItemId, JobId
-from guavagate.jobs._copies import TextCopies, TextCopy, TextPart
+from guavagate.jobs._replicas import TextCopy, TextPart, TextReplicas
 from guavagate.jobs._work import JobWork, Text
 from guavagate.models import InstanceId, WeightVersion
 from guavagate.ports.sampler import TextEvent
@@ -138,20 +138,20 @@
     for number in range(1, 40):
         progress.text.add(TextEvent(number, f'new/{number}', WeightVersion(1)))
     task = node.clock.spawn(
-        node.copies.send, SERVICE, [held.work], [InstanceId(survivor)]
+        node.replicas.send, SERVICE, [held.work], [InstanceId(survivor)]
     )
     fleet.clock.run_until(task.ready, 2)
     work = JobWork(held.work.job, held.work.log, 0, 0)
-    fleet.nodes[survivor].copies.bring(work)
+    fleet.nodes[survivor].replicas.restore(work)
     assert work.items[ItemId('0-0')].text.events == progress.text.events
 
 
 def _send(
-    fleet: JobFleet, sender: str, work: JobWork, copies: TextCopies
+    fleet: JobFleet, sender: str, work: JobWork, replicas: TextReplicas
 ) -> None:
     """Have an instance tell one other of a job's texts."""
     node = fleet.nodes[sender]
-    task = node.clock.spawn(copies.send, SERVICE, [work], [InstanceId('b')])
+    task = node.clock.spawn(replicas.send, SERVICE, [work], [InstanceId('b')])
     fleet.clock.run_until(task.ready, 2)
 
 
@@ -179,7 +179,7 @@
     What one adds put behind what the other told would be a text that nobody
     made, and its versions not those that made it.
     """
-    one, other = fleet.nodes['a'].copies, fleet.nodes['c'].copies
+    one, other = fleet.nodes['a'].replicas, fleet.nodes['c'].replicas
     first = _make_work(fleet, 'a', 10)
     second = _make_work(fleet, 'c', 14, version=2)
     _send(fleet, 'a', first, one)
@@ -187,7 +187,7 @@
     _grow(first, 'a', 16)
     _send(fleet, 'a', first, one)
     work = _make_work(fleet, '', 0)
-    fleet.nodes['b'].copies.bring(work)
+    fleet.nodes['b'].replicas.restore(work)
     text = work.items[ItemId('0-0')].text
     assert text.events == [f'a/{number}' for number in range(1, 17)]
     assert text.versions == [1]
@@ -198,7 +198,7 @@
 
     It tells what the old text had grown by, and comes after the new one.
     """
-    peer = fleet.nodes['b'].copies
+    peer = fleet.nodes['b'].replicas
     sender = InstanceId('a')
     job, item = JobId('job-1'), ItemId('0-0')
 
@@ -214,7 +214,7 @@
     tell(1, 2, ['old/3', 'old/4'])
     tell(2, 1, ['new/2'])
     work = _make_work(fleet, '', 0)
-    peer.bring(work)
+    peer.restore(work)
     text = work.items[item].text
     assert text.events == ['new/1', 'new/2', 'new/3']
 
@@ -230,10 +230,10 @@
         for event in range(1, number + 1):
             made = TextEvent(event, 'x' * 30_000, WeightVersion(1))
             progress.text.add(made)
-    peer = fleet.nodes['b'].copies
+    peer = fleet.nodes['b'].replicas
     for copied in (['0-2'], ['0-2', '0-1', '0-0']):
         task = node.clock.spawn(
-            node.copies.send, SERVICE, [work], [InstanceId('b')]
+            node.replicas.send, SERVICE, [work], [InstanceId('b')]
         )
         fleet.clock.run_until(task.ready, 2)
         copies = next(iter(peer._kept.values()))
@@ -248,11 +248,11 @@
     progress = work.items[ItemId('0-0')]
     progress.text.add(TextEvent(1, '0-0/1', WeightVersion(1)))
     task = node.clock.spawn(
-        node.copies.send, SERVICE, [work], [InstanceId('b')]
+        node.replicas.send, SERVICE, [work], [InstanceId('b')]
     )
     fleet.clock.run_until(task.ready, 2)
     other = JobWork(job, node.job_store.open_log(job.id), 0, 0)
-    fleet.nodes['b'].copies.bring(other)
+    fleet.nodes['b'].replicas.restore(other)
     assert not other.items[ItemId('0-0')].text.events
 
 
