--- a/guavagate/duties/_usage.py
+++ b/guavagate/duties/_usage.py
@@ -95,7 +95,7 @@
             self._teller.note(team, seconds_ago)
 
     def _rank(self) -> list[InstanceId]:
-        return self._ownership.rank_for(_DUTY)
+        return self._ownership.rank_for_duty(_DUTY)
 
     def _list_successors(self) -> list[InstanceId]:
         return [each for each in self._rank() if each != self._me][:SUCCESSORS]
@@ -103,4 +103,4 @@
     def _is_first(self) -> bool:
         ranked = self._rank()
         first = bool(ranked) and ranked[0] == self._me
-        return self._ownership.settled and first
+        return self._ownership.ready and first
--- a/guavagate/front/_jobs.py
+++ b/guavagate/front/_jobs.py
@@ -17,7 +17,7 @@
     JobId,
     JobReader,
     JobStore,
-    Knowledge,
+    LookupStatus,
     Page,
 )
 from guavagate.metrics import Metrics, names
@@ -126,7 +126,7 @@
         known, body = self._reader.read_item(
             self._routes.job_services(), job, item, team
         )
-        if known is not Knowledge.FOUND:
+        if known is not LookupStatus.FOUND:
             _tell_unknown(exchange, known)
             return
         exchange.respond(200, [_OCTETS], body)
@@ -135,7 +135,7 @@
         """End a job, and say so once that is durable."""
         services = self._routes.job_services()
         known = self._reader.exists(services, job, team)
-        if known is not Knowledge.FOUND:
+        if known is not LookupStatus.FOUND:
             _tell_unknown(exchange, known)
             return
         try:
@@ -146,8 +146,8 @@
             exchange.respond(200, [], b'')
 
 
-def _tell_unknown(exchange: Exchange, known: Knowledge) -> None:
-    if known is Knowledge.MISSING:
+def _tell_unknown(exchange: Exchange, known: LookupStatus) -> None:
+    if known is LookupStatus.MISSING:
         say(exchange, 404, 'there is no such job or item')
         return
     refuse(exchange, 'not known at the moment', UNSURE_RETRY_SECONDS)
--- a/guavagate/jobs/__init__.py
+++ b/guavagate/jobs/__init__.py
@@ -1,6 +1,6 @@
 """Jobs: items submitted at once, run later, their results read by position."""
 
-from guavagate.jobs._messages import Knowledge
+from guavagate.jobs._messages import LookupStatus
 from guavagate.jobs._models import (
     GroupId,
     ItemId,
@@ -27,7 +27,7 @@
     'JobOwner',
     'JobReader',
     'JobStore',
-    'Knowledge',
+    'LookupStatus',
     'JobConflictError',
     'Ownership',
     'Page',
--- a/guavagate/jobs/_active.py
+++ b/guavagate/jobs/_active.py
@@ -16,7 +16,7 @@
 from guavagate.helpers.waits import wait_for
 from guavagate.jobs._cadence import Cadence
 from guavagate.jobs._committer import Committer
-from guavagate.jobs._messages import Knowledge
+from guavagate.jobs._messages import LookupStatus
 from guavagate.jobs._models import (
     ItemId,
     Job,
@@ -48,31 +48,31 @@
 class ActiveJob(msgspec.Struct):
     """A job in work, and who waits for its results.
 
-    `doubts` counts how often another instance may have listed results that
-    are not known here, `settled` how many of these were looked into;
+    `invalidations` counts how often another instance may have listed results
+    unknown here, `reconciled` how many of these were looked into;
     `ended_at` is on the runtime's clock.
     """
 
     work: JobWork
     committer: Committer
     changed: Event
-    doubts: int = 0
-    settled: int = 0
+    invalidations: int = 0
+    reconciled: int = 0
     ended_at: float | None = None
-    settling: Task | None = None
+    reconcile_task: Task | None = None
 
     def may_grow(self) -> bool:
         """Return whether further results may come to be known here."""
-        return self.work.open or self.is_doubtful()
+        return self.work.open or self.is_uncertain()
 
     def has(self, position: int) -> bool:
         """Return whether there is a result at a position."""
         return len(self.work.log.results) > position
 
-    def is_doubtful(self) -> bool:
+    def is_uncertain(self) -> bool:
         """Return whether what is not here may have been listed elsewhere."""
-        whole = len(self.work.log.listed) >= len(self.work.items)
-        return self.doubts > self.settled and not whole
+        whole = len(self.work.log.committed) >= len(self.work.items)
+        return self.invalidations > self.reconciled and not whole
 
 
 class ActiveJobs:
@@ -147,14 +147,14 @@
 
     def read(
         self, job: JobId, after: int, wait: float, team: TeamId = _ANYBODY
-    ) -> tuple[Knowledge, Page | None]:
+    ) -> tuple[LookupStatus, Page | None]:
         """Return results from a position on, once there are any."""
         known, held = self._find_for(job, team)
         if held is None:
             return known, None
-        doubtful = not held.has(after) and held.is_doubtful()
+        doubtful = not held.has(after) and held.is_uncertain()
         if doubtful:
-            self._settle_soon(held)
+            self._reconcile_soon(held)
         until = self._clock.now() + max(wait, SETTLE_SECONDS * doubtful)
         while self.active and not held.has(after) and held.may_grow():
             left = until - self._clock.now()
@@ -162,25 +162,25 @@
                 break
             held.changed.clear()
             wait_for(self._clock, held.changed, left)
-        if not held.has(after) and held.is_doubtful():
-            return Knowledge.UNSURE, None
+        if not held.has(after) and held.is_uncertain():
+            return LookupStatus.UNCERTAIN, None
         results = held.work.log.results
         total = len(held.work.items)
-        return Knowledge.FOUND, cut_page(results, total, after, PAGE_BYTES)
+        return LookupStatus.FOUND, cut_page(results, total, after, PAGE_BYTES)
 
     def read_item(
         self, job: JobId, item: ItemId, team: TeamId = _ANYBODY
-    ) -> tuple[Knowledge, bytes]:
+    ) -> tuple[LookupStatus, bytes]:
         """Return an item's body."""
         known, held = self._find_for(job, team)
         if held is None:
             return known, b''
         progress = held.work.items.get(item)
         if progress is None:
-            return Knowledge.MISSING, b''
-        return Knowledge.FOUND, progress.item.body
+            return LookupStatus.MISSING, b''
+        return LookupStatus.FOUND, progress.item.body
 
-    def doubt(self) -> None:
+    def mark_uncertain(self) -> None:
         """Take in that another instance may have worked here meanwhile.
 
         An owner that was frozen or cut off is asked again when it is back. It
@@ -189,7 +189,7 @@
         nothing where there was a result before.
         """
         for held in self:
-            held.doubts += 1
+            held.invalidations += 1
 
     @property
     def is_complete(self) -> bool:
@@ -249,46 +249,48 @@
 
     def _find_for(
         self, job: JobId, team: TeamId
-    ) -> tuple[Knowledge, ActiveJob | None]:
+    ) -> tuple[LookupStatus, ActiveJob | None]:
         """Return a job if a team's callers may see it.
 
         To others it is not there: whether an id is taken tells of the work of
         another team.
         """
         known, held = self._find(job)
-        if held is not None and not held.work.job.is_open_to(team):
-            return Knowledge.MISSING, None
+        if held is not None and not held.work.job.is_accessible_to(team):
+            return LookupStatus.MISSING, None
         return known, held
 
-    def _find(self, job: JobId) -> tuple[Knowledge, ActiveJob | None]:
+    def _find(self, job: JobId) -> tuple[LookupStatus, ActiveJob | None]:
         """Return a job in work; one not heard of yet is looked for."""
         if not self.active:
-            return Knowledge.UNSURE, None
+            return LookupStatus.UNCERTAIN, None
         held = self._held.get(job)
         if held is not None:
-            return Knowledge.FOUND, held
+            return LookupStatus.FOUND, held
         try:
             found = self._job_store.read(job)
             if found is None:
-                return Knowledge.MISSING, None
+                return LookupStatus.MISSING, None
             self._load(found, fresh=False)
         except StoreError as error:
             _LOGGER.debug('job %s can not be looked for: %s', job, error)
         held = self._held.get(job)
-        return (Knowledge.UNSURE if held is None else Knowledge.FOUND), held
+        return (
+            LookupStatus.UNCERTAIN if held is None else LookupStatus.FOUND
+        ), held
 
-    def _settle_soon(self, held: ActiveJob) -> None:
+    def _reconcile_soon(self, held: ActiveJob) -> None:
         """Look up in a task of its own what others may have listed.
 
         What is here never changes, so only readers of a position without a
         result wait for it. The store may be away; who waits gets what is
         listed here meanwhile, or is told to ask the store.
         """
-        if held.settling is None or held.settling.dead:
-            held.settling = self._clock.spawn(self._settle, held)
+        if held.reconcile_task is None or held.reconcile_task.dead:
+            held.reconcile_task = self._clock.spawn(self._reconcile, held)
 
-    def _settle(self, held: ActiveJob) -> None:
-        doubts = held.doubts
+    def _reconcile(self, held: ActiveJob) -> None:
+        invalidations = held.invalidations
         asked = self._clock.now()
         try:
             held.work.log.load()
@@ -301,7 +303,7 @@
             asked < held.ended_at + WRITE_SECONDS
         )
         if not ending:
-            held.settled = max(held.settled, doubts)
+            held.reconciled = max(held.reconciled, invalidations)
         held.changed.set()
 
     def _load(self, job: Job, *, fresh: bool) -> None:
@@ -355,7 +357,7 @@
             objective=job.objective,
             wanted=job.target_groups,
             items=len(job.items),
-            listed=len(log.listed),
+            listed=len(log.committed),
             told=sum(bool(each.text.last) for each in work.items.values()),
             age=round(age, 2),
         )
@@ -373,14 +375,14 @@
     def _end(self, held: ActiveJob) -> None:
         work = held.work
         work.ended = True
-        held.doubts += 1
+        held.invalidations += 1
         held.ended_at = self._clock.now()
         seconds = self._clock.now() - work.since
         write(
             _LOGGER,
             events.ENDED,
             job=work.job.id,
-            listed=len(work.log.listed),
+            listed=len(work.log.committed),
             total=len(work.items),
             groups=work.complete_groups,
             wanted=work.job.target_groups,
--- a/guavagate/jobs/_committer.py
+++ b/guavagate/jobs/_committer.py
@@ -75,7 +75,7 @@
                 events.LISTED,
                 job=work.job.id,
                 added=len(added),
-                listed=len(work.log.listed),
+                listed=len(work.log.committed),
                 total=len(work.items),
                 groups=work.complete_groups,
             )
--- a/guavagate/jobs/_messages.py
+++ b/guavagate/jobs/_messages.py
@@ -7,12 +7,12 @@
 from guavagate.models import ServiceId, TeamId
 
 
-class Knowledge(enum.Enum):
+class LookupStatus(enum.Enum):
     """What an instance can say of a job."""
 
     FOUND = 'found'
     MISSING = 'missing'
-    UNSURE = 'unsure'
+    UNCERTAIN = 'unsure'
 
 
 class ReadPage(Message, frozen=True, kw_only=True):
@@ -28,7 +28,7 @@
 class PageReply(Message, frozen=True, kw_only=True):
     """Results, where the job was found."""
 
-    known: Knowledge
+    known: LookupStatus
     page: Page | None = None
 
 
@@ -44,5 +44,5 @@
 class ItemReply(Message, frozen=True, kw_only=True):
     """The body, where the item was found."""
 
-    known: Knowledge
+    known: LookupStatus
     body: bytes = b''
--- a/guavagate/jobs/_models.py
+++ b/guavagate/jobs/_models.py
@@ -66,7 +66,7 @@
     parts: int = 0
     team: TeamId = TeamId('')
 
-    def is_open_to(self, team: TeamId) -> bool:
+    def is_accessible_to(self, team: TeamId) -> bool:
         """Return whether a team's callers may see and end the job."""
         return not self.team or self.team == team
 
--- a/guavagate/jobs/_owner.py
+++ b/guavagate/jobs/_owner.py
@@ -15,7 +15,7 @@
 from guavagate.jobs._active import ActiveJobs
 from guavagate.jobs._dispatch import Dispatcher
 from guavagate.jobs._expiry import is_expired, remove_job
-from guavagate.jobs._messages import Knowledge
+from guavagate.jobs._messages import LookupStatus
 from guavagate.jobs._models import (
     ENDS,
     JOBS,
@@ -127,7 +127,7 @@
             JOBS,
             self._put_job,
             self._drop_job,
-            loaded=self._held.doubt,
+            loaded=self._held.mark_uncertain,
         )
         self._ends = Mirror(store, clock, ENDS, self._put_end)
         states.subscribe(self._wake.set)
@@ -167,9 +167,9 @@
         self._ends.stop()
         self._held.clear()
 
-    def doubt(self) -> None:
+    def mark_uncertain(self) -> None:
         """Take in that another instance may have worked here meanwhile."""
-        self._held.doubt()
+        self._held.mark_uncertain()
 
     def demands(self) -> dict[str, ModelDemand]:
         """Return what the open jobs, and the next ones, ask of each model."""
@@ -185,13 +185,13 @@
 
     def read(
         self, job: JobId, after: int, wait: float, team: TeamId = _ANYBODY
-    ) -> tuple[Knowledge, Page | None]:
+    ) -> tuple[LookupStatus, Page | None]:
         """Return results from a position on, once there are any."""
         return self._held.read(job, after, wait, team)
 
     def read_item(
         self, job: JobId, item: ItemId, team: TeamId = _ANYBODY
-    ) -> tuple[Knowledge, bytes]:
+    ) -> tuple[LookupStatus, bytes]:
         """Return an item's body."""
         return self._held.read_item(job, item, team)
 
@@ -256,7 +256,7 @@
         while True:
             before, looked_at = looked_at, self._boot_clock()
             if looked_at - before > PAUSE_SECONDS:
-                self._held.doubt()
+                self._held.mark_uncertain()
             self._dispatch()
             self._wake.clear()
             wait_for(self._clock, self._wake, IDLE_SECONDS)
--- a/guavagate/jobs/_ownership.py
+++ b/guavagate/jobs/_ownership.py
@@ -34,15 +34,15 @@
         self._boot_of = boot_of
         self._me = me
         self._former: Mapping[ServiceId, InstanceId] = {}
-        self.settled = False
+        self.ready = False
 
-    def recall(self, former: Mapping[ServiceId, InstanceId]) -> None:
+    def set_former_owners(self, former: Mapping[ServiceId, InstanceId]) -> None:
         """Take in who worked on the services before this instance started."""
         self._former = former
 
-    def find(self, service: ServiceId) -> InstanceId | None:
+    def find_owner(self, service: ServiceId) -> InstanceId | None:
         """Return the owner, or nothing while no instance is known."""
-        ranked = self.rank(service)
+        ranked = self.rank_candidates(service)
         if not ranked:
             return None
         former = self._former.get(service)
@@ -50,15 +50,15 @@
             return former
         return ranked[0]
 
-    def rank(self, service: ServiceId) -> list[InstanceId]:
+    def rank_candidates(self, service: ServiceId) -> list[InstanceId]:
         """Return who may own a service's jobs, the first choice first."""
-        return self.rank_for(f'jobs of {service}')
+        return self.rank_for_duty(f'jobs of {service}')
 
-    def rank_for(self, duty: str) -> list[InstanceId]:
+    def rank_for_duty(self, duty: str) -> list[InstanceId]:
         """Return who may take a duty for all, the first choice first."""
         return rank_seniors(duty, self._list_candidates(), self._boot_of)
 
-    def is_among_eldest(self) -> bool:
+    def is_among_longest_running(self) -> bool:
         """Return whether nobody who may own jobs has run for longer."""
         mine = find_age(self._me, self._boot_of)
         return all(
@@ -75,10 +75,10 @@
         ages = {find_age(each, self._boot_of) for each in (self._me, *others)}
         return len(ages) == 1
 
-    def is_mine(self, service: ServiceId) -> bool:
+    def is_owner(self, service: ServiceId) -> bool:
         """Return whether this instance works on a service's jobs.
 
         Not before this one had time to hear of the others: each would take
         itself for the owner of everything as they all start.
         """
-        return self.settled and self.find(service) == self._me
+        return self.ready and self.find_owner(service) == self._me
--- a/guavagate/jobs/_reader.py
+++ b/guavagate/jobs/_reader.py
@@ -9,7 +9,7 @@
 from guavagate.jobs._active import PAGE_BYTES
 from guavagate.jobs._messages import (
     ItemReply,
-    Knowledge,
+    LookupStatus,
     PageReply,
     ReadItem,
     ReadPage,
@@ -72,7 +72,7 @@
         after: int,
         wait: float,
         team: TeamId = _ANYBODY,
-    ) -> tuple[Knowledge, Page | None]:
+    ) -> tuple[LookupStatus, Page | None]:
         """Return results from a position on; `wait` in seconds.
 
         Parameters
@@ -87,7 +87,7 @@
                 service=service, job=job, after=after, wait=wait, team=team
             )
             reply = self._ask_page(message)
-            if reply is not None and reply.known is Knowledge.FOUND:
+            if reply is not None and reply.known is LookupStatus.FOUND:
                 return reply.known, reply.page
         return self._read_stored(job, after, team)
 
@@ -97,58 +97,60 @@
         job: JobId,
         item: ItemId,
         team: TeamId = _ANYBODY,
-    ) -> tuple[Knowledge, bytes]:
+    ) -> tuple[LookupStatus, bytes]:
         """Return an item's body."""
         if job in self._cache:
             return _find_body(self._cache[job], item, team)
         for service in services:
             message = ReadItem(service=service, job=job, item=item, team=team)
             reply = self._ask_item(message)
-            if reply is not None and reply.known is Knowledge.FOUND:
+            if reply is not None and reply.known is LookupStatus.FOUND:
                 return reply.known, reply.body
         try:
             found = self._job_store.read(job)
         except StoreError as error:
             _LOGGER.debug('job %s can not be read: %s', job, error)
-            return Knowledge.UNSURE, b''
+            return LookupStatus.UNCERTAIN, b''
         if found is None:
-            return Knowledge.MISSING, b''
+            return LookupStatus.MISSING, b''
         self.remember(found)
         return _find_body(found, item, team)
 
     def exists(
         self, services: list[ServiceId], job: JobId, team: TeamId = _ANYBODY
-    ) -> Knowledge:
+    ) -> LookupStatus:
         """Return whether there is such a job for a team."""
         cached = self._cache.get(job)
-        if cached is not None and cached.is_open_to(team):
-            return Knowledge.FOUND
+        if cached is not None and cached.is_accessible_to(team):
+            return LookupStatus.FOUND
         known, _ = self.read(services, job, 0, 0, team)
         return known
 
     def _read_stored(
         self, job: JobId, after: int, team: TeamId
-    ) -> tuple[Knowledge, Page | None]:
+    ) -> tuple[LookupStatus, Page | None]:
         try:
             found = self._cache.get(job) or self._job_store.read(job)
             if found is None:
-                return Knowledge.MISSING, None
+                return LookupStatus.MISSING, None
             self.remember(found)
-            if not found.is_open_to(team):
-                return Knowledge.MISSING, None
+            if not found.is_accessible_to(team):
+                return LookupStatus.MISSING, None
             log = self._job_store.open_log(job)
             log.load()
         except StoreError as error:
             _LOGGER.debug('job %s can not be read: %s', job, error)
-            return Knowledge.UNSURE, None
+            return LookupStatus.UNCERTAIN, None
         total = len(found.items)
-        return Knowledge.FOUND, cut_page(log.results, total, after, PAGE_BYTES)
+        return LookupStatus.FOUND, cut_page(
+            log.results, total, after, PAGE_BYTES
+        )
 
     def _ask_page(self, message: ReadPage) -> PageReply | None:
-        owner = self._ownership.find(message.service)
+        owner = self._ownership.find_owner(message.service)
         if owner is None:
             return None
-        if self._ownership.is_mine(message.service):
+        if self._ownership.is_owner(message.service):
             return self._serve_page(message)
         timeout = message.wait + ASK_SECONDS
         try:
@@ -158,10 +160,10 @@
             return None
 
     def _ask_item(self, message: ReadItem) -> ItemReply | None:
-        owner = self._ownership.find(message.service)
+        owner = self._ownership.find_owner(message.service)
         if owner is None:
             return None
-        if self._ownership.is_mine(message.service):
+        if self._ownership.is_owner(message.service):
             return self._serve_item(message)
         try:
             return self._bus.request(owner, message, ItemReply, ASK_SECONDS)
@@ -178,7 +180,7 @@
     def _serve_page(self, message: ReadPage) -> PageReply:
         owner = self._find_owner(message.service)
         if owner is None:
-            return PageReply(known=Knowledge.UNSURE)
+            return PageReply(known=LookupStatus.UNCERTAIN)
         known, page = owner.read(
             message.job, message.after, message.wait, message.team
         )
@@ -187,17 +189,19 @@
     def _serve_item(self, message: ReadItem) -> ItemReply:
         owner = self._find_owner(message.service)
         if owner is None:
-            return ItemReply(known=Knowledge.UNSURE)
+            return ItemReply(known=LookupStatus.UNCERTAIN)
         known, body = owner.read_item(message.job, message.item, message.team)
         return ItemReply(known=known, body=body)
 
 
-def _find_body(job: Job, item: ItemId, team: TeamId) -> tuple[Knowledge, bytes]:
-    if job.is_open_to(team):
+def _find_body(
+    job: Job, item: ItemId, team: TeamId
+) -> tuple[LookupStatus, bytes]:
+    if job.is_accessible_to(team):
         for each in job.items:
             if each.id == item:
-                return Knowledge.FOUND, each.body
-    return Knowledge.MISSING, b''
+                return LookupStatus.FOUND, each.body
+    return LookupStatus.MISSING, b''
 
 
 def measure(job: Job) -> int:
--- a/guavagate/jobs/_replicas.py
+++ b/guavagate/jobs/_replicas.py
@@ -171,7 +171,7 @@
             (progress, part)
             for work in works
             for progress in work.items.values()
-            if progress.item.id not in work.log.listed
+            if progress.item.id not in work.log.committed
             and (part := self._cut_part(work.job.id, progress, told))
         ]
         grown.sort(key=lambda each: -each[0].text.last)
--- a/guavagate/jobs/_result_log.py
+++ b/guavagate/jobs/_result_log.py
@@ -39,7 +39,7 @@
         self._next = 0
         self._uncertain: Chunk | None = None
         self.results: list[Result] = []
-        self.listed: set[ItemId] = set()
+        self.committed: set[ItemId] = set()
 
     def load(self) -> None:
         """Read all chunks; raises `StoreUnavailableError`."""
@@ -82,7 +82,7 @@
             )
 
     def _make(self, results: list[Result]) -> Chunk:
-        fresh = [each for each in results if each.id not in self.listed]
+        fresh = [each for each in results if each.id not in self.committed]
         return Chunk(self._writer, fresh)
 
     def _take(self, chunk: Chunk) -> None:
@@ -97,8 +97,8 @@
         self._next += 1
         self._uncertain = None
         for result in chunk.results:
-            if result.id not in self.listed:
-                self.listed.add(result.id)
+            if result.id not in self.committed:
+                self.committed.add(result.id)
                 self.results.append(result)
 
 
--- a/guavagate/jobs/_snapshots.py
+++ b/guavagate/jobs/_snapshots.py
@@ -92,7 +92,7 @@
             )
             for work in works
             for progress in work.items.values()
-            if progress.text.last and progress.item.id not in work.log.listed
+            if progress.text.last and progress.item.id not in work.log.committed
         ]
         content = msgspec.msgpack.encode(texts)
         self._busy = True
--- a/guavagate/jobs/_store.py
+++ b/guavagate/jobs/_store.py
@@ -75,7 +75,7 @@
         try:
             held = decode_job(other.value)
             same = held.fingerprint == job.fingerprint
-            same = same and held.is_open_to(job.team)
+            same = same and held.is_accessible_to(job.team)
         except ValueError:
             same = False
         if not same:
--- a/guavagate/jobs/_work.py
+++ b/guavagate/jobs/_work.py
@@ -123,7 +123,7 @@
     @property
     def open(self) -> bool:
         """Return whether items are still to be run."""
-        return not self.ended and len(self.log.listed) < len(self.items)
+        return not self.ended and len(self.log.committed) < len(self.items)
 
     def finish(self, result: Result) -> bool:
         """Take an item's result; return whether it is worth listing now.
@@ -143,7 +143,7 @@
 
     def note_listed(self) -> None:
         """Drop what others have listed meanwhile."""
-        listed = self.log.listed
+        listed = self.log.committed
         self.pending = [each for each in self.pending if each.id not in listed]
         for item in listed:
             self._finish(item)
--- a/guavagate/service.py
+++ b/guavagate/service.py
@@ -54,7 +54,7 @@
     def start(self) -> None:
         """Work on the service."""
         self.owner.start()
-        self.owner.doubt()
+        self.owner.mark_uncertain()
         self.coordinator.start()
         if self.scaler is not None:
             self.scaler.start()
@@ -133,10 +133,10 @@
         """Take what is this instance's, once it knows of the others."""
         was_owner = not registry.first_start and self._recall()
         if was_owner:
-            registry.wait_settled(self._ownership.is_among_eldest)
+            registry.wait_settled(self._ownership.is_among_longest_running)
         else:
             registry.wait_settled()
-        self._ownership.settled = not self._leaving
+        self._ownership.ready = not self._leaving
         self.refresh()
 
     def _recall(self) -> bool:
@@ -155,13 +155,13 @@
         except StoreUnavailableError as error:
             _LOGGER.debug('former owners are not known: %s', error)
             return False
-        self._ownership.recall(former)
+        self._ownership.set_former_owners(former)
         return self._me in former.values()
 
     def leave(self) -> None:
         """Leave everything to others, now and from now on."""
         self._leaving = True
-        self._ownership.settled = False
+        self._ownership.ready = False
         self.refresh()
 
     @property
@@ -174,7 +174,7 @@
         owned = {
             each
             for each in self._routes.job_services()
-            if self._ownership.is_mine(each)
+            if self._ownership.is_owner(each)
         }
         for service in owned:
             held = self._services.get(service) or self._make(service)
@@ -249,7 +249,7 @@
         )
 
     def _list_successors(self, service: ServiceId) -> list[InstanceId]:
-        ranked = self._ownership.rank(service)
+        ranked = self._ownership.rank_candidates(service)
         return [each for each in ranked if each != self._me][:SUCCESSORS]
 
     def _count_slots(self, service: ServiceId) -> int:
--- a/standins/_safeguard_jobs.py
+++ b/standins/_safeguard_jobs.py
@@ -15,7 +15,7 @@
     Safeguard(
         'an item that stands twice is read once',
         'guavagate/jobs/_result_log.py',
-        '            if result.id not in self.listed:\n',
+        '            if result.id not in self.committed:\n',
         '            if True:\n',
         'tests/jobs/test_result_log.py',
     ),
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -117,7 +117,7 @@
     Safeguard(
         'a woken owner looks up what others have listed',
         'guavagate/jobs/_active.py',
-        'return self.doubts > self.settled and not whole',
+        'return self.invalidations > self.reconciled and not whole',
         'return False',
         'tests/jobs/test_owner.py',
     ),
--- a/tests/duties/test_usage.py
+++ b/tests/duties/test_usage.py
@@ -35,7 +35,7 @@
     me = InstanceId(name)
     members = world.members[me]
     ownership = Ownership(members, me)
-    ownership.settled = True
+    ownership.ready = True
     usage = Usage(
         me,
         world.hosts[me].clock,
--- a/tests/jobs/fleet.py
+++ b/tests/jobs/fleet.py
@@ -9,7 +9,7 @@
     JobOwner,
     JobReader,
     JobStore,
-    Knowledge,
+    LookupStatus,
     Ownership,
     Result,
     ResultState,
@@ -77,7 +77,7 @@
         self.ownership = Ownership(
             world.members[InstanceId(name)], InstanceId(name)
         )
-        self.ownership.settled = True
+        self.ownership.ready = True
         self.upstreams = UpstreamTable(self.clock, ZoneId('zone-0'))
         self.states = SamplerStates()
         self.samplers = FakeSamplers(self.clock, fleet.length)
@@ -105,7 +105,7 @@
             TextSnapshots(fleet.folders.get(name, ''), lambda work: work()),
             lambda: [
                 each
-                for each in self.ownership.rank(SERVICE)
+                for each in self.ownership.rank_candidates(SERVICE)
                 if each != InstanceId(name)
             ],
             self.clock.now,
@@ -147,7 +147,7 @@
         """Start and stop a node's owner as the membership says."""
 
         def refresh() -> None:
-            if node.ownership.is_mine(SERVICE):
+            if node.ownership.is_owner(SERVICE):
                 node.owner.start()
             else:
                 node.owner.stop()
@@ -172,7 +172,7 @@
     def owner(self) -> str:
         """Return the name of the owner."""
         node = next(iter(self.nodes.values()))
-        return str(node.ownership.find(SERVICE))
+        return str(node.ownership.find_owner(SERVICE))
 
     def read(
         self, job: str, at: str, after: int = 0
@@ -195,7 +195,7 @@
 def check_whole(fleet: JobFleet, at: str, items: int) -> None:
     """Check that each item is listed once, with its whole text."""
     known, results = fleet.read('job-1', at)
-    assert known is Knowledge.FOUND
+    assert known is LookupStatus.FOUND
     assert len({each.id for each in results}) == len(results) == items
     for result in results:
         lines = result.text.split('\n')
--- a/tests/jobs/load_model.py
+++ b/tests/jobs/load_model.py
@@ -225,7 +225,7 @@
     def _finish(self, work: JobWork, progress: Progress) -> None:
         result = Result(progress.item.id, ResultState.COMPLETED, '', [])
         work.finish(result)
-        work.log.listed.add(progress.item.id)
+        work.log.committed.add(progress.item.id)
 
     def _take(self, trainer: Trainer, now: float) -> None:
         """Note whole groups; train the oldest step when it is done."""
--- a/tests/jobs/test_owner.py
+++ b/tests/jobs/test_owner.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from guavagate.jobs import ItemId, JobId, Knowledge
+from guavagate.jobs import ItemId, JobId, LookupStatus
 from guavagate.jobs._models import job_path
 from tests.jobs.fleet import JobFleet, check_whole, find_other, make_job
 from tests.jobs.samplers import make_upstream
@@ -85,7 +85,7 @@
     """Two instances believe that they own the job and run all its items."""
     fleet.submit(make_job(groups=6), 'a')
     for node in fleet.nodes.values():
-        node.ownership.is_mine = lambda _: True  # type: ignore[method-assign, assignment]
+        node.ownership.is_owner = lambda _: True  # type: ignore[method-assign, assignment]
         node.owner.start()
     fleet.clock.advance(_LATER)
     for name in fleet.nodes:
@@ -146,9 +146,9 @@
 ) -> None:
     """That there is no such job is said by the store, not by a lagging view."""
     fleet.clock.advance(1)
-    assert fleet.read('job-9', 'a')[0] is Knowledge.MISSING
+    assert fleet.read('job-9', 'a')[0] is LookupStatus.MISSING
     fleet.world.store.outage = True
-    assert fleet.read('job-9', 'a')[0] is Knowledge.UNSURE
+    assert fleet.read('job-9', 'a')[0] is LookupStatus.UNCERTAIN
 
 
 def test_an_item_moves_from_a_slow_sampler(fleet: JobFleet) -> None:
@@ -178,7 +178,7 @@
     check_whole(fleet, 'a', 6)
     fleet.clock.advance(100)
     assert not fleet.world.store.objects
-    assert fleet.read('job-1', fleet.owner())[0] is Knowledge.MISSING
+    assert fleet.read('job-1', fleet.owner())[0] is LookupStatus.MISSING
 
 
 def test_a_sampler_that_serves_an_older_version_than_it_told(
@@ -263,7 +263,7 @@
     for name in fleet.nodes:
         for after in (*range(15, -1, -1), 15):
             known, rest = fleet.read('job-1', name, after)
-            assert known is Knowledge.FOUND
+            assert known is LookupStatus.FOUND
             assert rest
             assert rest == shown[after : after + len(rest)]
 
@@ -290,7 +290,7 @@
     asking = other.clock.spawn(held.read, JobId('job-1'), 0, 0)
     fleet.clock.run_until(asking.ready, 5)
     known, page = asking.get(block=False)
-    assert known is Knowledge.FOUND
+    assert known is LookupStatus.FOUND
     assert len(page.results) == 6
 
 
@@ -309,17 +309,19 @@
     job = held.get(JobId('job-1'))
     assert job is not None
     job.work.log = owner.job_store.open_log(JobId('job-1'))
-    held.doubt()
+    held.mark_uncertain()
     fleet.world.store.slow = 0.35
     asking = [
         owner.clock.spawn(held.read, JobId('job-1'), 5, 0) for _ in range(2)
     ]
     fleet.clock.run_until(lambda: all(each.ready() for each in asking), 5)
-    assert {each.get(block=False)[0] for each in asking} == {Knowledge.UNSURE}
+    assert {each.get(block=False)[0] for each in asking} == {
+        LookupStatus.UNCERTAIN
+    }
     fleet.clock.advance(1)
     fleet.world.store.slow = 0
     known, page = held.read(JobId('job-1'), 5, 0)
-    assert known is Knowledge.FOUND
+    assert known is LookupStatus.FOUND
     assert page is not None
     assert len(page.results) == 1
 
@@ -336,7 +338,7 @@
     fleet.clock.advance(0.1)
     owner = fleet.nodes[fleet.owner()]
     fleet.world.store.outage = True
-    owner.owner.doubt()
+    owner.owner.mark_uncertain()
     reading = owner.clock.spawn(owner.owner.read, JobId('job-1'), 0, 5)
     fleet.clock.advance(2)
     assert not reading.ready()
@@ -344,7 +346,7 @@
     fleet.clock.advance(1.5)
     assert reading.ready()
     known, page = reading.get(block=False)
-    assert known is Knowledge.FOUND
+    assert known is LookupStatus.FOUND
     assert page is not None
     assert page.results
 
--- a/tests/jobs/test_ownership.py
+++ b/tests/jobs/test_ownership.py
@@ -31,31 +31,31 @@
     steps wait for samplers that are ordered to their versions.
     """
     fleet = _Fleet()
-    first = fleet.look(_NAMES[0]).find(_SERVICE)
+    first = fleet.look(_NAMES[0]).find_owner(_SERVICE)
     former = next(name for name in _NAMES if name != first)
     fleet.boots = dict.fromkeys(_NAMES, 160_000)
     for name in _NAMES:
         ownership = fleet.look(name)
-        ownership.recall({_SERVICE: former})
-        assert ownership.find(_SERVICE) == former
+        ownership.set_former_owners({_SERVICE: former})
+        assert ownership.find_owner(_SERVICE) == former
 
 
 def test_one_restarts_and_the_owner_stays_what_it_is() -> None:
     """What it recalls of the time before must not differ from the others."""
     fleet = _Fleet()
-    first = fleet.look(_NAMES[0]).find(_SERVICE)
+    first = fleet.look(_NAMES[0]).find_owner(_SERVICE)
     restarted = next(name for name in _NAMES if name != first)
     fleet.boots[restarted] = 160_000
     for former in _NAMES:
         ownership = fleet.look(restarted)
-        ownership.recall({_SERVICE: former})
-        assert ownership.find(_SERVICE) == first
+        ownership.set_former_owners({_SERVICE: former})
+        assert ownership.find_owner(_SERVICE) == first
 
 
 def test_the_former_owner_is_gone_for_good() -> None:
     """All were killed, and its machine does not come back."""
     fleet = _Fleet()
     ownership = fleet.look(_NAMES[0])
-    first = ownership.find(_SERVICE)
-    ownership.recall({_SERVICE: InstanceId('gone')})
-    assert ownership.find(_SERVICE) == first
+    first = ownership.find_owner(_SERVICE)
+    ownership.set_former_owners({_SERVICE: InstanceId('gone')})
+    assert ownership.find_owner(_SERVICE) == first
--- a/tests/jobs/test_snapshots.py
+++ b/tests/jobs/test_snapshots.py
@@ -71,7 +71,7 @@
     work = _make_work()
     _grow(work, 5)
     first = next(iter(work.items))
-    work.log.listed.add(first)
+    work.log.committed.add(first)
     TextSnapshots(str(tmp_path), _run).save(SERVICE, [work])
     assert _restart(tmp_path, _make_work()) == [0, 5, 5, 5, 5, 5]
 
--- a/tests/jobs/test_teams.py
+++ b/tests/jobs/test_teams.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from guavagate.jobs import Job, JobConflictError, Knowledge
+from guavagate.jobs import Job, JobConflictError, LookupStatus
 from guavagate.models import TeamId
 from tests.jobs.fleet import JobFleet, find_other, make_job
 from tests.jobs.samplers import SERVICE
@@ -18,7 +18,7 @@
     fingerprint: str
 
 
-def _look(fleet: JobFleet, at: str, team: TeamId) -> set[Knowledge]:
+def _look(fleet: JobFleet, at: str, team: TeamId) -> set[LookupStatus]:
     """Return what a team's caller finds of a job at an instance."""
     node = fleet.nodes[at]
     job = make_job().id
@@ -39,8 +39,8 @@
     fleet.submit(make_job(team=_BLUE), 'a')
     fleet.clock.advance(3)
     for name in fleet.nodes:
-        assert _look(fleet, name, _RED) == {Knowledge.MISSING}
-        assert _look(fleet, name, _BLUE) == {Knowledge.FOUND}
+        assert _look(fleet, name, _RED) == {LookupStatus.MISSING}
+        assert _look(fleet, name, _BLUE) == {LookupStatus.FOUND}
 
 
 def test_another_teams_job_is_not_there_when_the_owner_is_lost() -> None:
@@ -50,8 +50,8 @@
     fleet.clock.advance(3)
     other = find_other(fleet)
     fleet.world.kill(fleet.owner())
-    assert _look(fleet, other, _RED) == {Knowledge.MISSING}
-    assert _look(fleet, other, _BLUE) == {Knowledge.FOUND}
+    assert _look(fleet, other, _RED) == {LookupStatus.MISSING}
+    assert _look(fleet, other, _BLUE) == {LookupStatus.FOUND}
 
 
 def test_an_id_that_another_team_took_is_taken() -> None:
@@ -68,8 +68,8 @@
     record = msgspec.json.decode(msgspec.json.encode(make_job()))
     record.pop('team')
     job = msgspec.convert(record, Job)
-    assert job.is_open_to(_RED)
-    assert job.is_open_to(_BLUE)
+    assert job.is_accessible_to(_RED)
+    assert job.is_accessible_to(_BLUE)
 
 
 def test_a_release_without_teams_reads_new_records() -> None:
--- a/tests/platform/test_edge_keys.py
+++ b/tests/platform/test_edge_keys.py
@@ -13,7 +13,7 @@
 from guavagate.forwarding import Attempts, Forwarder, StreamForwarder
 from guavagate.front import Gate, JobCalls, RequestCalls
 from guavagate.http1 import ConnectionPool, HttpServer, ServerLimits
-from guavagate.jobs import Job, Knowledge
+from guavagate.jobs import Job, LookupStatus
 from guavagate.metrics import Metrics
 from guavagate.models import TeamId, ZoneId
 from guavagate.platform._dialect import PlatformDialect
@@ -43,20 +43,20 @@
     def remember(self, job: Job) -> None:
         """Keep nothing."""
 
-    def read(self, *asked: object) -> tuple[Knowledge, None]:
+    def read(self, *asked: object) -> tuple[LookupStatus, None]:
         """Note who reads; there is nothing."""
         self.teams.append(asked[-1])  # type: ignore[arg-type]
-        return Knowledge.MISSING, None
+        return LookupStatus.MISSING, None
 
-    def read_item(self, *asked: object) -> tuple[Knowledge, bytes]:
+    def read_item(self, *asked: object) -> tuple[LookupStatus, bytes]:
         """Note who reads a body; there is none."""
         self.teams.append(asked[-1])  # type: ignore[arg-type]
-        return Knowledge.MISSING, b''
+        return LookupStatus.MISSING, b''
 
-    def exists(self, *asked: object) -> Knowledge:
+    def exists(self, *asked: object) -> LookupStatus:
         """Note who ends a job; there is none."""
         self.teams.append(asked[-1])  # type: ignore[arg-type]
-        return Knowledge.MISSING
+        return LookupStatus.MISSING
 
     def end(self, *asked: object) -> None:
         """End nothing."""
