--- a/guavagate/callers/_completions.py
+++ b/guavagate/callers/_completions.py
@@ -36,8 +36,8 @@
     AnswerSource,
     PermitClient,
     PoolChooser,
-    PoolHomes,
     Progress,
+    QueueOwner,
     estimate_tokens,
     exhaust,
     hash_prefixes,
@@ -57,7 +57,7 @@
 
     runtime: Runtime
     authenticator: Authenticator
-    homes: PoolHomes
+    queue_owner: QueueOwner
     permits: PermitClient
     chooser: PoolChooser
     engine: ModelEngine
@@ -243,7 +243,7 @@
     team, deployment = _find_deployment(parts, opened, ask.model)
     work = _describe(parts, opened, team, ask)
     pool = parts.chooser.choose(
-        parts.homes.specs(), team.team, deployment.id, work
+        parts.queue_owner.specs(), team.team, deployment.id, work
     )
     source = AnswerSource(
         client=parts.permits,
--- a/guavagate/events/routing.py
+++ b/guavagate/events/routing.py
@@ -10,7 +10,7 @@
     1001, logging.DEBUG, 'entry holds a permit for its request'
 )
 PERMIT_REFUSED: Final = Event(1002, logging.INFO, 'pool refused a request')
-HOME_UNREACHABLE: Final = Event(
+QUEUE_OWNER_UNREACHABLE: Final = Event(
     1003,
     logging.WARNING,
     'the home of a pool gave no answer, asking again',
--- a/guavagate/instance.py
+++ b/guavagate/instance.py
@@ -16,9 +16,9 @@
 from guavagate.permits import (
     PermitClient,
     PoolChooser,
-    PoolHomes,
+    QueueOwner,
     ReportReader,
-    serve_homes,
+    serve_queue_owner,
 )
 from guavagate.runs import (
     Hosted,
@@ -42,12 +42,12 @@
         self.engine = HttpModelEngine(runtime.clock)
         self.service = HttpPlainService(runtime.clock)
         self.authenticator = Authenticator(runtime.settings, runtime.teams)
-        self.homes = PoolHomes(runtime)
-        serve_homes(runtime, self.homes)
+        self.queue_owner = QueueOwner(runtime)
+        serve_queue_owner(runtime, self.queue_owner)
         self.chooser = PoolChooser(runtime)
-        self.permits = PermitClient(runtime, self.homes)
+        self.permits = PermitClient(runtime, self.queue_owner)
         self.reports = ReportReader(
-            runtime, self.homes, self.engine, self.service
+            runtime, self.queue_owner, self.engine, self.service
         )
         self.ledger = Ledger(runtime, make_id)
         self.runs = RunsClient(runtime)
@@ -58,7 +58,7 @@
         self.scorer = Scorer(runtime, self.permits)
         self.worker = SampleWorker(
             runtime,
-            self.homes,
+            self.queue_owner,
             self.permits,
             self.chooser,
             self.engine,
@@ -76,7 +76,7 @@
 
     def start(self) -> None:
         """Start every part, the edge last."""
-        self.homes.start()
+        self.queue_owner.start()
         self.permits.start()
         self.reports.start()
         self.ledger.start()
@@ -108,7 +108,7 @@
             callers.Completions(
                 runtime=self.runtime,
                 authenticator=self.authenticator,
-                homes=self.homes,
+                queue_owner=self.queue_owner,
                 permits=self.permits,
                 chooser=self.chooser,
                 engine=self.engine,
--- a/guavagate/permits/__init__.py
+++ b/guavagate/permits/__init__.py
@@ -9,7 +9,7 @@
 from guavagate.permits._directory import (
     MAX_POOL,
     PoolSpec,
-    find_home,
+    find_queue_owner,
     list_pools,
 )
 from guavagate.permits._generate import (
@@ -19,7 +19,6 @@
     run_copy,
     stream_answer,
 )
-from guavagate.permits._home import PoolHomes
 from guavagate.permits._messages import (
     AskPermit,
     HeldPermit,
@@ -31,8 +30,9 @@
 )
 from guavagate.permits._owned import OwnedPool
 from guavagate.permits._progress import Progress
+from guavagate.permits._queue_owner import QueueOwner
 from guavagate.permits._reports import ReportReader
-from guavagate.permits._service import serve_homes
+from guavagate.permits._service import serve_queue_owner
 
 __all__ = (
     'MAX_POOL',
@@ -46,7 +46,7 @@
     'PermitClient',
     'PermitReply',
     'PoolChooser',
-    'PoolHomes',
+    'QueueOwner',
     'PoolSpec',
     'Progress',
     'Release',
@@ -55,10 +55,10 @@
     'describe_failure',
     'estimate_tokens',
     'exhaust',
-    'find_home',
+    'find_queue_owner',
     'hash_prefixes',
     'list_pools',
     'run_copy',
-    'serve_homes',
+    'serve_queue_owner',
     'stream_answer',
 )
--- a/guavagate/permits/_client.py
+++ b/guavagate/permits/_client.py
@@ -10,15 +10,14 @@
 from guavagate.decisions import Work
 from guavagate.events import write
 from guavagate.events.routing import (
-    HOME_UNREACHABLE,
     PERMIT_GRANTED,
     PERMIT_REFUSED,
+    QUEUE_OWNER_UNREACHABLE,
 )
 from guavagate.exceptions import LinkError, RefusalError
 from guavagate.links import Message, expect
 from guavagate.models import InstanceId, RequestId, UpstreamId
-from guavagate.permits._directory import find_home
-from guavagate.permits._home import PoolHomes
+from guavagate.permits._directory import find_queue_owner
 from guavagate.permits._messages import (
     AskHeld,
     AskPermit,
@@ -33,6 +32,7 @@
     RunCopy,
     WithdrawWork,
 )
+from guavagate.permits._queue_owner import QueueOwner
 from guavagate.runtime import Runtime
 
 _LOGGER = logging.getLogger(__name__)
@@ -56,14 +56,14 @@
 class PermitClient:
     """Holds this instance's permits; one for each daemon."""
 
-    def __init__(self, runtime: Runtime, homes: PoolHomes) -> None:
+    def __init__(self, runtime: Runtime, queue_owner: QueueOwner) -> None:
         self._runtime = runtime
-        self._homes = homes
+        self._queue_owner = queue_owner
         self._me = runtime.settings.id
         self._held: dict[str, dict[RequestId, HeldPermit]] = {}
         self._told: dict[str, InstanceId] = {}
         self._copiers: dict[RequestId, Callable[[Permit], None]] = {}
-        homes.serve_own_entry(self._take_copy, self.find_missing)
+        queue_owner.serve_own_entry(self._take_copy, self.find_missing)
         runtime.bus.register(AskHeld, self._on_ask_held)
         runtime.bus.register(RunCopy, self._on_copy)
 
@@ -179,18 +179,18 @@
             upstream=permit.upstream,
             pace=pace,
         )
-        home = self._home(permit.pool)
-        if home == self._me:
-            self._homes.take_slow(report)
-        elif home is not None:
-            self._runtime.bus.send(home, report)
+        owner = self._find_owner(permit.pool)
+        if owner == self._me:
+            self._queue_owner.take_slow(report)
+        elif owner is not None:
+            self._runtime.bus.send(owner, report)
 
     def _send_release(self, message: ReleasePermit) -> None:
-        home = self._home(message.pool)
-        if home == self._me:
-            self._homes.release(self._me, message)
-        elif home is not None:
-            self._runtime.bus.send(home, message)
+        owner = self._find_owner(message.pool)
+        if owner == self._me:
+            self._queue_owner.release(self._me, message)
+        elif owner is not None:
+            self._runtime.bus.send(owner, message)
 
     def _take_copy(self, permit: Permit) -> None:
         take = self._copiers.get(permit.work_id, self.end_copy)
@@ -199,8 +199,8 @@
     def _on_copy(self, sender: InstanceId, message: Message) -> None:
         self._take_copy(expect(message, RunCopy).permit)
 
-    def _home(self, pool: str) -> InstanceId | None:
-        return find_home(pool, self._runtime.members.alive())
+    def _find_owner(self, pool: str) -> InstanceId | None:
+        return find_queue_owner(pool, self._runtime.members.alive())
 
     def _ask(
         self,
@@ -209,7 +209,7 @@
         remaining: float,
         failed: FailedAttempt | None,
     ) -> PermitReply | None:
-        home = self._home(pool)
+        owner = self._find_owner(pool)
         wait = min(POLL_SECONDS, remaining)
         ask = AskPermit(
             pool=pool,
@@ -220,20 +220,20 @@
             failed_started=failed is not None and failed.started,
             failed_leaving=failed is not None and failed.leaving,
         )
-        if home is None:
+        if owner is None:
             return None
-        if home == self._me:
-            return self._homes.ask(self._me, ask)
+        if owner == self._me:
+            return self._queue_owner.ask(self._me, ask)
         try:
             return self._runtime.bus.request(
-                home, ask, PermitReply, wait + LINK_MARGIN
+                owner, ask, PermitReply, wait + LINK_MARGIN
             )
         except LinkError as error:
             write(
                 _LOGGER,
-                HOME_UNREACHABLE,
+                QUEUE_OWNER_UNREACHABLE,
                 pool=pool,
-                home=home,
+                home=owner,
                 request=work.id,
                 error=error.problem,
             )
@@ -242,7 +242,9 @@
     def _hold(self, work: Work, permit: Permit) -> Permit:
         held = HeldPermit(work=work, upstream=permit.upstream)
         self._held.setdefault(permit.pool, {})[work.id] = held
-        self._told.setdefault(permit.pool, self._home(permit.pool) or self._me)
+        self._told.setdefault(
+            permit.pool, self._find_owner(permit.pool) or self._me
+        )
         write(
             _LOGGER,
             PERMIT_GRANTED,
@@ -253,12 +255,12 @@
         return permit
 
     def _withdraw(self, pool: str, work: Work) -> None:
-        home = self._home(pool)
-        if home == self._me:
-            self._homes.withdraw(self._me, pool, work.id)
-        elif home is not None:
+        owner = self._find_owner(pool)
+        if owner == self._me:
+            self._queue_owner.withdraw(self._me, pool, work.id)
+        elif owner is not None:
             self._runtime.bus.send(
-                home, WithdrawWork(pool=pool, work_id=work.id)
+                owner, WithdrawWork(pool=pool, work_id=work.id)
             )
 
     def _give_up(self, pool: str, work: Work) -> RefusalError:
@@ -272,9 +274,9 @@
 
     def _tell_moved(self) -> None:
         for pool in list(self._told):
-            home = self._home(pool)
-            if home is not None and home != self._told[pool]:
-                self._tell(pool, home)
+            owner = self._find_owner(pool)
+            if owner is not None and owner != self._told[pool]:
+                self._tell(pool, owner)
 
     def find_missing(
         self, pool: str, work_ids: Iterable[RequestId]
@@ -287,14 +289,14 @@
         asked = expect(message, AskHeld)
         return HeldReply(missing=self.find_missing(asked.pool, asked.work_ids))
 
-    def _tell(self, pool: str, home: InstanceId) -> None:
+    def _tell(self, pool: str, owner: InstanceId) -> None:
         held = tuple(self._held.get(pool, {}).values())
-        self._told[pool] = home
+        self._told[pool] = owner
         message = HeldPermits(pool=pool, held=held)
-        if home == self._me:
-            self._homes.take_held(self._me, message)
+        if owner == self._me:
+            self._queue_owner.take_held(self._me, message)
         else:
-            self._runtime.bus.send(home, message)
+            self._runtime.bus.send(owner, message)
         if not held:
             self._told.pop(pool)
 
--- a/guavagate/permits/_directory.py
+++ b/guavagate/permits/_directory.py
@@ -107,7 +107,7 @@
     return pools
 
 
-def find_home(key: str, alive: list[PeerSettings]) -> InstanceId | None:
+def find_queue_owner(key: str, alive: list[PeerSettings]) -> InstanceId | None:
     """Return the home of a pool among the usable instances.
 
     Rendezvous hashing: when an instance goes, only its own pools move. Two
--- a/guavagate/permits/_home.py
+++ b/guavagate/permits/_queue_owner.py
@@ -33,7 +33,7 @@
     describe_refusal,
     record,
 )
-from guavagate.permits._directory import PoolSpec, find_home, list_pools
+from guavagate.permits._directory import PoolSpec, find_queue_owner, list_pools
 from guavagate.permits._messages import (
     AskPermit,
     HeldPermits,
@@ -67,7 +67,7 @@
 POOL_SAFEGUARDS: Final = ALL_SAFEGUARDS - {Safeguard.HEDGING}
 
 
-class PoolHomes:
+class QueueOwner:
     """All pools that this instance is home to."""
 
     def __init__(self, runtime: Runtime) -> None:
@@ -110,12 +110,15 @@
         alive = self._runtime.members.alive()
         for key in list(self._owned):
             spec = self._specs.get(key)
-            if spec is None or find_home(key, alive) != self._me:
+            if spec is None or find_queue_owner(key, alive) != self._me:
                 self._give_up(key)
             else:
                 self._declare(self._owned[key], spec)
         for key, spec in self._specs.items():
-            if key not in self._owned and find_home(key, alive) == self._me:
+            if (
+                key not in self._owned
+                and find_queue_owner(key, alive) == self._me
+            ):
                 self._take_over(spec)
         self._forget_dead()
 
--- a/guavagate/permits/_reports.py
+++ b/guavagate/permits/_reports.py
@@ -9,8 +9,8 @@
 from guavagate.exceptions import UpstreamError
 from guavagate.models import SamplerId, WeightVersion
 from guavagate.permits._directory import PoolMember
-from guavagate.permits._home import PoolHomes
 from guavagate.permits._owned import OwnedPool
+from guavagate.permits._queue_owner import QueueOwner
 from guavagate.ports.engine import EngineReport, ModelEngine
 from guavagate.ports.plain_service import PlainService
 from guavagate.runtime import Runtime
@@ -33,12 +33,12 @@
     def __init__(
         self,
         runtime: Runtime,
-        homes: PoolHomes,
+        queue_owner: QueueOwner,
         engine: ModelEngine,
         service: PlainService,
     ) -> None:
         self._runtime = runtime
-        self._homes = homes
+        self._queue_owner = queue_owner
         self._engine = engine
         self._service = service
         self._missed: dict[str, int] = {}
@@ -54,7 +54,7 @@
 
     def _poll(self) -> None:
         while True:
-            for owned in self._homes.owned():
+            for owned in self._queue_owner.owned():
                 for member in owned.spec.members:
                     self._runtime.clock.spawn(self._read, owned, member)
             self._runtime.clock.sleep(REPORT_SECONDS)
@@ -69,9 +69,9 @@
         self._reports[member.id] = report
         sampler = SamplerId(member.id)
         if report.leaving:
-            self._homes.mark_leaving(owned, sampler)
+            self._queue_owner.mark_leaving(owned, sampler)
         else:
-            self._homes.mark_serving(owned, sampler)
+            self._queue_owner.mark_serving(owned, sampler)
         owned.pool.report(
             sampler,
             SamplerReport(
@@ -82,7 +82,7 @@
             ),
             self._runtime.clock.now(),
         )
-        self._homes.move(owned)
+        self._queue_owner.move(owned)
 
     def _fetch(self, owned: OwnedPool, member: PoolMember) -> EngineReport:
         if owned.spec.deployment is not None:
--- a/guavagate/permits/_service.py
+++ b/guavagate/permits/_service.py
@@ -2,7 +2,6 @@
 
 from guavagate.links import Message, expect
 from guavagate.models import InstanceId
-from guavagate.permits._home import PoolHomes
 from guavagate.permits._messages import (
     AskPermit,
     HeldPermits,
@@ -10,27 +9,28 @@
     ReportSlow,
     WithdrawWork,
 )
+from guavagate.permits._queue_owner import QueueOwner
 from guavagate.runtime import Runtime
 
 
-def serve_homes(runtime: Runtime, homes: PoolHomes) -> None:
-    """Register the handlers of all messages to homes."""
+def serve_queue_owner(runtime: Runtime, queue_owner: QueueOwner) -> None:
+    """Register the handlers of messages to a queue owner."""
 
     def ask(sender: InstanceId, message: Message) -> Message:
-        return homes.ask(sender, expect(message, AskPermit))
+        return queue_owner.ask(sender, expect(message, AskPermit))
 
     def release(sender: InstanceId, message: Message) -> None:
-        homes.release(sender, expect(message, ReleasePermit))
+        queue_owner.release(sender, expect(message, ReleasePermit))
 
     def withdraw(sender: InstanceId, message: Message) -> None:
         withdrawal = expect(message, WithdrawWork)
-        homes.withdraw(sender, withdrawal.pool, withdrawal.work_id)
+        queue_owner.withdraw(sender, withdrawal.pool, withdrawal.work_id)
 
     def take_held(sender: InstanceId, message: Message) -> None:
-        homes.take_held(sender, expect(message, HeldPermits))
+        queue_owner.take_held(sender, expect(message, HeldPermits))
 
     def take_slow(sender: InstanceId, message: Message) -> None:
-        homes.take_slow(expect(message, ReportSlow))
+        queue_owner.take_slow(expect(message, ReportSlow))
 
     runtime.bus.register(AskPermit, ask)
     runtime.bus.register(ReportSlow, take_slow)
--- a/guavagate/reports.py
+++ b/guavagate/reports.py
@@ -54,7 +54,7 @@
 
     def describe_instance(self) -> InstanceReport:
         """Return this instance: state, load, roles and repairs."""
-        pools = self._instance.homes.owned()
+        pools = self._instance.queue_owner.owned()
         reasons = self._instance.readiness.reasons()
         return InstanceReport(
             instance=self._me,
@@ -73,7 +73,7 @@
         """Return the samplers whose home is here."""
         return [
             report
-            for owned in self._instance.homes.owned()
+            for owned in self._instance.queue_owner.owned()
             for report in self._list_pool(owned)
         ]
 
@@ -108,7 +108,7 @@
         metrics.set_gauge(names.PARTITIONS_LED, float(led))
         metrics.clear(names.QUEUED)
         metrics.clear(names.RUNNING)
-        for owned in self._instance.homes.owned():
+        for owned in self._instance.queue_owner.owned():
             pool = owned.spec.key
             metrics.set_gauge(names.QUEUED, len(owned.seats), pool=pool)
             metrics.set_gauge(names.RUNNING, len(owned.granted), pool=pool)
--- a/guavagate/runs/_worker.py
+++ b/guavagate/runs/_worker.py
@@ -29,8 +29,8 @@
     AnswerSource,
     PermitClient,
     PoolChooser,
-    PoolHomes,
     Progress,
+    QueueOwner,
     estimate_tokens,
     hash_prefixes,
 )
@@ -71,7 +71,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        homes: PoolHomes,
+        queue_owner: QueueOwner,
         permits: PermitClient,
         chooser: PoolChooser,
         engine: ModelEngine,
@@ -79,7 +79,7 @@
         runs: RunsClient,
     ) -> None:
         self._runtime = runtime
-        self._homes = homes
+        self._queue_owner = queue_owner
         self._permits = permits
         self._chooser = chooser
         self._engine = engine
@@ -220,7 +220,7 @@
         work: Work,
     ) -> Progress:
         pool = self._chooser.choose(
-            self._homes.specs(), order.team, deployment.id, work
+            self._queue_owner.specs(), order.team, deployment.id, work
         )
         source = AnswerSource(
             client=self._permits,
--- a/tests/permits/test_homes.py
+++ b/tests/permits/test_queue_owner.py
@@ -17,11 +17,11 @@
 from guavagate.permits import (
     Permit,
     PermitClient,
-    PoolHomes,
+    QueueOwner,
     Release,
     ReleasePermit,
-    find_home,
-    serve_homes,
+    find_queue_owner,
+    serve_queue_owner,
 )
 from guavagate.runtime import Runtime
 from guavagate.settings import parse_team_settings
@@ -46,7 +46,7 @@
         self.world = World(1)
         self.clock = self.world.clock
         self.clients: dict[str, PermitClient] = {}
-        self.homes: dict[str, PoolHomes] = {}
+        self.queue_owners: dict[str, QueueOwner] = {}
         for name in 'abc':
             self.world.add(name)
         for name in 'abc':
@@ -65,20 +65,20 @@
             partitions=LocalPartitions({}),
             decisions=NoDecisions(),
         )
-        self.homes[name] = PoolHomes(runtime)
-        serve_homes(runtime, self.homes[name])
-        self.clients[name] = PermitClient(runtime, self.homes[name])
-        self.homes[name].start()
+        self.queue_owners[name] = QueueOwner(runtime)
+        serve_queue_owner(runtime, self.queue_owners[name])
+        self.clients[name] = PermitClient(runtime, self.queue_owners[name])
+        self.queue_owners[name].start()
         self.clients[name].start()
 
-    def home(self) -> str:
+    def owner(self) -> str:
         """Return the pool's home."""
         alive = self.world.members[InstanceId('a')].alive()
-        return str(find_home(_POOL, alive))
+        return str(find_queue_owner(_POOL, alive))
 
     def others(self) -> list[str]:
         """Return the instances that are not the home."""
-        return [name for name in 'abc' if name != self.home()]
+        return [name for name in 'abc' if name != self.owner()]
 
     def ask(self, name: str, request: str, seconds: float = 60) -> Task:
         """Ask for a permit in a task of its instance."""
@@ -101,7 +101,7 @@
 
     def running(self, name: str) -> int:
         """Return how much the home on an instance counts as running."""
-        return sum(one.pool.running for one in self.homes[name].owned())
+        return sum(one.pool.running for one in self.queue_owners[name].owned())
 
 
 def test_no_more_run_than_the_upstream_has_slots() -> None:
@@ -124,15 +124,15 @@
     permit only when one of the two has ended.
     """
     entries = Entries()
-    home, (one, two) = entries.home(), entries.others()
+    owner, (one, two) = entries.owner(), entries.others()
     held = entries.get(one, 'r1')
     entries.get(two, 'r2')
     waiting = entries.ask(one, 'r3')
     entries.clock.advance(1)
-    entries.world.kill(home)
+    entries.world.kill(owner)
     entries.clock.advance(8)
     successor = str(
-        find_home(_POOL, entries.world.members[InstanceId(one)].alive())
+        find_queue_owner(_POOL, entries.world.members[InstanceId(one)].alive())
     )
     assert entries.running(successor) == 2
     assert not waiting.ready()
@@ -148,15 +148,15 @@
     piece of work; it waits half a second, hears of two, and queues the third.
     """
     entries = Entries()
-    home, names = entries.home(), entries.others()
+    owner, names = entries.owner(), entries.others()
     peers = entries.world.peers
     rest = [peers[InstanceId(name)] for name in names]
-    successor = str(find_home(_POOL, rest))
+    successor = str(find_queue_owner(_POOL, rest))
     holder = next(name for name in names if name != successor)
     entries.get(holder, 'r1')
     entries.get(holder, 'r2')
-    entries.world.hosts[InstanceId(home)].kill()
-    gone = peers[InstanceId(home)]
+    entries.world.hosts[InstanceId(owner)].kill()
+    gone = peers[InstanceId(owner)]
     members = entries.world.members
     members[InstanceId(successor)].update(gone, alive=False)
     waiting = entries.ask(successor, 'r3')
@@ -186,14 +186,14 @@
     The home asks about permits that are old and frees what is not held.
     """
     entries = Entries()
-    home, (one, _) = entries.home(), entries.others()
+    owner, (one, _) = entries.owner(), entries.others()
     permit = entries.get(one, 'r1')
     entries.get(one, 'r2')
     entries.clients[one].drop(permit)
     entries.clock.advance(10)
-    assert entries.running(home) == 2
+    assert entries.running(owner) == 2
     entries.clock.advance(15)
-    assert entries.running(home) == 1
+    assert entries.running(owner) == 1
 
 
 def test_a_request_that_can_not_be_in_time_is_refused_in_time() -> None:
@@ -213,14 +213,14 @@
 def test_an_upstream_that_leaves_gets_nothing_more() -> None:
     """Its refusal is heard by the home at once; other work is refused."""
     entries = Entries()
-    home, (one, two) = entries.home(), entries.others()
+    owner, (one, two) = entries.owner(), entries.others()
     permit = entries.get(one, 'r1')
     entries.clients[one].release(permit, Release.LEAVING)
     entries.clock.advance(1)
     task = entries.ask(two, 'r2', seconds=4)
     entries.clock.run_until(task.ready, 10)
     assert isinstance(task.exception, RefusalError)
-    assert not entries.running(home)
+    assert not entries.running(owner)
 
 
 def test_a_report_from_before_the_refusal_brings_no_work_back() -> None:
@@ -230,16 +230,16 @@
     again only when it has said so for longer than reports lag.
     """
     entries = Entries()
-    home = entries.home()
+    owner = entries.owner()
     permit = entries.get(entries.others()[0], 'r1')
     entries.clients[entries.others()[0]].release(permit, Release.LEAVING)
     entries.clock.advance(1)
-    homes = entries.homes[home]
-    owned = homes.owned()[0]
-    homes.mark_serving(owned, SamplerId('desk'))
+    queue_owner = entries.queue_owners[owner]
+    owned = queue_owner.owned()[0]
+    queue_owner.mark_serving(owned, SamplerId('desk'))
     assert not owned.pool.slots
     entries.clock.advance(10)
-    homes.mark_serving(owned, SamplerId('desk'))
+    queue_owner.mark_serving(owned, SamplerId('desk'))
     assert owned.pool.slots == 2
 
 
@@ -249,13 +249,13 @@
     one = entries.others()[0]
     permit = entries.get(one, 'r1')
     assert entries.get(one, 'r1') == permit
-    home = entries.home()
-    assert entries.running(home) == 1
+    owner = entries.owner()
+    assert entries.running(owner) == 1
     late = ReleasePermit(
         pool=_POOL,
         work_id=RequestId('other'),
         upstream=permit.upstream,
         ended=Release.DONE,
     )
-    entries.homes[home].release(InstanceId(one), late)
-    assert entries.running(home) == 1
+    entries.queue_owners[owner].release(InstanceId(one), late)
+    assert entries.running(owner) == 1
