--- a/guavagate/feeds/_feed.py
+++ b/guavagate/feeds/_feed.py
@@ -25,7 +25,7 @@
 from guavagate.feeds._proof import Proof
 from guavagate.feeds._relays import (
     STALE_SECONDS,
-    STAND_INS,
+    STANDBY_COUNT,
     is_due,
     rank_relays,
 )
@@ -88,7 +88,7 @@
         An object that is read besides, again and again, by whoever watches
         for itself; empty for none. A watch may hear nothing of a change for a
         while, when the store drops its history; a read never does.
-    may_stand_in
+    may_be_standby
         Whether this instance may relay for others without being the first in
         rank. One that works on jobs may not: cut off from the store and the
         first relay it would open a link to each instance and tell it all, at
@@ -117,7 +117,7 @@
         first_start: bool = True,
         proving: str = '',
         proving_path: str = '',
-        may_stand_in: Callable[[], bool] = _always,
+        may_be_standby: Callable[[], bool] = _always,
         boot_clock: Callable[[], float] = read_boot_clock,
     ) -> None:
         self._proving = proving
@@ -132,7 +132,7 @@
         self._prefixes = prefixes
         self._lapsing = lapsing
         self._boot_of = boot_of
-        self._may_stand_in = may_stand_in
+        self._may_be_standby = may_be_standby
         self._table = FeedTable()
         self._table.changed = self._tell_change
         self._boot = secrets.randbits(62)
@@ -185,7 +185,7 @@
     def _join(self) -> None:
         """Read all from a relay, if one is there."""
         while not (self.loaded or self._mirrors):
-            first = self._rank()[: STAND_INS + 1]
+            first = self._rank()[: STANDBY_COUNT + 1]
             for relay in first:
                 if relay != self._me and not self.loaded:
                     self._follower.read_copy(relay)
@@ -206,8 +206,8 @@
         elif self._is_followed(ranked[:rank]):
             self._stop_watching()
         elif not self._mirrors and self._has_to_ask(rank):
-            able = rank <= STAND_INS and self.loaded
-            self._watch_directly(relaying=able and self._may_stand_in())
+            able = rank <= STANDBY_COUNT and self.loaded
+            self._watch_directly(relaying=able and self._may_be_standby())
 
     def _note_mirror_loaded(self) -> None:
         """Be loaded as soon as the last mirror is.
--- a/guavagate/feeds/_relays.py
+++ b/guavagate/feeds/_relays.py
@@ -25,7 +25,7 @@
 NEXT_SILENT_SECONDS: Final = 1.2
 # How many step in when the relay and the first stand-in do not help; what turns
 # single machines away leaves some of these a way.
-STAND_INS: Final = 5
+STANDBY_COUNT: Final = 5
 
 
 def rank_relays(
@@ -66,7 +66,7 @@
     """
     if rank == 0:
         return True
-    if rank > STAND_INS:
+    if rank > STANDBY_COUNT:
         return silence >= STALE_SECONDS
     patience = SILENT_SECONDS if rank == 1 else NEXT_SILENT_SECONDS
     return silence >= patience or age >= STALE_SECONDS
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -207,7 +207,7 @@
             first_start=self._settings.bootstrap,
             proving=const.CONFIG,
             proving_path=self._settings.bounds.find_proof(),
-            may_stand_in=lambda: not self._services.active,
+            may_be_standby=lambda: not self._services.active,
         )
         feed.handle(const.CONFIG, self._put_config, None)
         feed.handle(const.SERVERS, self._put_server, self._drop_server)
--- a/standins/_safeguard_jobs.py
+++ b/standins/_safeguard_jobs.py
@@ -78,7 +78,7 @@
     Safeguard(
         'one that works on jobs does not stand in as a relay',
         'guavagate/feeds/_feed.py',
-        'relaying=able and self._may_stand_in()',
+        'relaying=able and self._may_be_standby()',
         'relaying=able',
         'tests/feeds/test_feed.py',
     ),
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -282,8 +282,8 @@
     Safeguard(
         'few ask while the store is away',
         'guavagate/feeds/_relays.py',
-        'STAND_INS: Final = 5',
-        'STAND_INS: Final = 99',
+        'STANDBY_COUNT: Final = 5',
+        'STANDBY_COUNT: Final = 99',
         'tests/feeds',
     ),
     Safeguard(
--- a/tests/feeds/fleet.py
+++ b/tests/feeds/fleet.py
@@ -89,7 +89,7 @@
             first_start=first,
             proving='config',
             proving_path=self.proving_path,
-            may_stand_in=lambda: name not in self.working,
+            may_be_standby=lambda: name not in self.working,
             boot_clock=self.clock.now,
         )
         feed.handle('config', put, None)
