--- a/guavagate/feeds/_feed.py
+++ b/guavagate/feeds/_feed.py
@@ -270,7 +270,7 @@
                 settles=not relaying,
                 held=self._table.versions(prefix),
                 loaded=self._note_mirror_loaded,
-                proved=self.proof.note_own if proves else None,
+                proved=self.proof.record_own if proves else None,
                 watch_proves=not self._proving_path,
                 boot_clock=self._boot_clock,
             )
@@ -295,7 +295,7 @@
             return
         if stored is not None:
             self._take_stored(stored.path, stored)
-        self.proof.note_own(asked_at)
+        self.proof.record_own(asked_at)
 
     def _stop_watching(self) -> None:
         if not self._mirrors:
@@ -311,7 +311,7 @@
         self._table.remove(f'{prefix}/{name}')
 
     def _take_stored(self, name: str, stored: StoredObject) -> None:
-        self._table.take(
+        self._table.apply(
             FeedEntry(
                 path=stored.path, version=stored.version, value=stored.value
             )
--- a/guavagate/feeds/_follower.py
+++ b/guavagate/feeds/_follower.py
@@ -105,9 +105,9 @@
             _LOGGER.debug('%s was not read: %s', sender, error)
             self._relays.pop(sender)
             return
-        self._table.take_all(entries, copy.revision)
+        self._table.apply_snapshot(entries, copy.revision)
         self._proof.compare(copy.boot, asked_at, copy.clock)
-        self._proof.note_told(copy.boot, copy.proved_at, copy.clock)
+        self._proof.record_relayed(copy.boot, copy.proved_at, copy.clock)
         self._relays[sender] = _Relay(
             copy.boot, copy.number, self._clock.now(), copy.age
         )
@@ -146,7 +146,7 @@
             return  # The next beat has the whole copy read.
         if change.number == relay.number + 1:
             relay.number = change.number
-        self._table.take(change.entry)
+        self._table.apply(change.entry)
 
     def _on_beat(self, sender: InstanceId, message: Message) -> None:
         beat = expect(message, FeedBeat)
@@ -156,7 +156,7 @@
         if relay is not None and known and relay.number >= beat.number:
             relay.heard_at = self._clock.now()
             relay.age = beat.age
-            self._proof.note_told(beat.boot, beat.proved_at, beat.clock)
+            self._proof.record_relayed(beat.boot, beat.proved_at, beat.clock)
             return
         if relay is None or not relay.reading:
             self.read_copy(sender)
--- a/guavagate/feeds/_proof.py
+++ b/guavagate/feeds/_proof.py
@@ -34,7 +34,7 @@
             return math.inf
         return max(self._now() - self.at, 0)
 
-    def doubt(self) -> None:
+    def invalidate(self) -> None:
         """Take what is held for old, however new the news is.
 
         A newest configuration that can not be read here leaves an older one
@@ -42,11 +42,11 @@
         """
         self._void = True
 
-    def trust(self) -> None:
+    def restore(self) -> None:
         """Take what is held for as new as the news is."""
         self._void = False
 
-    def note_own(self, at: float) -> None:
+    def record_own(self, at: float) -> None:
         """Take in what this instance has found out by itself."""
         if self.at is None or at > self.at:
             self.at = at
@@ -64,7 +64,7 @@
         if clock is not None:
             self._offsets[boot] = asked_at - clock
 
-    def note_told(
+    def record_relayed(
         self, boot: int, proved_at: float | None, clock: float | None
     ) -> None:
         """Take in a relay's proof, where all that it holds is held here.
@@ -77,4 +77,4 @@
             return
         offset = min(offset, self._now() - clock)
         self._offsets[boot] = offset
-        self.note_own(proved_at + offset)
+        self.record_own(proved_at + offset)
--- a/guavagate/feeds/_table.py
+++ b/guavagate/feeds/_table.py
@@ -54,7 +54,7 @@
             if _find_prefix(path) == prefix
         }
 
-    def take(self, entry: FeedEntry) -> None:
+    def apply(self, entry: FeedEntry) -> None:
         """Take in what was told of an object."""
         if entry.value is None:
             self.remove(entry.path)
@@ -101,14 +101,16 @@
             remove(path.partition('/')[2])
         self.changed(FeedEntry(path=path, version=held.version))
 
-    def take_all(self, entries: list[FeedEntry], revision: Revision) -> None:
+    def apply_snapshot(
+        self, entries: list[FeedEntry], revision: Revision
+    ) -> None:
         """Take in a copy that is complete up to a revision of the store."""
         present = {each.path for each in entries}
         for path, held in list(self._held.items()):
             if path not in present and held.version <= revision:
                 self.remove(path)
         for entry in entries:
-            self.take(entry)
+            self.apply(entry)
 
 
 def _find_prefix(path: str) -> str:
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -310,9 +310,9 @@
         if stored.path != const.CONFIG_PATH:
             return
         # Until it is read: an older one stays in force if it can not be.
-        self._feed.proof.doubt()
+        self._feed.proof.invalidate()
         self._routes.apply(decode_manifest(stored.value))
-        self._feed.proof.trust()
+        self._feed.proof.restore()
         self._services.refresh()
 
     def _put_server(self, stored: StoredObject) -> None:
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -29,8 +29,8 @@
     Safeguard(
         'a relay tells its proof as a moment of its own clock',
         'guavagate/feeds/_proof.py',
-        '        self.note_own(proved_at + offset)\n',
-        '        self.note_own(self._now() - (clock - proved_at))\n',
+        '        self.record_own(proved_at + offset)\n',
+        '        self.record_own(self._now() - (clock - proved_at))\n',
         'tests/feeds/test_proof.py',
     ),
     Safeguard(
--- a/tests/feeds/test_feed.py
+++ b/tests/feeds/test_feed.py
@@ -184,12 +184,12 @@
         lambda name: held.clear(),
     )
     entry = FeedEntry(path='servers/x', version=Revision(3), value=b'1')
-    table.take(entry)
-    table.take(FeedEntry(path='servers/x', version=Revision(3)))
-    table.take(entry)
+    table.apply(entry)
+    table.apply(FeedEntry(path='servers/x', version=Revision(3)))
+    table.apply(entry)
     assert not held
-    table.take_all([], Revision(9))
-    table.take(FeedEntry(path='servers/x', version=Revision(10), value=b'2'))
+    table.apply_snapshot([], Revision(9))
+    table.apply(FeedEntry(path='servers/x', version=Revision(10), value=b'2'))
     assert held
 
 
--- a/tests/feeds/test_packing.py
+++ b/tests/feeds/test_packing.py
@@ -37,7 +37,7 @@
 def _take(table: FeedTable, number: int, version: int) -> None:
     drawn = random.Random(number)
     address = (drawn.randrange(256), drawn.randrange(256))
-    table.take(
+    table.apply(
         FeedEntry(
             path=_find_path(number),
             version=Revision(version),
--- a/tests/feeds/test_proof.py
+++ b/tests/feeds/test_proof.py
@@ -44,7 +44,7 @@
         held.compare(way, back)
         proved_at, true_then = held.read_there(), held.true
         held.true += 1
-        held.proof.note_told(1, proved_at, held.read_there())
+        held.proof.record_relayed(1, proved_at, held.read_there())
         truly = held.true - true_then
         assert truly - 1e-9 <= held.proof.age() <= truly + way + back
 
@@ -55,7 +55,7 @@
     held.compare()
     proved_at, sent_at = held.read_there(), held.read_there()
     held.true += 30
-    held.proof.note_told(1, proved_at, sent_at)
+    held.proof.record_relayed(1, proved_at, sent_at)
     assert held.proof.age() >= 30
 
 
@@ -63,7 +63,7 @@
     """Also one that has started again: its clock is another one."""
     held = _Machines()
     held.compare()
-    held.proof.note_told(2, held.read_there(), held.read_there())
+    held.proof.record_relayed(2, held.read_there(), held.read_there())
     assert held.proof.age() == math.inf
 
 
@@ -73,7 +73,7 @@
     held.compare()
     held.rate = 1 + 1 / 1200
     held.true += 2400
-    held.proof.note_told(1, held.read_there(), held.read_there())
+    held.proof.record_relayed(1, held.read_there(), held.read_there())
     assert held.proof.age() == pytest.approx(0, abs=0.01)
     held.true += 3
     assert held.proof.age() == pytest.approx(3, abs=0.02)
@@ -82,16 +82,16 @@
 def test_older_news_does_not_replace_newer() -> None:
     """Two relays tell; the one that is cut off tells old proofs."""
     held = _Machines()
-    held.proof.note_own(held.read_here())
-    held.proof.note_own(held.read_here() - 3)
+    held.proof.record_own(held.read_here())
+    held.proof.record_own(held.read_here() - 3)
     assert held.proof.age() == 0
 
 
 def test_a_configuration_that_can_not_be_read_leaves_no_proof() -> None:
     """The one in force is an older one, however new the news is."""
     held = _Machines()
-    held.proof.note_own(held.read_here())
-    held.proof.doubt()
+    held.proof.record_own(held.read_here())
+    held.proof.invalidate()
     assert held.proof.age() == math.inf
-    held.proof.trust()
+    held.proof.restore()
     assert held.proof.age() == 0
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -149,18 +149,18 @@
         _entry('c', good, 3),
     ]
     with caplog.at_level(logging.INFO):
-        table.take_all(
+        table.apply_snapshot(
             entries,
             Revision(3),
         )
         for version in range(4, 30):
-            table.take(_entry('b', b'"\xff', version))
+            table.apply(_entry('b', b'"\xff', version))
     assert sorted(each.id for each in upstreams.all()) == ['a', 'c']
     assert (
         sum('can not be read' in each.message for each in caplog.records) == 1
     )
     assert len(told) == 29
-    table.take(_entry('c', b'{}', 30))
+    table.apply(_entry('c', b'{}', 30))
     assert [each.id for each in upstreams.all()] == ['a']
 
 
