--- a/guavagate/instance.py
+++ b/guavagate/instance.py
@@ -97,7 +97,7 @@
     def _wait_finished(self) -> None:
         """Wait for the answers and samples held, and what they need."""
         self.active.wait_idle()
-        while self.worker.count() or self.permits.held_count():
+        while self.worker.count() or self.permits.count_permits():
             self.runtime.clock.sleep(FINISH_PAUSE)
 
     def _make_app(self) -> falcon.App:
--- a/guavagate/permits/__init__.py
+++ b/guavagate/permits/__init__.py
@@ -16,7 +16,7 @@
     AnswerSource,
     describe_failure,
     exhaust,
-    run_copy,
+    run_speculatively,
     stream_answer,
 )
 from guavagate.permits._messages import (
@@ -58,7 +58,7 @@
     'find_queue_owner',
     'hash_prefixes',
     'list_pools',
-    'run_copy',
+    'run_speculatively',
     'serve_queue_owner',
     'stream_answer',
 )
--- a/guavagate/permits/_choice.py
+++ b/guavagate/permits/_choice.py
@@ -41,7 +41,7 @@
         self._runtime = runtime
         self._views: dict[str, PoolView] = {}
 
-    def learn(self, pool: str, load: float) -> None:
+    def update_load(self, pool: str, load: float) -> None:
         """Take in the load that a home's answer carries."""
         view = self._views.get(pool)
         if view is not None:
--- a/guavagate/permits/_client.py
+++ b/guavagate/permits/_client.py
@@ -62,8 +62,8 @@
         self._me = runtime.settings.id
         self._held: dict[str, dict[RequestId, HeldPermit]] = {}
         self._told: dict[str, InstanceId] = {}
-        self._copiers: dict[RequestId, Callable[[Permit], None]] = {}
-        queue_owner.serve_own_entry(self._take_copy, self.find_missing)
+        self._run_starters: dict[RequestId, Callable[[Permit], None]] = {}
+        queue_owner.connect_local_entry(self._take_copy, self.find_missing)
         runtime.bus.register(AskHeld, self._on_ask_held)
         runtime.bus.register(RunCopy, self._on_copy)
 
@@ -75,7 +75,7 @@
         """Return the runtime's time."""
         return self._runtime.clock.now()
 
-    def held_count(self) -> int:
+    def count_permits(self) -> int:
         """Return how many permits are held."""
         return sum(len(held) for held in self._held.values())
 
@@ -117,17 +117,17 @@
             if reply.permit is not None:
                 return self._hold(work, reply.permit)
 
-    def allow_copies(
+    def accept_speculative_runs(
         self, work_id: RequestId, take: Callable[[Permit], None]
     ) -> None:
         """Have second copies of some work offered; `take` must not block."""
-        self._copiers[work_id] = take
+        self._run_starters[work_id] = take
 
-    def forbid_copies(self, work_id: RequestId) -> None:
+    def decline_speculative_runs(self, work_id: RequestId) -> None:
         """Decline further copies of some work."""
-        self._copiers.pop(work_id, None)
+        self._run_starters.pop(work_id, None)
 
-    def end_copy(
+    def end_speculative_run(
         self, permit: Permit, *, tokens: int = 0, seconds: float = 0
     ) -> None:
         """Give a copy's permit back; without tokens it has failed."""
@@ -181,7 +181,7 @@
         )
         owner = self._find_owner(permit.pool)
         if owner == self._me:
-            self._queue_owner.take_slow(report)
+            self._queue_owner.record_slow_stream(report)
         elif owner is not None:
             self._runtime.bus.send(owner, report)
 
@@ -193,7 +193,7 @@
             self._runtime.bus.send(owner, message)
 
     def _take_copy(self, permit: Permit) -> None:
-        take = self._copiers.get(permit.work_id, self.end_copy)
+        take = self._run_starters.get(permit.work_id, self.end_speculative_run)
         take(permit)
 
     def _on_copy(self, sender: InstanceId, message: Message) -> None:
@@ -223,7 +223,7 @@
         if owner is None:
             return None
         if owner == self._me:
-            return self._queue_owner.ask(self._me, ask)
+            return self._queue_owner.request(self._me, ask)
         try:
             return self._runtime.bus.request(
                 owner, ask, PermitReply, wait + LINK_MARGIN
@@ -294,7 +294,7 @@
         self._told[pool] = owner
         message = HeldPermits(pool=pool, held=held)
         if owner == self._me:
-            self._queue_owner.take_held(self._me, message)
+            self._queue_owner.adopt_permits(self._me, message)
         else:
             self._runtime.bus.send(owner, message)
         if not held:
--- a/guavagate/permits/_generate.py
+++ b/guavagate/permits/_generate.py
@@ -82,7 +82,7 @@
         return
 
 
-def run_copy(
+def run_speculatively(
     source: AnswerSource, permit: Permit, generation: Generation
 ) -> Progress:
     """Generate a second copy of some work, from its start.
@@ -104,10 +104,12 @@
         for piece in pieces:
             add_piece(progress, piece, permit.upstream)
     except UpstreamError:
-        source.client.end_copy(permit)
+        source.client.end_speculative_run(permit)
         raise
     seconds = source.client.now() - begun
-    source.client.end_copy(permit, tokens=progress.tokens, seconds=seconds)
+    source.client.end_speculative_run(
+        permit, tokens=progress.tokens, seconds=seconds
+    )
     return progress
 
 
--- a/guavagate/permits/_owned.py
+++ b/guavagate/permits/_owned.py
@@ -18,16 +18,16 @@
 # A release whose message was lost leaves a slot taken. Permits this old are
 # asked about, and again after as long: asking for each at once would cost an
 # entry with 330 permits 24 KB/s, of a budget of 8.
-ASK_AFTER_SECONDS: Final = 15.0
+CHECK_AFTER_SECONDS: Final = 15.0
 
 
-class Seat(msgspec.Struct, kw_only=True):
+class QueuedWork(msgspec.Struct, kw_only=True):
     """One piece of queued work and the answer that its entry waits for."""
 
     entry: InstanceId
     work: Work
     answer: AsyncResult
-    asked_at: float
+    last_request_at: float
 
 
 class Grant(msgspec.Struct, frozen=True, kw_only=True):
@@ -44,23 +44,27 @@
     spec: PoolSpec
     pool: Pool
     grants_from: float
-    seats: dict[RequestId, Seat] = msgspec.field(default_factory=dict)
+    queued: dict[RequestId, QueuedWork] = msgspec.field(default_factory=dict)
     granted: dict[RequestId, Grant] = msgspec.field(default_factory=dict)
-    asked_at: float = float('-inf')
+    last_check_at: float = float('-inf')
     leaving: dict[SamplerId, float] = msgspec.field(default_factory=dict)
 
-    def localise(self, ask: AskPermit, now: float) -> Work:
+    def localise_deadline(self, ask: AskPermit, now: float) -> Work:
         """Return the asked work with its deadline on this clock."""
         deadline = now + ask.remaining if ask.remaining else math.inf
         return msgspec.structs.replace(ask.work, deadline=deadline)
 
     def grant(
-        self, seat: Seat, sampler: SamplerId, now: float, pace: float = 0
+        self,
+        queued: QueuedWork,
+        sampler: SamplerId,
+        now: float,
+        pace: float = 0,
     ) -> Permit:
-        """Enter a permit for a seat's work."""
-        permit = self.make_permit(seat.work.id, sampler, pace)
-        self.granted[seat.work.id] = Grant(
-            entry=seat.entry, permit=permit, at=now
+        """Enter a permit for a queued's work."""
+        permit = self.make_permit(queued.work.id, sampler, pace)
+        self.granted[queued.work.id] = Grant(
+            entry=queued.entry, permit=permit, at=now
         )
         return permit
 
@@ -83,41 +87,44 @@
         """Count a permit that the pool's former home gave out."""
         sampler = SamplerId(held.upstream)
         self.pool.adopt(held.work, sampler, now)
-        seat = Seat(
-            entry=entry, work=held.work, answer=AsyncResult(), asked_at=now
+        queued = QueuedWork(
+            entry=entry,
+            work=held.work,
+            answer=AsyncResult(),
+            last_request_at=now,
         )
-        self.grant(seat, sampler, now)
+        self.grant(queued, sampler, now)
 
-    def list_old(self, now: float) -> dict[InstanceId, tuple[RequestId, ...]]:
+    def list_stale(self, now: float) -> dict[InstanceId, tuple[RequestId, ...]]:
         """Return permits to ask their entries about, by entry."""
         old: dict[InstanceId, list[RequestId]] = {}
         for work_id, grant in self.granted.items():
-            if now - max(grant.at, self.asked_at) > ASK_AFTER_SECONDS:
+            if now - max(grant.at, self.last_check_at) > CHECK_AFTER_SECONDS:
                 old.setdefault(grant.entry, []).append(work_id)
         if old:
-            self.asked_at = now
+            self.last_check_at = now
         return {entry: tuple(ids) for entry, ids in old.items()}
 
-    def of_dead(
+    def list_orphaned(
         self, is_there: Callable[[InstanceId], bool]
     ) -> list[RequestId]:
         """Return the work of entries that are gone."""
-        seats = [
+        queued = [
             work_id
-            for work_id, seat in self.seats.items()
-            if not is_there(seat.entry)
+            for work_id, queued in self.queued.items()
+            if not is_there(queued.entry)
         ]
         grants = [
             work_id
             for work_id, grant in self.granted.items()
             if not is_there(grant.entry)
         ]
-        return seats + grants
+        return queued + grants
 
-    def abandoned(self, now: float) -> list[RequestId]:
+    def list_abandoned(self, now: float) -> list[RequestId]:
         """Return queued work that its entry no longer asks for."""
         return [
             work_id
-            for work_id, seat in self.seats.items()
-            if now - seat.asked_at > ABANDONED_SECONDS
+            for work_id, queued in self.queued.items()
+            if now - queued.last_request_at > ABANDONED_SECONDS
         ]
--- a/guavagate/permits/_queue_owner.py
+++ b/guavagate/permits/_queue_owner.py
@@ -28,11 +28,6 @@
     UPSTREAM_SERVING,
 )
 from guavagate.models import InstanceId, RequestId, SamplerId
-from guavagate.permits._copies import (
-    CopyOffers,
-    describe_refusal,
-    record,
-)
 from guavagate.permits._directory import PoolSpec, find_queue_owner, list_pools
 from guavagate.permits._messages import (
     AskPermit,
@@ -44,8 +39,13 @@
     ReleasePermit,
     ReportSlow,
 )
-from guavagate.permits._owned import OwnedPool, Seat
+from guavagate.permits._owned import OwnedPool, QueuedWork
 from guavagate.permits._reclaim import FindMissing, Reclaimer
+from guavagate.permits._speculation import (
+    SpeculativeRuns,
+    describe_refusal,
+    record,
+)
 from guavagate.runtime import Runtime
 
 _LOGGER = logging.getLogger(__name__)
@@ -76,9 +76,9 @@
         self._specs: dict[str, PoolSpec] = {}
         self._owned: dict[str, OwnedPool] = {}
         self._fresh_start = True
-        self._asked = Event()
-        self._copies = CopyOffers(runtime)
-        self._reclaimer = Reclaimer(runtime, self.owned, self.move)
+        self._work_arrived = Event()
+        self._speculative_runs = SpeculativeRuns(runtime)
+        self._reclaimer = Reclaimer(runtime, self.list_owned, self.schedule)
 
     def start(self) -> None:
         """Follow settings and members, and keep the queues moving."""
@@ -89,14 +89,14 @@
         self._runtime.clock.spawn(self._sweep)
         self._reclaimer.start()
 
-    def serve_own_entry(
-        self, take_copy: Callable[[Permit], None], find_missing: FindMissing
+    def connect_local_entry(
+        self, start_run: Callable[[Permit], None], find_missing: FindMissing
     ) -> None:
         """Reach this instance's own entry without the bus."""
-        self._copies.take_here = take_copy
-        self._reclaimer.find_missing_here = find_missing
+        self._speculative_runs.start_locally = start_run
+        self._reclaimer.find_missing_locally = find_missing
 
-    def owned(self) -> list[OwnedPool]:
+    def list_owned(self) -> list[OwnedPool]:
         """Return the pools at home here."""
         return list(self._owned.values())
 
@@ -122,22 +122,22 @@
                 self._take_over(spec)
         self._forget_dead()
 
-    def ask(self, sender: InstanceId, ask: AskPermit) -> PermitReply:
+    def request(self, sender: InstanceId, ask: AskPermit) -> PermitReply:
         """Answer with a permit, a refusal, or "still queued"."""
         owned = self._owned.get(ask.pool)
         if owned is None:
             return PermitReply(not_home=True)
-        self._asked.set()
+        self._work_arrived.set()
         granted = owned.granted.get(ask.work.id)
         if granted is not None and ask.failed_upstream is None:
             return PermitReply(permit=granted.permit)
         refusal = self._offer(owned, sender, ask)
         if refusal is not None:
             return PermitReply(refusal=refusal)
-        seat = owned.seats[ask.work.id]
-        seat.asked_at = self._runtime.clock.now()
-        self.move(owned)
-        return self._await_seat(seat, ask.wait)
+        queued = owned.queued[ask.work.id]
+        queued.last_request_at = self._runtime.clock.now()
+        self.schedule(owned)
+        return self._await_answer(queued, ask.wait)
 
     def release(self, sender: InstanceId, release: ReleasePermit) -> None:
         """Free a slot, and learn from how the work ended."""
@@ -147,8 +147,8 @@
         now = self._runtime.clock.now()
         sampler = SamplerId(release.upstream)
         if release.ended is Release.COPY_FAILED:
-            self._copies.end(owned, release, now)
-            self.move(owned)
+            self._speculative_runs.end(owned, release, now)
+            self.schedule(owned)
             return
         grant = owned.granted.pop(release.work_id, None)
         if release.ended is Release.LEAVING:
@@ -169,7 +169,7 @@
             owned.pool.cancel(release.work_id, now)
         else:
             owned.pool.cancel(release.work_id, now)
-        self.move(owned)
+        self.schedule(owned)
 
     def withdraw(
         self, sender: InstanceId, pool: str, work_id: RequestId
@@ -178,24 +178,24 @@
         owned = self._owned.get(pool)
         if owned is None:
             return
-        owned.seats.pop(work_id, None)
+        owned.queued.pop(work_id, None)
         owned.granted.pop(work_id, None)
         owned.pool.cancel(work_id, self._runtime.clock.now())
-        self.move(owned)
+        self.schedule(owned)
 
-    def take_held(self, sender: InstanceId, message: HeldPermits) -> None:
+    def adopt_permits(self, sender: InstanceId, message: HeldPermits) -> None:
         """Count what an entry holds, after this home has taken over."""
         owned = self._owned.get(message.pool)
         if owned is None:
             return
         now = self._runtime.clock.now()
-        self._asked.set()
+        self._work_arrived.set()
         for held in message.held:
             if held.work.id not in owned.granted:
                 owned.adopt(sender, held, now)
-        self.move(owned)
+        self.schedule(owned)
 
-    def take_slow(self, report: ReportSlow) -> None:
+    def record_slow_stream(self, report: ReportSlow) -> None:
         """Learn that a stream is slow, long before its end tells."""
         owned = self._owned.get(report.pool)
         if owned is not None:
@@ -236,13 +236,15 @@
         write(_LOGGER, UPSTREAM_SERVING, upstream=sampler, pool=owned.spec.key)
         self._declare(owned, owned.spec)
 
-    def move(self, owned: OwnedPool) -> None:
+    def schedule(self, owned: OwnedPool) -> None:
         """Grant what may start now, and refuse what comes too late."""
         now = self._runtime.clock.now()
         for refused in owned.pool.expire(now):
-            seat = owned.seats.pop(refused.work_id, None)
-            if seat is not None:
-                seat.answer.set(PermitReply(refusal=describe_refusal(refused)))
+            queued = owned.queued.pop(refused.work_id, None)
+            if queued is not None:
+                queued.answer.set(
+                    PermitReply(refusal=describe_refusal(refused))
+                )
         if now < owned.grants_from:
             return
         for placement in owned.pool.place(now):
@@ -253,19 +255,19 @@
         self, owned: OwnedPool, sender: InstanceId, ask: AskPermit
     ) -> PermitRefusal | None:
         now = self._runtime.clock.now()
-        work = owned.localise(ask, now)
+        work = owned.localise_deadline(ask, now)
         if ask.failed_upstream is not None:
             refusal = self._retry(owned, ask, now)
             if refusal is not None:
                 return refusal
-        if work.id in owned.seats:
+        if work.id in owned.queued:
             return None
         offered = owned.pool.offer(work, now)
         record(self._runtime, offered.decision)
         if isinstance(offered, Refused):
             return describe_refusal(offered)
-        owned.seats[work.id] = Seat(
-            entry=sender, work=work, answer=AsyncResult(), asked_at=now
+        owned.queued[work.id] = QueuedWork(
+            entry=sender, work=work, answer=AsyncResult(), last_request_at=now
         )
         return None
 
@@ -285,10 +287,10 @@
             return describe_refusal(retried)
         return None
 
-    def _await_seat(self, seat: Seat, wait: float) -> PermitReply:
+    def _await_answer(self, queued: QueuedWork, wait: float) -> PermitReply:
         try:
             with self._runtime.clock.timeout(wait, TimeoutError):
-                return seat.answer.get()
+                return queued.answer.get()
         except TimeoutError:
             return PermitReply()
 
@@ -296,13 +298,13 @@
         self, owned: OwnedPool, placement: Placement, now: float
     ) -> None:
         work_id = placement.work.id
-        seat = owned.seats.pop(work_id, None)
-        if seat is None:
+        queued = owned.queued.pop(work_id, None)
+        if queued is None:
             owned.pool.cancel(work_id, now)
             return
         pace = placement.expected_pace
-        permit = owned.grant(seat, placement.sampler, now, pace)
-        seat.answer.set(PermitReply(permit=permit))
+        permit = owned.grant(queued, placement.sampler, now, pace)
+        queued.answer.set(PermitReply(permit=permit))
 
     def _take_over(self, spec: PoolSpec) -> None:
         now = self._runtime.clock.now()
@@ -328,8 +330,8 @@
 
     def _give_up(self, key: str) -> None:
         owned = self._owned.pop(key)
-        for seat in owned.seats.values():
-            seat.answer.set(PermitReply(not_home=True))
+        for queued in owned.queued.values():
+            queued.answer.set(PermitReply(not_home=True))
         write(_LOGGER, POOL_GIVEN_UP, pool=key)
 
     def _declare(self, owned: OwnedPool, spec: PoolSpec) -> None:
@@ -347,25 +349,25 @@
             ],
             now,
         )
-        self.move(owned)
+        self.schedule(owned)
 
     def _forget_dead(self) -> None:
         """Free the slots of entries that have died with their callers."""
         now = self._runtime.clock.now()
         for owned in self._owned.values():
-            for work_id in owned.of_dead(self._is_there):
+            for work_id in owned.list_orphaned(self._is_there):
                 owned.granted.pop(work_id, None)
-                owned.seats.pop(work_id, None)
+                owned.queued.pop(work_id, None)
                 owned.pool.cancel(work_id, now)
-            self.move(owned)
+            self.schedule(owned)
 
     def _rest(self) -> None:
         """Wait for the next sweep; without work, until some is asked for."""
-        if any(one.seats or one.granted for one in self._owned.values()):
+        if any(one.queued or one.granted for one in self._owned.values()):
             self._runtime.clock.sleep(SWEEP_SECONDS)
             return
-        self._asked.clear()
-        self._asked.wait()
+        self._work_arrived.clear()
+        self._work_arrived.wait()
 
     def _is_there(self, entry: InstanceId) -> bool:
         return self._runtime.members.get(entry) is not None
@@ -375,8 +377,8 @@
             self._rest()
             now = self._runtime.clock.now()
             for owned in list(self._owned.values()):
-                for work_id in owned.abandoned(now):
-                    owned.seats.pop(work_id)
+                for work_id in owned.list_abandoned(now):
+                    owned.queued.pop(work_id)
                     owned.pool.cancel(work_id, now)
-                self.move(owned)
-                self._copies.offer(owned, now)
+                self.schedule(owned)
+                self._speculative_runs.offer(owned, now)
--- a/guavagate/permits/_reclaim.py
+++ b/guavagate/permits/_reclaim.py
@@ -19,8 +19,8 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-LOOK_SECONDS: Final = 5.0
-ASK_TIMEOUT: Final = 2.0
+SCAN_INTERVAL_SECONDS: Final = 5.0
+CHECK_TIMEOUT_SECONDS: Final = 2.0
 
 FindMissing = Callable[[str, Iterable[RequestId]], tuple[RequestId, ...]]
 
@@ -30,7 +30,7 @@
 
     Attributes
     ----------
-    find_missing_here
+    find_missing_locally
         Answers for this instance's own entry.
     """
 
@@ -38,30 +38,32 @@
         self,
         runtime: Runtime,
         list_owned: Callable[[], list[OwnedPool]],
-        move: Callable[[OwnedPool], None],
+        schedule: Callable[[OwnedPool], None],
     ) -> None:
         self._runtime = runtime
         self._list_owned = list_owned
-        self._move = move
-        self.find_missing_here: FindMissing | None = None
+        self._schedule = schedule
+        self.find_missing_locally: FindMissing | None = None
 
     def start(self) -> None:
         """Look until the instance stops."""
         self._runtime.clock.spawn(self._run)
 
-    def look(self) -> None:
+    def scan(self) -> None:
         """Ask about all permits that are old now."""
         now = self._runtime.clock.now()
         for owned in self._list_owned():
-            for entry, work_ids in owned.list_old(now).items():
-                self._reclaim(owned, entry, self._ask(owned, entry, work_ids))
+            for entry, work_ids in owned.list_stale(now).items():
+                self._reclaim(
+                    owned, entry, self._find_missing(owned, entry, work_ids)
+                )
 
     def _run(self) -> None:
         while True:
-            self._runtime.clock.sleep(LOOK_SECONDS)
-            self.look()
+            self._runtime.clock.sleep(SCAN_INTERVAL_SECONDS)
+            self.scan()
 
-    def _ask(
+    def _find_missing(
         self,
         owned: OwnedPool,
         entry: InstanceId,
@@ -69,12 +71,12 @@
     ) -> tuple[RequestId, ...]:
         pool = owned.spec.key
         if entry == self._runtime.settings.id:
-            find = self.find_missing_here
+            find = self.find_missing_locally
             return find(pool, work_ids) if find else ()
         asked = AskHeld(pool=pool, work_ids=work_ids)
         try:
             return self._runtime.bus.request(
-                entry, asked, HeldReply, ASK_TIMEOUT
+                entry, asked, HeldReply, CHECK_TIMEOUT_SECONDS
             ).missing
         except LinkError:
             return ()
@@ -91,4 +93,4 @@
             write(_LOGGER, PERMIT_RECLAIMED, request=work_id, entry=entry)
             owned.pool.cancel(work_id, self._runtime.clock.now())
         if missing:
-            self._move(owned)
+            self._schedule(owned)
--- a/guavagate/permits/_reports.py
+++ b/guavagate/permits/_reports.py
@@ -54,7 +54,7 @@
 
     def _poll(self) -> None:
         while True:
-            for owned in self._queue_owner.owned():
+            for owned in self._queue_owner.list_owned():
                 for member in owned.spec.members:
                     self._runtime.clock.spawn(self._read, owned, member)
             self._runtime.clock.sleep(REPORT_SECONDS)
@@ -82,7 +82,7 @@
             ),
             self._runtime.clock.now(),
         )
-        self._queue_owner.move(owned)
+        self._queue_owner.schedule(owned)
 
     def _fetch(self, owned: OwnedPool, member: PoolMember) -> EngineReport:
         if owned.spec.deployment is not None:
--- a/guavagate/permits/_service.py
+++ b/guavagate/permits/_service.py
@@ -17,7 +17,7 @@
     """Register the handlers of messages to a queue owner."""
 
     def ask(sender: InstanceId, message: Message) -> Message:
-        return queue_owner.ask(sender, expect(message, AskPermit))
+        return queue_owner.request(sender, expect(message, AskPermit))
 
     def release(sender: InstanceId, message: Message) -> None:
         queue_owner.release(sender, expect(message, ReleasePermit))
@@ -26,14 +26,14 @@
         withdrawal = expect(message, WithdrawWork)
         queue_owner.withdraw(sender, withdrawal.pool, withdrawal.work_id)
 
-    def take_held(sender: InstanceId, message: Message) -> None:
-        queue_owner.take_held(sender, expect(message, HeldPermits))
+    def adopt_permits(sender: InstanceId, message: Message) -> None:
+        queue_owner.adopt_permits(sender, expect(message, HeldPermits))
 
-    def take_slow(sender: InstanceId, message: Message) -> None:
-        queue_owner.take_slow(expect(message, ReportSlow))
+    def record_slow_stream(sender: InstanceId, message: Message) -> None:
+        queue_owner.record_slow_stream(expect(message, ReportSlow))
 
     runtime.bus.register(AskPermit, ask)
-    runtime.bus.register(ReportSlow, take_slow)
+    runtime.bus.register(ReportSlow, record_slow_stream)
     runtime.bus.register(ReleasePermit, release)
     runtime.bus.register(WithdrawWork, withdraw)
-    runtime.bus.register(HeldPermits, take_held)
+    runtime.bus.register(HeldPermits, adopt_permits)
--- a/guavagate/permits/_copies.py
+++ b/guavagate/permits/_speculation.py
@@ -35,18 +35,18 @@
     )
 
 
-class CopyOffers:
+class SpeculativeRuns:
     """The copies of one home's pools.
 
     Attributes
     ----------
-    take_here
+    start_locally
         Takes a copy of work that this instance itself holds.
     """
 
     def __init__(self, runtime: Runtime) -> None:
         self._runtime = runtime
-        self.take_here: Callable[[Permit], None] | None = None
+        self.start_locally: Callable[[Permit], None] | None = None
 
     def offer(self, owned: OwnedPool, now: float) -> None:
         """Offer idle slots to the entries whose work would end last."""
@@ -59,15 +59,15 @@
             copy = owned.make_permit(placement.work.id, placement.sampler)
             if grant.entry != self._runtime.settings.id:
                 self._runtime.bus.send(grant.entry, RunCopy(permit=copy))
-            elif self.take_here is not None:
-                self.take_here(copy)
+            elif self.start_locally is not None:
+                self.start_locally(copy)
 
     def end(self, owned: OwnedPool, release: ReleasePermit, now: float) -> None:
         """Free a copy's slot; refuse the work if nothing else runs it."""
         ended = owned.pool.fail(
             release.work_id, SamplerId(release.upstream), now, started=True
         )
-        seat = owned.seats.get(release.work_id)
-        if seat is not None and isinstance(ended, Refused):
-            owned.seats.pop(release.work_id)
-            seat.answer.set(PermitReply(refusal=describe_refusal(ended)))
+        queued = owned.queued.get(release.work_id)
+        if queued is not None and isinstance(ended, Refused):
+            owned.queued.pop(release.work_id)
+            queued.answer.set(PermitReply(refusal=describe_refusal(ended)))
--- a/guavagate/reports.py
+++ b/guavagate/reports.py
@@ -54,7 +54,7 @@
 
     def describe_instance(self) -> InstanceReport:
         """Return this instance: state, load, roles and repairs."""
-        pools = self._instance.queue_owner.owned()
+        pools = self._instance.queue_owner.list_owned()
         reasons = self._instance.readiness.reasons()
         return InstanceReport(
             instance=self._me,
@@ -62,7 +62,7 @@
             state=self._state(ready=not reasons),
             waits_for=tuple(reasons.values()),
             active_requests=self._instance.active.count,
-            queued=sum(len(owned.seats) for owned in pools),
+            queued=sum(len(owned.queued) for owned in pools),
             homes=tuple(sorted(owned.spec.key for owned in pools)),
             partitions=tuple(self._list_partitions()),
             repairs=tuple(self._list_repairs(pools)),
@@ -73,7 +73,7 @@
         """Return the samplers whose home is here."""
         return [
             report
-            for owned in self._instance.queue_owner.owned()
+            for owned in self._instance.queue_owner.list_owned()
             for report in self._list_pool(owned)
         ]
 
@@ -108,9 +108,9 @@
         metrics.set_gauge(names.PARTITIONS_LED, float(led))
         metrics.clear(names.QUEUED)
         metrics.clear(names.RUNNING)
-        for owned in self._instance.queue_owner.owned():
+        for owned in self._instance.queue_owner.list_owned():
             pool = owned.spec.key
-            metrics.set_gauge(names.QUEUED, len(owned.seats), pool=pool)
+            metrics.set_gauge(names.QUEUED, len(owned.queued), pool=pool)
             metrics.set_gauge(names.RUNNING, len(owned.granted), pool=pool)
 
     def _state(self, *, ready: bool) -> str:
@@ -160,7 +160,7 @@
                 ),
                 slots=member.slots,
                 pool=owned.spec.key,
-                pool_queued=len(owned.seats),
+                pool_queued=len(owned.queued),
                 version=seen.version if seen else None,
             )
 
--- a/guavagate/runs/_race.py
+++ b/guavagate/runs/_race.py
@@ -15,7 +15,7 @@
     Permit,
     Progress,
     exhaust,
-    run_copy,
+    run_speculatively,
     stream_answer,
 )
 from guavagate.ports.engine import Generation
@@ -47,12 +47,12 @@
             No sampler gave a whole answer.
         """
         client = self._source.client
-        client.allow_copies(self._work.id, self._take_copy)
+        client.accept_speculative_runs(self._work.id, self._take_copy)
         self._tasks.append(self._clock.spawn(self._run_main))
         try:
             progress: Progress = self._first.get()
         finally:
-            client.forbid_copies(self._work.id)
+            client.decline_speculative_runs(self._work.id)
             for task in self._tasks:
                 task.kill(block=False)
         return progress
@@ -75,7 +75,7 @@
 
     def _run_copy(self, permit: Permit) -> None:
         try:
-            progress = run_copy(self._source, permit, self._generation)
+            progress = run_speculatively(self._source, permit, self._generation)
         except UpstreamError:
             return
         self._settle(progress, None)
--- a/tests/permits/test_queue_owner.py
+++ b/tests/permits/test_queue_owner.py
@@ -101,7 +101,9 @@
 
     def running(self, name: str) -> int:
         """Return how much the home on an instance counts as running."""
-        return sum(one.pool.running for one in self.queue_owners[name].owned())
+        return sum(
+            one.pool.running for one in self.queue_owners[name].list_owned()
+        )
 
 
 def test_no_more_run_than_the_upstream_has_slots() -> None:
@@ -235,7 +237,7 @@
     entries.clients[entries.others()[0]].release(permit, Release.LEAVING)
     entries.clock.advance(1)
     queue_owner = entries.queue_owners[owner]
-    owned = queue_owner.owned()[0]
+    owned = queue_owner.list_owned()[0]
     queue_owner.mark_serving(owned, SamplerId('desk'))
     assert not owned.pool.slots
     entries.clock.advance(10)
--- a/tests/runs/test_race.py
+++ b/tests/runs/test_race.py
@@ -35,11 +35,11 @@
         """Return the virtual time."""
         return self.clock.now()
 
-    def allow_copies(self, work_id: RequestId, take: object) -> None:
+    def accept_speculative_runs(self, work_id: RequestId, take: object) -> None:
         """Note whom to offer copies."""
         self.take = take  # type: ignore[assignment]
 
-    def forbid_copies(self, work_id: RequestId) -> None:
+    def decline_speculative_runs(self, work_id: RequestId) -> None:
         """Offer no more."""
 
     def acquire(self, pool: str, work: Work, failed: object) -> Permit:
@@ -54,7 +54,7 @@
     def drop(self, permit: Permit) -> None:
         """Accept."""
 
-    def end_copy(self, permit: Permit, **measured: int) -> None:
+    def end_speculative_run(self, permit: Permit, **measured: int) -> None:
         """Note what came of a copy."""
         self.ended.append((permit.address, measured.get('tokens', 0)))
 
