--- a/guavagate/feeds/_feed.py
+++ b/guavagate/feeds/_feed.py
@@ -81,10 +81,10 @@
         the store is away.
     first_start
         Whether the whole fleet starts for the first time.
-    proving
+    proof_prefix
         The prefix of which it is known how new what is held is, by its
         watch.
-    proving_path
+    proof_path
         An object that is read besides, again and again, by whoever watches
         for itself; empty for none. A watch may hear nothing of a change for a
         while, when the store drops its history; a read never does.
@@ -100,7 +100,7 @@
     relaying
         Whether this instance tells the others.
     proof
-        When what is held of the prefix `proving` was surely the newest.
+        When what is held of the prefix `proof_prefix` was surely the newest.
     """
 
     def __init__(
@@ -115,13 +115,13 @@
         boot_of: BootOf = forget_boots,
         *,
         first_start: bool = True,
-        proving: str = '',
-        proving_path: str = '',
+        proof_prefix: str = '',
+        proof_path: str = '',
         may_be_standby: Callable[[], bool] = _always,
         boot_clock: Callable[[], float] = read_boot_clock,
     ) -> None:
-        self._proving = proving
-        self._proving_path = proving_path
+        self._proof_prefix = proof_prefix
+        self._proof_path = proof_path
         self._boot_clock = boot_clock
         self.proof = Proof(boot_clock)
         self._store = store
@@ -134,7 +134,7 @@
         self._boot_of = boot_of
         self._may_be_standby = may_be_standby
         self._table = FeedTable()
-        self._table.changed = self._tell_change
+        self._table.on_change = self._tell_change
         self._boot = secrets.randbits(62)
         self._number = 0
         self._started_at = clock.now()
@@ -154,9 +154,11 @@
         bus.register(ReadFeed, self._on_read)
         bus.register(ReadFeedClock, self._on_read_clock)
 
-    def handle(self, prefix: str, put: Put, remove: Remove | None) -> None:
+    def set_handlers(
+        self, prefix: str, put: Put, remove: Remove | None
+    ) -> None:
         """Set what is called, without blocking, for objects of a prefix."""
-        self._table.handle(prefix, put, remove)
+        self._table.set_handlers(prefix, put, remove)
 
     @property
     def loaded(self) -> bool:
@@ -176,10 +178,10 @@
             self._clock.spawn(self._check),
             self._clock.spawn(self._beat),
         ]
-        if self._proving:
+        if self._proof_prefix:
             compare = self._follower.compare_clocks
             self._tasks.append(self._clock.spawn(compare))
-        if self._proving_path:
+        if self._proof_path:
             self._tasks.append(self._clock.spawn(self._prove))
 
     def _join(self) -> None:
@@ -256,7 +258,7 @@
         wait = RELAY_WAIT_SECONDS if relaying else None
         for prefix in self._prefixes:
             lapses = prefix in self._lapsing
-            proves = prefix == self._proving
+            proves = prefix == self._proof_prefix
             pause = LAPSING_PAUSE_SECONDS if lapses else RELAY_PAUSE_SECONDS
             mirror = Mirror(
                 self._store,
@@ -271,7 +273,7 @@
                 held=self._table.versions(prefix),
                 loaded=self._note_mirror_loaded,
                 proved=self.proof.record_own if proves else None,
-                watch_proves=not self._proving_path,
+                watch_proves=not self._proof_path,
                 boot_clock=self._boot_clock,
             )
             self._mirrors.append(mirror)
@@ -289,7 +291,7 @@
     def _read_proof(self) -> None:
         asked_at = self._boot_clock()
         try:
-            stored = self._store.get(self._proving_path)
+            stored = self._store.get(self._proof_path)
         except StoreError as error:
             _LOGGER.debug('no proof: %s', error)
             return
--- a/guavagate/feeds/_table.py
+++ b/guavagate/feeds/_table.py
@@ -27,9 +27,11 @@
         self._gone: dict[str, Revision] = {}
         self._handlers: dict[str, tuple[Put, Remove | None]] = {}
         self._unreadable = UnreadableObjects()
-        self.changed: Callable[[FeedEntry], None] = _ignore
+        self.on_change: Callable[[FeedEntry], None] = _ignore
 
-    def handle(self, prefix: str, put: Put, remove: Remove | None) -> None:
+    def set_handlers(
+        self, prefix: str, put: Put, remove: Remove | None
+    ) -> None:
         """Set what is called, without blocking, for objects of a prefix."""
         self._handlers[prefix] = (put, remove)
 
@@ -69,7 +71,7 @@
         self._held[entry.path] = stored
         self._packed = None
         self._put(stored)
-        self.changed(entry)
+        self.on_change(entry)
 
     def _put(self, stored: StoredObject) -> None:
         """Hand an object over; one that can not be read counts as gone.
@@ -99,7 +101,7 @@
         _, remove = self._handlers[_find_prefix(path)]
         if remove is not None:
             remove(path.partition('/')[2])
-        self.changed(FeedEntry(path=path, version=held.version))
+        self.on_change(FeedEntry(path=path, version=held.version))
 
     def apply_snapshot(
         self, entries: list[FeedEntry], revision: Revision
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -205,12 +205,12 @@
             (const.SERVERS,),
             self._members.boot,
             first_start=self._settings.bootstrap,
-            proving=const.CONFIG,
-            proving_path=self._settings.bounds.find_proof(),
+            proof_prefix=const.CONFIG,
+            proof_path=self._settings.bounds.find_proof(),
             may_be_standby=lambda: not self._services.active,
         )
-        feed.handle(const.CONFIG, self._put_config, None)
-        feed.handle(const.SERVERS, self._put_server, self._drop_server)
+        feed.set_handlers(const.CONFIG, self._put_config, None)
+        feed.set_handlers(const.SERVERS, self._put_server, self._drop_server)
         versions = Mirror(
             self._store, self._clock, const.VERSIONS, self._put_version
         )
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -45,7 +45,7 @@
     Safeguard(
         'a watch alone proves nothing',
         'guavagate/feeds/_feed.py',
-        'watch_proves=not self._proving_path',
+        'watch_proves=not self._proof_path',
         'watch_proves=True',
         'tests/feeds/test_feed_proof.py',
     ),
--- a/tests/feeds/fleet.py
+++ b/tests/feeds/fleet.py
@@ -49,7 +49,7 @@
         self, names: Sequence[str] = NAMES, *, strict: bool = False
     ) -> None:
         self.names = names
-        self.proving_path = 'config/main' if strict else ''
+        self.proof_path = 'config/main' if strict else ''
         self.world = World()
         self.clock = self.world.clock
         self.known: dict[str, dict[str, bytes]] = {}
@@ -87,17 +87,17 @@
             ('config', 'servers'),
             ('servers',),
             first_start=first,
-            proving='config',
-            proving_path=self.proving_path,
+            proof_prefix='config',
+            proof_path=self.proof_path,
             may_be_standby=lambda: name not in self.working,
             boot_clock=self.clock.now,
         )
-        feed.handle('config', put, None)
+        feed.set_handlers('config', put, None)
 
         def remove(gone: str) -> None:
             held.pop(f'servers/{gone}')
 
-        feed.handle('servers', put, remove)
+        feed.set_handlers('servers', put, remove)
         self.feeds[name] = feed
         feed.start()
 
--- a/tests/feeds/test_feed.py
+++ b/tests/feeds/test_feed.py
@@ -178,7 +178,7 @@
     """A slow relay tells of it after the other told that it is gone."""
     table = FeedTable()
     held: dict[str, bytes] = {}
-    table.handle(
+    table.set_handlers(
         'servers',
         lambda stored: held.update({stored.path: stored.value}),
         lambda name: held.clear(),
--- a/tests/feeds/test_packing.py
+++ b/tests/feeds/test_packing.py
@@ -24,7 +24,7 @@
     def put(stored: StoredObject) -> None:
         """Take it as it is."""
 
-    table.handle('servers', put, lambda name: None)
+    table.set_handlers('servers', put, lambda name: None)
     for number in range(upstreams):
         _take(table, number, 1)
     return table
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -137,12 +137,12 @@
         upstreams.put(decode_server(name, stored.value))
 
     table = FeedTable()
-    table.handle(
+    table.set_handlers(
         'servers', put, lambda name: upstreams.remove(UpstreamId(name))
     )
     good = msgspec.json.encode(_SERVER)
     told: list[FeedEntry] = []
-    table.changed = told.append
+    table.on_change = told.append
     entries = [
         _entry('a', good, 1),
         _entry('b', b'"\xff', 2),
