--- a/guavagate/feeds/__init__.py
+++ b/guavagate/feeds/__init__.py
@@ -1,9 +1,10 @@
-"""Objects of the store that every instance follows, at the cost of one.
+"""Distributes objects of the store to every instance through one relay.
 
-A waiting watch counts as a call, each change ends it, and the store's rates
-grow more slowly than the fleet. One instance watches and tells all others; some
-stand-ins step in when its news is old, and an instance that hears nobody asks
-the store itself.
+A pending watch counts as a call and ends with each change, and the store's
+rate limits grow more slowly than the number of instances. Therefore one
+instance, the relay, watches the store and sends what it reads to all others.
+Some standbys take over when its data is stale, and an instance that receives
+nothing from any relay reads the store itself.
 """
 
 from guavagate.feeds._feed import Feed
--- a/guavagate/feeds/_feed.py
+++ b/guavagate/feeds/_feed.py
@@ -1,4 +1,4 @@
-"""Follows the feed, or relays it, as the membership says."""
+"""Follows the relays, or watches the store and relays it, by rank."""
 
 import functools
 import logging
@@ -12,7 +12,7 @@
 from guavagate.events import forwarding as events
 from guavagate.events import write
 from guavagate.exceptions import LinkError, StoreError
-from guavagate.feeds._follower import NEVER_SECONDS, Follower
+from guavagate.feeds._follower import UNKNOWN_AGE_SECONDS, Follower
 from guavagate.feeds._messages import (
     FeedBeat,
     FeedChange,
@@ -26,7 +26,7 @@
 from guavagate.feeds._relays import (
     STALE_SECONDS,
     STANDBY_COUNT,
-    is_due,
+    must_read_store,
     rank_relays,
 )
 from guavagate.feeds._table import FeedTable, Put, Remove
@@ -41,30 +41,33 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# A relay's watches wait so long: each answer, also an empty one, proves that
-# it has all, and what one relay spends on it is less than what each change
+# How long a relay's watch waits. Each answer, also an empty one, proves that
+# the relay is up to date, and one relay's calls cost less than each change
 # would cost if all instances watched.
 RELAY_WAIT_SECONDS: Final = 0.9
-# After a change, others often follow, and come in one answer then. Of what may
-# lapse, the registrations, many change while samplers load, and what is known a
-# moment later does no harm: one that leaves has two seconds.
+# How long a relay waits after a change, so that the changes that often follow
+# come in one answer. Registrations, the objects that may lapse, change often
+# while samplers load, and a short delay does no harm: an upstream that leaves
+# allows two seconds.
 RELAY_PAUSE_SECONDS: Final = 0.1
 LAPSING_PAUSE_SECONDS: Final = 0.4
-# One that watches for itself alone does so until it hears a relay, which takes
-# about as long; its first watch then never starts.
-ALONE_PAUSE_SECONDS: Final = 1.2
-BEAT_SECONDS: Final = 0.4
-CHECK_SECONDS: Final = 0.1
-PROVE_SECONDS: Final = 1.0
-# A fleet that starts for the first time has no callers yet. Its instances ask
-# the relays for what they have, and watch for themselves only if there is none
-# by then: were all to watch until they are told, the start would be half of a
-# day's calls at ninety instances. After a restart callers are waiting, and the
-# store answers sooner than the members are known.
-START_SECONDS: Final = 2.0
-JOIN_SECONDS: Final = 0.1
-# Relays have to be fresh for so long before their news is relied upon again.
-TRUST_SECONDS: Final = 1.0
+# An instance that watches for itself alone stops when it receives data from a
+# relay. That takes about this long, so its first watch usually never starts.
+DIRECT_PAUSE_SECONDS: Final = 1.2
+HEARTBEAT_INTERVAL_SECONDS: Final = 0.4
+CHECK_INTERVAL_SECONDS: Final = 0.1
+PROOF_INTERVAL_SECONDS: Final = 1.0
+# A fleet that starts for the first time has no callers yet. Its instances
+# request a snapshot from the relays and watch the store themselves only if
+# there is still no relay after this time. If all watched until a relay sent
+# data, the start of ninety instances would use half of a day's calls. After a
+# restart, callers are waiting and the store answers before the members are
+# known, so instances do not wait.
+START_WAIT_SECONDS: Final = 2.0
+JOIN_INTERVAL_SECONDS: Final = 0.1
+# How long a relay's data has to be fresh before an instance that watches the
+# store stops watching and follows that relay.
+FRESH_BEFORE_FOLLOW_SECONDS: Final = 1.0
 
 
 def _always() -> bool:
@@ -72,35 +75,35 @@
 
 
 class Feed:
-    """One instance's copy of what all follow.
+    """One instance's replica of the followed objects.
 
     Parameters
     ----------
     prefixes
-        What is followed; `lapsing` are those whose objects may lapse while
-        the store is away.
+        The prefixes to follow; `lapsing` are those whose objects may lapse
+        while the store is unavailable.
     first_start
         Whether the whole fleet starts for the first time.
     proof_prefix
-        The prefix of which it is known how new what is held is, by its
-        watch.
+        The prefix whose age `proof` tracks, by its watch.
     proof_path
-        An object that is read besides, again and again, by whoever watches
-        for itself; empty for none. A watch may hear nothing of a change for a
-        while, when the store drops its history; a read never does.
+        An object that an instance reads periodically while it watches the
+        store; empty for none. When the store drops its history, a watch may
+        miss a change for a while; a read does not.
     may_be_standby
         Whether this instance may relay for others without being the first in
-        rank. One that works on jobs may not: cut off from the store and the
-        first relay it would open a link to each instance and tell it all, at
-        the very moment at which its results have to go through a peer, and
-        these would be listed seconds late. The next stand-in steps in instead.
+        rank. An instance that works on jobs may not: when it is cut off from
+        the store and the first relay, it would open a link to each instance
+        and send it all objects just when its own results have to go through a
+        peer, and these would be listed seconds late. The next standby takes
+        over instead.
 
     Attributes
     ----------
     relaying
-        Whether this instance tells the others.
+        Whether this instance sends its objects to the others.
     proof
-        When what is held of the prefix `proof_prefix` was surely the newest.
+        When the objects under `proof_prefix` were last known to be the newest.
     """
 
     def __init__(
@@ -134,15 +137,15 @@
         self._boot_of = boot_of
         self._may_be_standby = may_be_standby
         self._table = FeedTable()
-        self._table.on_change = self._tell_change
+        self._table.on_change = self._publish_change
         self._boot = secrets.randbits(62)
-        self._number = 0
+        self._change_number = 0
         self._started_at = clock.now()
-        self._patience = START_SECONDS if first_start else 0
-        # Asked for ten times a second; sorting hundreds of members each time
-        # would be a third of what control may cost.
-        self._ranked: list[InstanceId] | None = None
-        members.subscribe(self._forget_rank)
+        self._start_wait_seconds = START_WAIT_SECONDS if first_start else 0
+        # Needed ten times a second. Sorting hundreds of members each time
+        # would use a third of the processor time allowed for control.
+        self._relay_order: list[InstanceId] | None = None
+        members.subscribe(self._clear_relay_order)
         self._mirrors: list[Mirror] = []
         self.relaying = False
         self._fresh_since: float | None = None
@@ -151,106 +154,111 @@
         self._follower = Follower(
             clock, bus, self._table, self.proof, self._loaded.set, boot_clock
         )
-        bus.register(ReadFeed, self._on_read)
+        bus.register(ReadFeed, self._on_read_feed)
         bus.register(ReadFeedClock, self._on_read_clock)
 
     def set_handlers(
         self, prefix: str, put: Put, remove: Remove | None
     ) -> None:
-        """Set what is called, without blocking, for objects of a prefix."""
+        """Set the handlers, which must not block, for objects of a prefix."""
         self._table.set_handlers(prefix, put, remove)
 
     @property
     def loaded(self) -> bool:
-        """Return whether all that is followed was read once."""
+        """Return whether all followed objects were read once."""
         return self._loaded.is_set()
 
     def wait_loaded(self, seconds: float) -> bool:
-        """Wait until all was read once; return whether it was in time."""
+        """Wait until `loaded`; return whether it was in time."""
         return wait_for(self._clock, self._loaded, seconds)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start following."""
         self._started_at = self._clock.now()
-        self._follower.heard_at = self._started_at
+        self._follower.last_message_at = self._started_at
         self._tasks = [
             self._clock.spawn(self._join),
             self._clock.spawn(self._check),
-            self._clock.spawn(self._beat),
+            self._clock.spawn(self._send_heartbeats),
         ]
         if self._proof_prefix:
             compare = self._follower.compare_clocks
             self._tasks.append(self._clock.spawn(compare))
         if self._proof_path:
-            self._tasks.append(self._clock.spawn(self._prove))
+            self._tasks.append(self._clock.spawn(self._prove_periodically))
 
     def _join(self) -> None:
-        """Read all from a relay, if one is there."""
+        """Read a snapshot from a relay until one was read."""
         while not (self.loaded or self._mirrors):
-            first = self._rank()[: STANDBY_COUNT + 1]
+            first = self._order_relays()[: STANDBY_COUNT + 1]
             for relay in first:
                 if relay != self._me and not self.loaded:
-                    self._follower.read_copy(relay)
-            self._clock.sleep(JOIN_SECONDS)
+                    self._follower.read_snapshot(relay)
+            self._clock.sleep(JOIN_INTERVAL_SECONDS)
 
     def _check(self) -> None:
-        """Watch directly, for all or for this instance alone, or follow."""
+        """Choose periodically between following and watching the store."""
         while True:
-            self._look()
-            self._clock.sleep(CHECK_SECONDS)
+            self._choose_source()
+            self._clock.sleep(CHECK_INTERVAL_SECONDS)
 
-    def _look(self) -> None:
-        ranked = self._rank()
+    def _choose_source(self) -> None:
+        ranked = self._order_relays()
         rank = ranked.index(self._me) if self._me in ranked else len(ranked)
         if rank == 0 and len(ranked) > 1:
             if not self.relaying:
                 self._watch_directly(relaying=True)
-        elif self._is_followed(ranked[:rank]):
+        elif self._has_fresh_relay(ranked[:rank]):
             self._stop_watching()
-        elif not self._mirrors and self._has_to_ask(rank):
+        elif not self._mirrors and self._needs_direct_watch(rank):
             able = rank <= STANDBY_COUNT and self.loaded
             self._watch_directly(relaying=able and self._may_be_standby())
 
-    def _note_mirror_loaded(self) -> None:
-        """Be loaded as soon as the last mirror is.
+    def _update_loaded(self) -> None:
+        """Set `loaded` as soon as the last mirror is loaded.
 
-        Callers are refused until then, and the balancer asks for readiness
-        once a second: found by the next check, a tenth of a second later, an
-        instance misses it now and then.
+        Callers are refused until then, and the load balancer probes readiness
+        once a second. If the next check, a tenth of a second later, set it,
+        an instance would sometimes miss that probe.
         """
         if all(each.loaded for each in self._mirrors):
             self._loaded.set()
 
-    def _rank(self) -> list[InstanceId]:
-        if self._ranked is None:
-            self._ranked = rank_relays(self._members.alive(), self._boot_of)
-        return self._ranked
+    def _order_relays(self) -> list[InstanceId]:
+        if self._relay_order is None:
+            self._relay_order = rank_relays(
+                self._members.alive(), self._boot_of
+            )
+        return self._relay_order
 
-    def _forget_rank(self) -> None:
-        self._ranked = None
+    def _clear_relay_order(self) -> None:
+        self._relay_order = None
 
-    def _has_to_ask(self, rank: int) -> bool:
-        """Return whether the relays do not help, or have not yet."""
+    def _needs_direct_watch(self, rank: int) -> bool:
+        """Return whether no relay provides current data."""
         now = self._clock.now()
         if not self.loaded:
-            return now - self._started_at >= self._patience
-        age = self._follower.read_age(self._follower.list_relays())
-        return is_due(rank, now - self._follower.heard_at, age)
+            return now - self._started_at >= self._start_wait_seconds
+        age = self._follower.compute_age(self._follower.list_relays())
+        return must_read_store(rank, now - self._follower.last_message_at, age)
 
-    def _is_followed(self, seniors: Sequence[InstanceId]) -> bool:
-        """Return whether the news of some relay before us can be relied upon.
+    def _has_fresh_relay(self, higher_ranked: Sequence[InstanceId]) -> bool:
+        """Return whether a relay of higher rank provides fresh data.
 
-        Two stand-ins that relied on each other would stop at the same moment,
-        and all news would be old until they step in again.
+        Two standbys that relied on each other would stop relaying at the same
+        moment, and all data would be stale until they take over again.
         """
         now = self._clock.now()
-        if self._follower.read_age(seniors) >= STALE_SECONDS:
+        if self._follower.compute_age(higher_ranked) >= STALE_SECONDS:
             self._fresh_since = None
             return False
         if self._fresh_since is None:
             self._fresh_since = now
-        # One that follows already goes on; one that watches waits a little.
-        return not self._mirrors or now - self._fresh_since > TRUST_SECONDS
+        # A follower goes on following; an instance that watches waits first.
+        return (
+            not self._mirrors
+            or now - self._fresh_since > FRESH_BEFORE_FOLLOW_SECONDS
+        )
 
     def _watch_directly(self, *, relaying: bool) -> None:
         self._stop_watching()
@@ -264,14 +272,14 @@
                 self._store,
                 self._clock,
                 prefix,
-                self._take_stored,
-                functools.partial(self._take_gone, prefix),
+                self._apply_stored,
+                functools.partial(self._apply_removal, prefix),
                 lapses=lapses,
                 wait=wait,
-                pause=pause if relaying else ALONE_PAUSE_SECONDS,
+                pause=pause if relaying else DIRECT_PAUSE_SECONDS,
                 settles=not relaying,
                 held=self._table.versions(prefix),
-                loaded=self._note_mirror_loaded,
+                loaded=self._update_loaded,
                 proved=self.proof.record_own if proves else None,
                 watch_proves=not self._proof_path,
                 boot_clock=self._boot_clock,
@@ -281,23 +289,23 @@
             mirror.start()
         write(_LOGGER, events.FEED_DIRECT, relaying=relaying)
 
-    def _prove(self) -> None:
-        """Read what must be known to be the newest, while watching."""
+    def _prove_periodically(self) -> None:
+        """Read the proof object periodically while watching the store."""
         while True:
             if self._mirrors:
                 self._read_proof()
-            self._clock.sleep(PROVE_SECONDS)
+            self._clock.sleep(PROOF_INTERVAL_SECONDS)
 
     def _read_proof(self) -> None:
-        asked_at = self._boot_clock()
+        requested_at = self._boot_clock()
         try:
             stored = self._store.get(self._proof_path)
         except StoreError as error:
-            _LOGGER.debug('no proof: %s', error)
+            _LOGGER.debug('could not read the proof object: %s', error)
             return
         if stored is not None:
-            self._take_stored(stored.path, stored)
-        self.proof.record_own(asked_at)
+            self._apply_stored(stored.path, stored)
+        self.proof.record_own(requested_at)
 
     def _stop_watching(self) -> None:
         if not self._mirrors:
@@ -309,50 +317,52 @@
         relays = self._follower.list_relays()
         write(_LOGGER, events.FEED_FOLLOWED, relays=relays)
 
-    def _take_gone(self, prefix: str, name: str) -> None:
+    def _apply_removal(self, prefix: str, name: str) -> None:
         self._table.remove(f'{prefix}/{name}')
 
-    def _take_stored(self, name: str, stored: StoredObject) -> None:
+    def _apply_stored(self, name: str, stored: StoredObject) -> None:
         self._table.apply(
             FeedEntry(
                 path=stored.path, version=stored.version, value=stored.value
             )
         )
 
-    # What a relay does.
+    # Methods of a relay.
 
-    def _tell_change(self, entry: FeedEntry) -> None:
+    def _publish_change(self, entry: FeedEntry) -> None:
         if not self.relaying:
             return
-        self._number += 1
-        message = FeedChange(boot=self._boot, number=self._number, entry=entry)
-        self._send_all(message)
+        self._change_number += 1
+        message = FeedChange(
+            boot=self._boot, number=self._change_number, entry=entry
+        )
+        self._broadcast(message)
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         while True:
-            self._clock.sleep(BEAT_SECONDS)
+            self._clock.sleep(HEARTBEAT_INTERVAL_SECONDS)
             if self.relaying:
                 beat = FeedBeat(
                     boot=self._boot,
-                    number=self._number,
-                    age=self._age(),
+                    number=self._change_number,
+                    age=self._compute_age(),
                     proved_at=self.proof.at,
                     clock=self._boot_clock(),
                 )
-                self._send_all(beat)
+                self._broadcast(beat)
 
-    def _send_all(self, message: Message) -> None:
+    def _broadcast(self, message: Message) -> None:
         for peer in self._members.alive():
             if peer.id != self._me:
                 self._bus.send(peer.id, message)
 
-    def _age(self) -> float:
+    def _compute_age(self) -> float:
         if not all(each.loaded for each in self._mirrors):
-            return NEVER_SECONDS
-        heard = [each.confirmed_at for each in self._mirrors]
-        return self._clock.now() - min(heard, default=0)
+            return UNKNOWN_AGE_SECONDS
+        confirmed = [each.confirmed_at for each in self._mirrors]
+        return self._clock.now() - min(confirmed, default=0)
 
-    def _on_read(self, _: InstanceId, message: Message) -> FeedCopy:
+    def _on_read_feed(self, _: InstanceId, message: Message) -> FeedCopy:
         packed = expect(message, ReadFeed).packed
         loaded = all(each.loaded for each in self._mirrors)
         if not self.relaying or not loaded:
@@ -361,8 +371,8 @@
             )
         return FeedCopy(
             boot=self._boot,
-            number=self._number,
-            age=self._age(),
+            number=self._change_number,
+            age=self._compute_age(),
             revision=min(each.revision for each in self._mirrors),
             entries=[] if packed else self._table.entries(),
             packed=self._table.pack_entries() if packed else b'',
--- a/guavagate/feeds/_follower.py
+++ b/guavagate/feeds/_follower.py
@@ -1,4 +1,4 @@
-"""What one instance hears from relays, and how old that is."""
+"""Receives the relays' messages and tracks how old their data is."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -25,34 +25,34 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-READ_SECONDS: Final = 0.6
-COMPARE_SECONDS: Final = 60.0
-# The age of news that nobody has told.
-NEVER_SECONDS: Final = 1e9
+READ_TIMEOUT_SECONDS: Final = 0.6
+COMPARE_INTERVAL_SECONDS: Final = 60.0
+# Stands for the age of data that no relay has sent.
+UNKNOWN_AGE_SECONDS: Final = 1e9
 
 
 class _Relay(msgspec.Struct):
-    """What was last heard from a relay."""
+    """State of one relay, as of its last message."""
 
     boot: int
     number: int
-    heard_at: float
+    updated_at: float
     age: float
     reading: bool = False
 
 
 class Follower:
-    """Takes in what relays tell, and reads what was missed.
+    """Applies the relays' messages and reads a snapshot after a missed one.
 
     Parameters
     ----------
     loaded
-        Called, without blocking, after all that a relay has was read.
+        Called after a snapshot was applied; must not block.
 
     Attributes
     ----------
-    heard_at
-        When any relay was last heard, on the runtime's clock.
+    last_message_at
+        When any relay's last message arrived, on the runtime's clock.
     """
 
     def __init__(
@@ -68,95 +68,95 @@
         self._bus = bus
         self._table = table
         self._proof = proof
-        self._loaded = loaded
+        self._on_loaded = loaded
         self._boot_clock = boot_clock
         self._relays: dict[InstanceId, _Relay] = {}
-        self.heard_at = clock.now()
+        self.last_message_at = clock.now()
         bus.register(FeedChange, self._on_change)
         bus.register(FeedBeat, self._on_beat)
 
     def list_relays(self) -> list[InstanceId]:
-        """Return the relays that were heard, by id."""
+        """Return the relays that have sent messages, sorted by id."""
         return sorted(self._relays)
 
-    def read_age(self, relays: Iterable[InstanceId]) -> float:
-        """Return how old the newest news of some relays is, in seconds."""
+    def compute_age(self, relays: Iterable[InstanceId]) -> float:
+        """Return the age of the newest data of some relays, in seconds."""
         now = self._clock.now()
-        heard = [self._relays[each] for each in relays if each in self._relays]
+        known = [self._relays[each] for each in relays if each in self._relays]
         ages = (
-            now - relay.heard_at + relay.age
-            for relay in heard
+            now - relay.updated_at + relay.age
+            for relay in known
             if not relay.reading
         )
-        return min(ages, default=NEVER_SECONDS)
-
-    def read_copy(self, sender: InstanceId) -> None:
-        """Read all from a relay that is new, or whose change was missed."""
-        before = self._relays.get(sender)
-        never = self._clock.now() - STALE_SECONDS
-        self._relays[sender] = _Relay(0, 0, never, 0, reading=True)
-        asked_at = self._boot_clock()
+        return min(ages, default=UNKNOWN_AGE_SECONDS)
+
+    def read_snapshot(self, sender: InstanceId) -> None:
+        """Read all objects of a relay that is new or whose change was lost."""
+        previous = self._relays.get(sender)
+        stale_since = self._clock.now() - STALE_SECONDS
+        self._relays[sender] = _Relay(0, 0, stale_since, 0, reading=True)
+        requested_at = self._boot_clock()
         try:
             copy = self._bus.request(
-                sender, ReadFeed(packed=True), FeedCopy, READ_SECONDS
+                sender, ReadFeed(packed=True), FeedCopy, READ_TIMEOUT_SECONDS
             )
             entries = unpack(copy.packed) if copy.packed else copy.entries
         except LinkError as error:
-            _LOGGER.debug('%s was not read: %s', sender, error)
+            _LOGGER.debug('could not read from relay %s: %s', sender, error)
             self._relays.pop(sender)
             return
         self._table.apply_snapshot(entries, copy.revision)
-        self._proof.compare(copy.boot, asked_at, copy.clock)
+        self._proof.record_clock(copy.boot, requested_at, copy.clock)
         self._proof.record_relayed(copy.boot, copy.proved_at, copy.clock)
         self._relays[sender] = _Relay(
             copy.boot, copy.number, self._clock.now(), copy.age
         )
-        self._loaded()
-        if before is None:
+        self._on_loaded()
+        if previous is None:
             _LOGGER.debug('following %s', sender)
 
     def compare_clocks(self) -> None:
-        """Ask the relays for their boot clocks now and then; does not end.
+        """Request the relays' boot clocks periodically; does not return.
 
-        Two machines' clocks drift apart by seconds in a day, and a proof that
-        is told by the relay's would seem to be older, or newer, by that.
+        Two machines' clocks drift apart by seconds in a day. Without this a
+        proof by the relay's clock would seem older or newer by that drift.
         """
         while True:
-            self._clock.sleep(COMPARE_SECONDS)
-            for relay, heard in list(self._relays.items()):
-                if not heard.reading and heard.boot:
+            self._clock.sleep(COMPARE_INTERVAL_SECONDS)
+            for relay, state in list(self._relays.items()):
+                if not state.reading and state.boot:
                     self._compare_clock(relay)
 
     def _compare_clock(self, relay: InstanceId) -> None:
-        asked_at = self._boot_clock()
+        requested_at = self._boot_clock()
         try:
-            told = self._bus.request(
-                relay, ReadFeedClock(), FeedClock, READ_SECONDS
+            reply = self._bus.request(
+                relay, ReadFeedClock(), FeedClock, READ_TIMEOUT_SECONDS
             )
         except LinkError as error:
-            _LOGGER.debug('%s told no clock: %s', relay, error)
+            _LOGGER.debug('could not read the clock of %s: %s', relay, error)
             return
-        self._proof.compare(told.boot, asked_at, told.clock)
+        self._proof.record_clock(reply.boot, requested_at, reply.clock)
 
     def _on_change(self, sender: InstanceId, message: Message) -> None:
         change = expect(message, FeedChange)
-        self.heard_at = self._clock.now()
+        self.last_message_at = self._clock.now()
         relay = self._relays.get(sender)
         if relay is None or relay.boot != change.boot:
-            return  # The next beat has the whole copy read.
+            return  # The next heartbeat triggers a read of the snapshot.
         if change.number == relay.number + 1:
             relay.number = change.number
         self._table.apply(change.entry)
 
     def _on_beat(self, sender: InstanceId, message: Message) -> None:
         beat = expect(message, FeedBeat)
-        self.heard_at = self._clock.now()
+        self.last_message_at = self._clock.now()
         relay = self._relays.get(sender)
         known = relay is not None and relay.boot == beat.boot
         if relay is not None and known and relay.number >= beat.number:
-            relay.heard_at = self._clock.now()
+            relay.updated_at = self._clock.now()
             relay.age = beat.age
             self._proof.record_relayed(beat.boot, beat.proved_at, beat.clock)
             return
         if relay is None or not relay.reading:
-            self.read_copy(sender)
+            self.read_snapshot(sender)
--- a/guavagate/feeds/_messages.py
+++ b/guavagate/feeds/_messages.py
@@ -1,11 +1,11 @@
-"""What relays tell, and what is asked of them."""
+"""Messages between relays and the instances that follow them."""
 
 from guavagate.links import Message
 from guavagate.models import Revision
 
 
 class FeedEntry(Message, frozen=True, kw_only=True):
-    """An object; no value means that it is gone."""
+    """An object of the store; without a value it was removed."""
 
     path: str
     version: Revision
@@ -13,7 +13,7 @@
 
 
 class FeedChange(Message, frozen=True, kw_only=True):
-    """The relay's change with this number."""
+    """One change of a relay's objects; `number` counts its changes."""
 
     boot: int
     number: int
@@ -21,12 +21,13 @@
 
 
 class FeedBeat(Message, frozen=True, kw_only=True):
-    """A relay's sign of life.
+    """A relay's heartbeat.
 
-    `age` is how long ago, in seconds, it last heard from the store that it
-    has all; `number` is that of its newest change. `proved_at` is when what
-    it holds of the configuration was surely the store's newest, and `clock`
-    is now, both by its boot clock; nothing from a release that proves nothing.
+    `age` is how long ago, in seconds, the store last confirmed that the relay
+    is up to date; `number` is that of its newest change. `proved_at` is when
+    its configuration was last known to be the store's newest, and `clock` is
+    the time of sending, both by its boot clock. Releases that track no proof
+    send neither.
     """
 
     boot: int
@@ -37,19 +38,19 @@
 
 
 class ReadFeed(Message, frozen=True, kw_only=True):
-    """Asks a relay for all that it has; `packed` if it may come packed.
+    """Requests all objects of a relay; `packed` allows a compressed reply.
 
-    A release that knows nothing of that would take a packed copy for an empty
-    one, and drop all that it holds.
+    A release that does not know `packed` would read a compressed snapshot as
+    an empty one and drop all its objects.
     """
 
     packed: bool = False
 
 
 class FeedCopy(Message, frozen=True, kw_only=True):
-    """All that a relay has, complete up to a revision of the store.
+    """A snapshot of a relay's objects, complete up to a store revision.
 
-    Either `entries` or, if that was asked for, `packed` holds it.
+    It is in `entries` or, if the request allowed that, in `packed`.
     """
 
     boot: int
@@ -63,7 +64,7 @@
 
 
 class ReadFeedClock(Message, frozen=True, kw_only=True):
-    """Asks a relay for its boot clock."""
+    """Requests a relay's boot clock."""
 
 
 class FeedClock(Message, frozen=True, kw_only=True):
--- a/guavagate/feeds/_packing.py
+++ b/guavagate/feeds/_packing.py
@@ -1,10 +1,10 @@
-"""Copies of all that is followed, packed once for all who ask.
+"""Compresses snapshots of the followed objects.
 
-Load pattern: three hundred instances start at once, and each asks the relay for
-a thousand registrations, a megabyte. Encoded for each of them these are three
-hundred megabytes that wait for the relay's link, more than its process may use.
-Registrations are much alike: packed they are a fraction, and the relay keeps
-one packing until something changes.
+Load pattern: three hundred instances start at once, and each requests a
+thousand registrations, a megabyte, from the relay. Encoded for each instance
+these are three hundred megabytes of pending output, more than the relay's
+process may use. Registrations are similar and compress to a fraction, and the
+relay caches one compressed snapshot until an object changes.
 """
 
 import zlib
@@ -16,36 +16,36 @@
 from guavagate.exceptions import LinkError
 from guavagate.feeds._messages import FeedEntry
 
-# The fastest; slower ones save little more of text that repeats so much.
-LEVEL: Final = 1
-# Of a copy when unpacked; a larger one is no copy of ours.
-MOST_BYTES: Final = 256_000_000
+# The fastest level; slower ones save little more on such repetitive text.
+COMPRESSION_LEVEL: Final = 1
+# Limit for an unpacked snapshot; no snapshot of ours is larger.
+MAX_UNPACKED_BYTES: Final = 256_000_000
 
 
 def pack(entries: Sequence[FeedEntry]) -> bytes:
-    """Return entries in few bytes."""
-    return zlib.compress(msgspec.msgpack.encode(entries), LEVEL)
+    """Return entries compressed."""
+    return zlib.compress(msgspec.msgpack.encode(entries), COMPRESSION_LEVEL)
 
 
 def unpack(packed: bytes) -> list[FeedEntry]:
-    """Return packed entries.
+    """Return the entries of a compressed snapshot.
 
     Raises
     ------
     LinkError
-        It is no packing, or too large.
+        The data is invalid, truncated or too large.
     """
     unpacker = zlib.decompressobj()
     try:
-        content = unpacker.decompress(packed, MOST_BYTES)
+        content = unpacker.decompress(packed, MAX_UNPACKED_BYTES)
         if not unpacker.eof:
             raise LinkError(
-                'a copy of the feed is cut off or too large',
-                'nothing; another relay is asked',
+                'a snapshot of the feed is truncated or too large',
+                'no action needed; another relay is tried',
             )
         return msgspec.msgpack.decode(content, type=list[FeedEntry])
     except (zlib.error, msgspec.MsgspecError) as error:
         raise LinkError(
-            f'a copy of the feed can not be read: {error}',
-            'nothing; another relay is asked',
+            f'a snapshot of the feed can not be decoded: {error}',
+            'no action needed; another relay is tried',
         ) from error
--- a/guavagate/feeds/_proof.py
+++ b/guavagate/feeds/_proof.py
@@ -1,12 +1,13 @@
-"""When what is held was surely the store's newest; no network.
+"""Tracks when the local data was last known to be the store's newest.
 
-Failure pattern: an instance is suspended, or cut off and back, and then reads
-what a relay told it before: news that was new when it was sent. An age that is
-told says nothing of how long it was on the way. So a relay tells its proof as a
-moment of its own boot clock, which goes on while it is suspended and is never
-set, and each instance turns that into its own boot clock. For that it asks a
-relay for its clock and takes the answer to be as old as the question: the
-proof then seems older than it is by a round trip at most, and never newer.
+Failure pattern: an instance is suspended, or cut off and reconnected, and then
+reads messages that a relay sent long before. An age in such a message does not
+include the time that the message was on its way. Therefore a relay sends its
+proof as a time of its own boot clock, which runs on while the machine is
+suspended and is never set, and each instance converts that to its own boot
+clock. It requests the relay's clock for that and assumes that the reply is as
+old as the request. The proof then seems older than it is by at most a round
+trip, and never newer. This module does no network calls.
 """
 
 import math
@@ -14,63 +15,65 @@
 
 
 class Proof:
-    """The newest moment at which all was held that the store had then.
+    """The last time at which the local data was known to be the newest.
 
     Attributes
     ----------
     at
-        That moment by this instance's boot clock; nothing before the first.
+        That time by this instance's boot clock; None before the first proof.
     """
 
     def __init__(self, boot_clock: Callable[[], float]) -> None:
         self._now = boot_clock
         self._offsets: dict[int, float] = {}
-        self._void = False
+        self._invalid = False
         self.at: float | None = None
 
     def age(self) -> float:
         """Return how old the proof is, in seconds; infinite without one."""
-        if self.at is None or self._void:
+        if self.at is None or self._invalid:
             return math.inf
         return max(self._now() - self.at, 0)
 
     def invalidate(self) -> None:
-        """Take what is held for old, however new the news is.
+        """Treat the local data as infinitely old until `restore`.
 
-        A newest configuration that can not be read here leaves an older one
-        in force.
+        When the newest configuration can not be decoded here, an older one
+        stays in force.
         """
-        self._void = True
+        self._invalid = True
 
     def restore(self) -> None:
-        """Take what is held for as new as the news is."""
-        self._void = False
+        """Treat the local data as old as its proof again."""
+        self._invalid = False
 
     def record_own(self, at: float) -> None:
-        """Take in what this instance has found out by itself."""
+        """Record a proof by this instance's own clock."""
         if self.at is None or at > self.at:
             self.at = at
 
-    def compare(self, boot: int, asked_at: float, clock: float | None) -> None:
-        """Take in what a relay's clock showed after it was asked for.
+    def record_clock(
+        self, boot: int, requested_at: float, clock: float | None
+    ) -> None:
+        """Record a relay's clock from its reply.
 
         Parameters
         ----------
         boot
-            The relay's start; another one has another clock.
-        asked_at
-            When it was asked, by this instance's clock.
+            Identifies the relay's start; each start has its own clock.
+        requested_at
+            When the clock was requested, by this instance's clock.
         """
         if clock is not None:
-            self._offsets[boot] = asked_at - clock
+            self._offsets[boot] = requested_at - clock
 
     def record_relayed(
         self, boot: int, proved_at: float | None, clock: float | None
     ) -> None:
-        """Take in a relay's proof, where all that it holds is held here.
+        """Record a relay's proof; the local data must match the relay's.
 
-        What the relay sent at `clock` by its own clock is here by now, so the
-        difference of the clocks is no larger than it seems by that.
+        The relay sent the message at `clock` by its own clock, and it has
+        arrived by now. That bounds the difference of the clocks from above.
         """
         offset = self._offsets.get(boot)
         if offset is None or proved_at is None or clock is None:
--- a/guavagate/feeds/_relays.py
+++ b/guavagate/feeds/_relays.py
@@ -1,11 +1,13 @@
-"""Which instance watches the store for all, and who steps in; no network.
+"""Decides which instance watches the store for all, and which take over.
 
 Load pattern: ninety instances follow the configuration and the registrations.
-Were all to watch, each change would end ninety calls; were all to ask for
-themselves whenever the relay's news is old, an outage of the store would meet
-hundreds of calls a second, as many again at its end. So one relays, and some
-stand-ins step in one after the other. All others ask only when they hear
-nobody, as a relay that is heard asks through its peers before its news is old.
+If all watched, each change would end ninety calls. If all read the store
+whenever the relay's data is stale, they would make hundreds of calls a second
+during an outage of the store, and again at its end. Therefore one instance
+relays, and some standbys take over one after the other. All others read the
+store only when no relay sends messages: a relay that does send them calls the
+store through its peers before its data is stale. This module does no network
+calls.
 """
 
 from collections.abc import Sequence
@@ -15,35 +17,36 @@
 from guavagate.settings import PeerSettings
 from guavagate.util.seniority import BootOf, forget_boots, rank_seniors
 
-# The store's acknowledgement has to be in force here within two seconds. A
-# relay says how old its news is; beyond this a stand-in asks the store, which
-# takes some milliseconds.
+# A change that the store acknowledged must take effect here within two seconds.
+# A relay sends the age of its data; beyond this age a standby reads the store,
+# which takes some milliseconds.
 STALE_SECONDS: Final = 1.5
-# A relay beats each 0.4 s; two missed beats, and the first stand-in acts before
-# the news of anybody is old.
-SILENT_SECONDS: Final = 0.9
-NEXT_SILENT_SECONDS: Final = 1.2
-# How many step in when the relay and the first stand-in do not help; what turns
-# single machines away leaves some of these a way.
+# A relay sends a heartbeat every 0.4 s. After two missed heartbeats the first
+# standby takes over before any instance's data is stale.
+FIRST_STANDBY_WAIT_SECONDS: Final = 0.9
+NEXT_STANDBYS_WAIT_SECONDS: Final = 1.2
+# How many instances may take over from the relay. If the store rejects single
+# machines, some of these can still reach it.
 STANDBY_COUNT: Final = 5
 
 
 def rank_relays(
     alive: Sequence[PeerSettings], boot_of: BootOf = forget_boots
 ) -> list[InstanceId]:
-    """Return all instances in the order in which they relay.
+    """Return all instances in the order in which they become relays.
 
-    Found without asking, by seniority among who is alive. Instances without
-    a callers' edge go first, as they have time to spare; the second one is of
-    another zone than the first. Should views differ, there are more relays for
-    a moment, which costs calls and nothing else.
+    Each instance computes the order locally from the uptime of the live
+    instances. Instances that serve no callers come first, as they have capacity
+    to spare; the second one is in another zone than the first. If instances
+    disagree on who is alive, there are more relays for a moment, which only
+    costs calls.
     """
     zones = {each.id: each.availability_zone for each in alive}
-    quiet = [each.id for each in alive if not each.http_address]
-    busy = [each.id for each in alive if each.http_address]
+    without_edge = [each.id for each in alive if not each.http_address]
+    with_edge = [each.id for each in alive if each.http_address]
     ranked = [
-        *rank_seniors('feed', quiet, boot_of),
-        *rank_seniors('feed', busy, boot_of),
+        *rank_seniors('feed', without_edge, boot_of),
+        *rank_seniors('feed', with_edge, boot_of),
     ]
     for place, candidate in enumerate(ranked):
         if zones[candidate] != zones[ranked[0]]:
@@ -52,21 +55,23 @@
     return ranked
 
 
-def is_due(rank: int, silence: float, age: float) -> bool:
-    """Return whether an instance asks the store itself.
+def must_read_store(rank: int, since_message: float, age: float) -> bool:
+    """Return whether an instance must read the store itself.
 
     Parameters
     ----------
     rank
-        Its place among `rank_relays`; the first one always asks.
-    silence
-        Seconds since a relay was heard.
+        Its place in `rank_relays`; the first instance always reads the store.
+    since_message
+        Seconds since a relay's last message.
     age
-        Seconds since the newest news that a relay has told was true.
+        Age of the newest data from a relay, in seconds.
     """
     if rank == 0:
         return True
     if rank > STANDBY_COUNT:
-        return silence >= STALE_SECONDS
-    patience = SILENT_SECONDS if rank == 1 else NEXT_SILENT_SECONDS
-    return silence >= patience or age >= STALE_SECONDS
+        return since_message >= STALE_SECONDS
+    wait = (
+        FIRST_STANDBY_WAIT_SECONDS if rank == 1 else NEXT_STANDBYS_WAIT_SECONDS
+    )
+    return since_message >= wait or age >= STALE_SECONDS
--- a/guavagate/feeds/_table.py
+++ b/guavagate/feeds/_table.py
@@ -1,4 +1,4 @@
-"""The objects followed, whoever told of them; nothing here goes back."""
+"""Stores the newest version of each followed object."""
 
 from collections.abc import Callable
 
@@ -13,18 +13,18 @@
 
 
 class FeedTable:
-    """Newest versions by path.
+    """The newest version of each object, by path.
 
-    Two relays and the store itself may tell of one object in any order. A
-    version that is not newer than what is held, or than what was held when
-    the object went, changes nothing: else a slow relay would bring back an
-    upstream that has left.
+    Versions of an object may arrive from two relays and from the store in any
+    order. A version that is not newer than the current one, or than the last
+    one before a removal, is ignored. Otherwise a slow relay would bring back
+    an upstream that has left.
     """
 
     def __init__(self) -> None:
-        self._held: dict[str, StoredObject] = {}
+        self._objects: dict[str, StoredObject] = {}
         self._packed: bytes | None = None
-        self._gone: dict[str, Revision] = {}
+        self._removed_versions: dict[str, Revision] = {}
         self._handlers: dict[str, tuple[Put, Remove | None]] = {}
         self._unreadable = UnreadableObjects()
         self.on_change: Callable[[FeedEntry], None] = _ignore
@@ -32,52 +32,52 @@
     def set_handlers(
         self, prefix: str, put: Put, remove: Remove | None
     ) -> None:
-        """Set what is called, without blocking, for objects of a prefix."""
+        """Set the handlers, which must not block, for objects of a prefix."""
         self._handlers[prefix] = (put, remove)
 
     def entries(self) -> list[FeedEntry]:
-        """Return all objects held."""
+        """Return all current objects."""
         return [
             FeedEntry(path=each.path, version=each.version, value=each.value)
-            for each in self._held.values()
+            for each in self._objects.values()
         ]
 
     def pack_entries(self) -> bytes:
-        """Return all objects held, packed; made anew after a change."""
+        """Return all current objects, compressed; cached until a change."""
         if self._packed is None:
             self._packed = pack(self.entries())
         return self._packed
 
     def versions(self, prefix: str) -> dict[str, Revision]:
-        """Return the versions held of a prefix's objects, by path."""
+        """Return the current versions of a prefix's objects, by path."""
         return {
-            path: held.version
-            for path, held in self._held.items()
+            path: current.version
+            for path, current in self._objects.items()
             if _find_prefix(path) == prefix
         }
 
     def apply(self, entry: FeedEntry) -> None:
-        """Take in what was told of an object."""
+        """Apply a change or a removal, if it is newer than what is stored."""
         if entry.value is None:
             self.remove(entry.path)
             return
         stored = StoredObject(entry.path, entry.value, entry.version)
-        held = self._held.get(entry.path)
-        newest = self._gone.get(entry.path, Revision(-1))
-        if held is not None:
-            newest = max(newest, held.version)
+        current = self._objects.get(entry.path)
+        newest = self._removed_versions.get(entry.path, Revision(-1))
+        if current is not None:
+            newest = max(newest, current.version)
         if stored.version <= newest:
             return
-        self._held[entry.path] = stored
+        self._objects[entry.path] = stored
         self._packed = None
-        self._put(stored)
+        self._deliver(stored)
         self.on_change(entry)
 
-    def _put(self, stored: StoredObject) -> None:
-        """Hand an object over; one that can not be read counts as gone.
+    def _deliver(self, stored: StoredObject) -> None:
+        """Pass an object to its handler; treat an unreadable one as removed.
 
-        It is held and told on all the same: one unreadable object would else
-        keep everything behind it in a copy from this instance, and from those
+        The object is stored and relayed all the same. Otherwise it would hide
+        the objects after it in a snapshot, and would not reach the instances
         that may be able to read it.
         """
         put, remove = self._handlers[_find_prefix(stored.path)]
@@ -91,25 +91,25 @@
             self._unreadable.note_read(stored.path)
 
     def remove(self, path: str) -> None:
-        """Forget an object that is gone."""
-        held = self._held.pop(path, None)
-        if held is None:
+        """Remove an object and record its last version."""
+        current = self._objects.pop(path, None)
+        if current is None:
             return
-        self._gone[path] = held.version
+        self._removed_versions[path] = current.version
         self._packed = None
         self._unreadable.note_read(path)
         _, remove = self._handlers[_find_prefix(path)]
         if remove is not None:
             remove(path.partition('/')[2])
-        self.on_change(FeedEntry(path=path, version=held.version))
+        self.on_change(FeedEntry(path=path, version=current.version))
 
     def apply_snapshot(
         self, entries: list[FeedEntry], revision: Revision
     ) -> None:
-        """Take in a copy that is complete up to a revision of the store."""
+        """Apply a snapshot that is complete up to a revision of the store."""
         present = {each.path for each in entries}
-        for path, held in list(self._held.items()):
-            if path not in present and held.version <= revision:
+        for path, current in list(self._objects.items()):
+            if path not in present and current.version <= revision:
                 self.remove(path)
         for entry in entries:
             self.apply(entry)
@@ -120,4 +120,4 @@
 
 
 def _ignore(entry: FeedEntry) -> None:
-    """Tell nobody."""
+    """Do nothing."""
--- a/standins/_safeguard_jobs.py
+++ b/standins/_safeguard_jobs.py
@@ -76,7 +76,7 @@
         'tests/jobs/test_snapshots.py',
     ),
     Safeguard(
-        'one that works on jobs does not stand in as a relay',
+        'an instance that works on jobs is no standby relay',
         'guavagate/feeds/_feed.py',
         'relaying=able and self._may_be_standby()',
         'relaying=able',
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -27,18 +27,18 @@
         'tests/platform/test_edge_keys.py',
     ),
     Safeguard(
-        'a relay tells its proof as a moment of its own clock',
+        'a relay sends its proof as a time of its own clock',
         'guavagate/feeds/_proof.py',
         '        self.record_own(proved_at + offset)\n',
         '        self.record_own(self._now() - (clock - proved_at))\n',
         'tests/feeds/test_proof.py',
     ),
     Safeguard(
-        'a proof is as old as the question',
+        'a proof is as old as its request',
         'guavagate/feeds/_feed.py',
-        '        asked_at = self._boot_clock()\n'
+        '        requested_at = self._boot_clock()\n'
         '        try:\n            stored',
-        '        asked_at = self._boot_clock() + 3600\n'
+        '        requested_at = self._boot_clock() + 3600\n'
         '        try:\n            stored',
         'tests/feeds/test_feed_proof.py',
     ),
@@ -50,9 +50,9 @@
         'tests/feeds/test_feed_proof.py',
     ),
     Safeguard(
-        'what can not be read leaves no proof',
+        'an unreadable configuration leaves no proof',
         'guavagate/feeds/_proof.py',
-        '        if self.at is None or self._void:\n',
+        '        if self.at is None or self._invalid:\n',
         '        if self.at is None:\n',
         'tests/feeds/test_proof.py',
     ),
--- a/tests/feeds/test_proof.py
+++ b/tests/feeds/test_proof.py
@@ -29,7 +29,7 @@
         self.true += way
         clock = self.read_there()
         self.true += back
-        self.proof.compare(1, asked_at, clock)
+        self.proof.record_clock(1, asked_at, clock)
 
 
 def test_without_a_proof_it_is_infinitely_old() -> None:
