--- a/guavagate/feeds/_feed.py
+++ b/guavagate/feeds/_feed.py
@@ -188,7 +188,7 @@
             self._tasks.append(self._clock.spawn(self._prove_periodically))
 
     def _join(self) -> None:
-        """Read a snapshot from a relay until one was read."""
+        """Try the relays for a snapshot until loaded or watching the store."""
         while not (self.loaded or self._mirrors):
             first = self._order_relays()[: STANDBY_COUNT + 1]
             for relay in first:
--- a/tests/feeds/fleet.py
+++ b/tests/feeds/fleet.py
@@ -1,4 +1,4 @@
-"""Instances that follow a store, with calls counted and cut."""
+"""A fleet whose store calls are counted and can be cut off."""
 
 from collections.abc import Sequence
 
@@ -11,34 +11,34 @@
 
 
 class CountingStore(MemoryStore):
-    """Counts one instance's calls; no call comes back while it is cut off."""
+    """Counts one instance's calls; no call returns while it is cut off."""
 
-    asked = 0
-    cut = False
-    # Seconds by which reads of single objects are late.
-    late = float(0)
+    calls_made = 0
+    cut_off = False
+    # Delay of reads of single objects, in seconds.
+    read_delay = float(0)
 
     def get(self, path: str) -> StoredObject | None:
         """Count a read."""
-        self._note()
-        self.clock.sleep(self.late)
+        self._count_call()
+        self.clock.sleep(self.read_delay)
         return super().get(path)
 
     def list_under(self, prefix: str) -> tuple[list[StoredObject], Revision]:
         """Count a list."""
-        self._note()
+        self._count_call()
         return super().list_under(prefix)
 
     def watch(
         self, prefix: str, since: Revision, timeout: float
     ) -> tuple[list[StoreChange], Revision]:
         """Count a watch."""
-        self._note()
+        self._count_call()
         return super().watch(prefix, since, timeout)
 
-    def _note(self) -> None:
-        self.asked += 1
-        if self.cut:
+    def _count_call(self) -> None:
+        self.calls_made += 1
+        if self.cut_off:
             self.clock.sleep(60)
 
 
@@ -46,17 +46,17 @@
     """Instances in three zones that follow two prefixes."""
 
     def __init__(
-        self, names: Sequence[str] = NAMES, *, strict: bool = False
+        self, names: Sequence[str] = NAMES, *, proving: bool = False
     ) -> None:
         self.names = names
-        self.proof_path = 'config/main' if strict else ''
+        self.proof_path = 'config/main' if proving else ''
         self.world = World()
         self.clock = self.world.clock
-        self.known: dict[str, dict[str, bytes]] = {}
-        self.told: dict[str, list[bytes]] = {}
+        self.objects: dict[str, dict[str, bytes]] = {}
+        self.received: dict[str, list[bytes]] = {}
         self.stores: dict[str, CountingStore] = {}
         self.feeds: dict[str, Feed] = {}
-        # Those that work on jobs.
+        # The instances that work on jobs.
         self.working: set[str] = set()
         for name in names:
             self.world.add(name)
@@ -67,14 +67,14 @@
         self.clock.advance(4)
 
     def _start(self, name: str, *, first: bool = True) -> None:
-        held: dict[str, bytes] = {}
-        told: list[bytes] = []
-        self.known[name] = held
-        self.told[name] = told
+        objects: dict[str, bytes] = {}
+        received: list[bytes] = []
+        self.objects[name] = objects
+        self.received[name] = received
 
         def put(stored: StoredObject) -> None:
-            held[stored.path] = stored.value
-            told.append(stored.value)
+            objects[stored.path] = stored.value
+            received.append(stored.value)
 
         host = self.world.hosts[InstanceId(name)]
         self.stores[name] = CountingStore(host.clock, self.world.store, name)
@@ -95,40 +95,40 @@
         feed.set_handlers('config', put, None)
 
         def remove(gone: str) -> None:
-            held.pop(f'servers/{gone}')
+            objects.pop(f'servers/{gone}')
 
         feed.set_handlers('servers', put, remove)
         self.feeds[name] = feed
         feed.start()
 
-    def rank(self) -> list[str]:
+    def order_relays(self) -> list[str]:
         """Return the instances in the order in which they relay."""
         first = InstanceId(self.names[0])
         alive = self.world.members[first].alive()
         return [str(each) for each in rank_relays(alive)]
 
-    def relays(self) -> list[str]:
-        """Return who relays as long as nothing is wrong."""
-        return self.rank()[:1]
+    def list_relays(self) -> list[str]:
+        """Return the instance that relays while there is no fault."""
+        return self.order_relays()[:1]
 
-    def others(self) -> list[str]:
-        """Return all but the relay."""
-        return self.rank()[1:]
+    def list_followers(self) -> list[str]:
+        """Return all instances but the relay."""
+        return self.order_relays()[1:]
 
-    def direct(self) -> set[str]:
-        """Return who calls the store."""
-        return {name for name in self.names if self.stores[name].asked}
+    def list_store_callers(self) -> set[str]:
+        """Return the instances that have called the store."""
+        return {name for name in self.names if self.stores[name].calls_made}
 
-    def clear(self) -> None:
-        """Forget who has called the store."""
+    def clear_calls(self) -> None:
+        """Reset the counts of store calls."""
         self.world.store.calls.clear()
         for store in self.stores.values():
-            store.asked = 0
+            store.calls_made = 0
 
-    def ages(self, names: Sequence[str]) -> list[float]:
-        """Return how old these hold their configuration to be at most."""
+    def list_ages(self, names: Sequence[str]) -> list[float]:
+        """Return the proven age of these instances' configurations."""
         return [self.feeds[name].proof.age() for name in names]
 
-    def values(self, names: list[str]) -> set[bytes]:
-        """Return what these hold of the configuration."""
-        return {self.known[name]['config/main'] for name in names}
+    def list_values(self, names: list[str]) -> set[bytes]:
+        """Return the configurations of these instances."""
+        return {self.objects[name]['config/main'] for name in names}
--- a/tests/feeds/test_feed.py
+++ b/tests/feeds/test_feed.py
@@ -1,4 +1,4 @@
-"""The feed while relays are killed, paused, cut off or turned away."""
+"""Tests of the feed while relays are killed, paused or cut off."""
 
 import pytest
 
@@ -11,23 +11,23 @@
 
 @pytest.fixture
 def fleet() -> Fleet:
-    """Return six instances that have settled."""
+    """Return six instances in a steady state."""
     return Fleet()
 
 
 def test_one_instance_watches_for_a_small_fleet(fleet: Fleet) -> None:
-    """At rest only they call the store; a change is everywhere at once."""
+    """In a steady state only the relay calls; all receive a change at once."""
     fleet.world.store.calls.clear()
     fleet.clock.advance(10)
     calls = sum(fleet.world.store.calls.values())
     assert calls < 2 * 10 / 0.9 + 4
     fleet.world.store.change('config/main', b'2')
     fleet.clock.advance(0.2)
-    assert fleet.values(list(NAMES)) == {b'2'}
+    assert fleet.list_values(list(NAMES)) == {b'2'}
 
 
-def test_the_first_stand_in_is_of_another_zone() -> None:
-    """A zone that goes takes the relay along, and not its stand-in."""
+def test_the_first_standby_is_in_another_zone() -> None:
+    """The failure of a zone must not stop both the relay and its standby."""
     world = World()
     for number in range(40):
         world.add(f'n{number}')
@@ -37,117 +37,117 @@
     assert len(zones) == 2
 
 
-def test_the_store_is_away_and_few_ask_for_it() -> None:
-    """No call of forty instances is answered for six seconds.
+def test_few_instances_call_an_unavailable_store() -> None:
+    """The store answers no call of forty instances for six seconds.
 
-    The relay says that its news is old. Were each instance to ask for itself
-    then, the store would meet hundreds of calls a second, each of them with
-    its price, and as many at its return. Some stand-ins ask, the relay asks
-    through peers, and all others hear from them when the store is back.
+    The relay reports that its data is stale. If each instance then called the
+    store itself, these would be hundreds of billed calls a second, and as many
+    when the store is back. Only some standbys call it, the relay calls it
+    through peers, and all others receive the next change from them.
     """
     fleet = Fleet([f'n{number}' for number in range(40)])
-    fleet.clear()
+    fleet.clear_calls()
     fleet.world.store.outage = True
     fleet.clock.advance(6)
-    assert len(fleet.direct()) <= 6
+    assert len(fleet.list_store_callers()) <= 6
     fleet.world.store.outage = False
     fleet.world.store.change('config/main', b'2')
     fleet.clock.advance(1.9)
-    assert fleet.values(list(fleet.names)) == {b'2'}
-    assert len(fleet.direct()) <= 6
+    assert fleet.list_values(list(fleet.names)) == {b'2'}
+    assert len(fleet.list_store_callers()) <= 6
 
 
-def test_the_relay_dies_in_a_large_fleet_and_few_list_anew() -> None:
-    """Its stand-in hears no beat, lists, and tells the others in time."""
+def test_few_instances_list_anew_when_the_relay_dies() -> None:
+    """Its standby misses heartbeats, lists, and updates the others in time."""
     fleet = Fleet([f'n{number}' for number in range(40)])
-    fleet.clear()
-    relay = fleet.relays()[0]
+    fleet.clear_calls()
+    relay = fleet.list_relays()[0]
     fleet.world.hosts[InstanceId(relay)].kill()
     fleet.world.store.change('config/main', b'2')
     fleet.clock.advance(1.9)
     others = [name for name in fleet.names if name != relay]
-    assert fleet.values(others) == {b'2'}
-    assert len(fleet.direct()) <= 6
+    assert fleet.list_values(others) == {b'2'}
+    assert len(fleet.list_store_callers()) <= 6
 
 
-def test_relay_and_stand_ins_die_and_the_others_ask_themselves() -> None:
-    """All who would step in are killed at once; a change comes right then."""
+def test_others_read_the_store_when_relay_and_standbys_die() -> None:
+    """The relay and all standbys are killed just before a change."""
     fleet = Fleet([f'n{number}' for number in range(20)])
-    killed = fleet.rank()[:8]
+    killed = fleet.order_relays()[:8]
     for name in killed:
         fleet.world.hosts[InstanceId(name)].kill()
     fleet.world.store.change('config/main', b'2')
     fleet.clock.advance(1.9)
     others = [name for name in fleet.names if name not in killed]
-    assert fleet.values(others) == {b'2'}
+    assert fleet.list_values(others) == {b'2'}
 
 
-def test_relay_and_stand_in_are_cut_off_from_the_store() -> None:
-    """They live and beat; the next ones step in for a change at that moment."""
+def test_relay_and_standby_are_cut_off_from_the_store() -> None:
+    """They still send heartbeats; the next standbys relay a change in time."""
     fleet = Fleet([f'n{number}' for number in range(20)])
-    for name in fleet.rank()[:2]:
-        fleet.stores[name].cut = True
+    for name in fleet.order_relays()[:2]:
+        fleet.stores[name].cut_off = True
     fleet.clock.advance(0.95)
     fleet.world.store.change('config/main', b'2')
     fleet.clock.advance(1.9)
-    others = fleet.rank()[2:]
-    assert fleet.values(others) == {b'2'}
+    others = fleet.order_relays()[2:]
+    assert fleet.list_values(others) == {b'2'}
 
 
-def test_the_relays_die_and_a_change_is_in_force_in_time(
+def test_a_change_takes_effect_in_time_when_the_relays_die(
     fleet: Fleet,
 ) -> None:
     """The configuration changes as the relays are killed.
 
-    Nobody tells the others. They hear no beat and ask the store themselves,
-    before the two seconds are over in which the change has to be in force.
+    The others receive neither the change nor a heartbeat. They read the store
+    themselves within the two seconds in which a change must take effect.
     """
-    others = fleet.others()
-    for relay in fleet.relays():
+    others = fleet.list_followers()
+    for relay in fleet.list_relays():
         fleet.world.hosts[InstanceId(relay)].kill()
     fleet.world.store.change('config/main', b'2')
     fleet.clock.advance(1.9)
-    assert fleet.values(others) == {b'2'}
+    assert fleet.list_values(others) == {b'2'}
 
 
 def test_the_relays_are_cut_off_from_the_store(fleet: Fleet) -> None:
-    """They live and beat, and their watches hang: they know of no change.
+    """Their watches hang, so they see no change, but they send heartbeats.
 
-    Their beats tell how old their news is; the others stop relying on them.
+    The heartbeats contain the age of their data, so the others stop following.
     """
-    others = fleet.others()
-    for relay in fleet.relays():
-        fleet.stores[relay].cut = True
+    others = fleet.list_followers()
+    for relay in fleet.list_relays():
+        fleet.stores[relay].cut_off = True
     fleet.clock.advance(0.7)
     fleet.world.store.change('config/main', b'2')
     fleet.clock.advance(1.9)
-    assert fleet.values(others) == {b'2'}
+    assert fleet.list_values(others) == {b'2'}
 
 
-def test_a_stand_in_goes_on_while_the_relay_is_cut_off() -> None:
-    """The relay's way to the store stays silent for twenty seconds.
+def test_a_standby_goes_on_while_the_relay_is_cut_off() -> None:
+    """The relay's calls to the store get no answer for twenty seconds.
 
-    Five step in. If each relied on the others they would all stop, news would
-    grow old, and they would list all anew every few seconds.
+    Five standbys take over. If each relied on the others, all would stop, the
+    data would become stale, and they would list all anew every few seconds.
     """
     fleet = Fleet([f'n{number}' for number in range(20)])
-    fleet.stores[fleet.relays()[0]].cut = True
+    fleet.stores[fleet.list_relays()[0]].cut_off = True
     fleet.clock.advance(6)
-    fleet.clear()
+    fleet.clear_calls()
     fleet.clock.advance(14)
-    assert fleet.direct() <= set(fleet.rank()[:2])
+    assert fleet.list_store_callers() <= set(fleet.order_relays()[:2])
     assert not fleet.world.store.calls['list']
 
 
-def test_one_that_works_on_jobs_does_not_step_in_for_others() -> None:
-    """The first stand-in owns jobs and no longer hears the relay.
+def test_an_instance_that_works_on_jobs_does_not_relay() -> None:
+    """The first standby owns jobs and receives nothing from the relay.
 
-    Stepping in it would link up with all others and tell each of them all,
-    while its own results wait to be listed. It follows the store for itself,
-    and with the relay gone for all the next stand-in relays.
+    As a relay it would open links to all others and send them all objects,
+    which delays the listing of its own results. It watches the store for itself
+    alone, and the next standby relays.
     """
     fleet = Fleet([f'n{number}' for number in range(20)])
-    relay, owner, second = fleet.rank()[:3]
+    relay, owner, second = fleet.order_relays()[:3]
     fleet.working.add(owner)
     fleet.world.hosts[InstanceId(relay)].kill()
     fleet.clock.advance(3)
@@ -155,27 +155,27 @@
     assert fleet.feeds[second].relaying
     fleet.world.store.change('config/main', b'2')
     fleet.clock.advance(2)
-    assert fleet.values(fleet.others()) == {b'2'}
+    assert fleet.list_values(fleet.list_followers()) == {b'2'}
 
 
-def test_no_instance_ever_goes_back(fleet: Fleet) -> None:
-    """Relays change hands while the configuration changes ten times."""
+def test_no_instance_returns_to_an_older_version(fleet: Fleet) -> None:
+    """The relay changes while the configuration changes ten times."""
     for number in range(2, 12):
         fleet.world.store.change('config/main', str(number).encode())
         if number % 3 == 0:
-            fleet.world.pause(fleet.relays()[0])
+            fleet.world.pause(fleet.list_relays()[0])
         fleet.clock.advance(0.8)
     for name in NAMES:
         fleet.world.resume(name)
     fleet.clock.advance(8)
     for name in NAMES:
-        versions = [int(each) for each in fleet.told[name]]
+        versions = [int(each) for each in fleet.received[name]]
         assert versions == sorted(versions)
         assert versions[-1] == 11
 
 
 def test_an_upstream_that_left_does_not_come_back() -> None:
-    """A slow relay tells of it after the other told that it is gone."""
+    """A slow relay sends it after another relay has sent its removal."""
     table = FeedTable()
     held: dict[str, bytes] = {}
     table.set_handlers(
@@ -193,40 +193,40 @@
     assert held
 
 
-def test_what_went_while_nobody_listened_is_dropped(fleet: Fleet) -> None:
-    """A follower misses the removal of an upstream and reads the whole copy."""
+def test_a_missed_removal_is_applied_from_a_snapshot(fleet: Fleet) -> None:
+    """A follower is paused while an upstream is removed."""
     fleet.world.store.change('servers/x', b'1')
     fleet.clock.advance(1)
-    other = fleet.others()[0]
-    assert 'servers/x' in fleet.known[other]
+    other = fleet.list_followers()[0]
+    assert 'servers/x' in fleet.objects[other]
     fleet.world.pause(other)
     fleet.clock.advance(3)
     fleet.world.store.change('servers/x', None)
     fleet.clock.advance(3)
     fleet.world.resume(other)
     fleet.clock.advance(6)
-    assert 'servers/x' not in fleet.known[other]
+    assert 'servers/x' not in fleet.objects[other]
 
 
-def test_a_fleet_that_starts_leaves_the_store_alone() -> None:
+def test_a_first_start_makes_few_store_calls() -> None:
     """Six instances start at once for the first time.
 
-    The relay lists and watches for all; the others ask it for what it has.
-    Were each to watch until a relay has told it, a fleet of ninety would make
-    half of a day's calls in its first seconds.
+    The relay lists and watches for all; the others read its snapshot. If each
+    watched until a relay sent data, a fleet of ninety would make half of a
+    day's calls in its first seconds.
     """
     fleet = Fleet()
     alone = len(NAMES) * 2
     assert sum(fleet.world.store.calls.values()) < alone + 4 * 2 / 0.9
 
 
-def test_one_that_finds_no_relay_watches_for_itself() -> None:
-    """It starts and reaches no other instance, but the store.
+def test_an_instance_that_finds_no_relay_watches_for_itself() -> None:
+    """It starts and reaches the store, but no other instance.
 
-    After two seconds it stops waiting to be told.
+    After two seconds it stops waiting for a relay.
     """
     fleet = Fleet()
-    name = fleet.others()[0]
+    name = fleet.list_followers()[0]
     fleet.world.kill(name)
     fleet.clock.advance(4)
     fleet.world.add(name)
@@ -235,17 +235,17 @@
         fleet.world.network.blocked |= {(one, two), (two, one)}
     fleet._start(name)
     fleet.clock.advance(1.5)
-    assert not fleet.known[name]
+    assert not fleet.objects[name]
     fleet.clock.advance(1.5)
-    assert fleet.known[name]['config/main'] == b'1'
+    assert fleet.objects[name]['config/main'] == b'1'
 
 
-def test_all_are_killed_and_serve_again_at_once() -> None:
-    """Every instance starts again, and callers are waiting.
+def test_all_instances_restart_and_serve_at_once() -> None:
+    """Every instance is killed and restarts while callers are waiting.
 
-    There is no relay until the instances have found each other. Were they to
-    wait for it half a second, callers would be refused, come back, and be
-    refused again.
+    There is no relay until the instances have found each other. If they waited
+    half a second for one, callers would be refused, retry and be refused
+    again.
     """
     fleet = Fleet()
     for name in NAMES:
@@ -256,18 +256,18 @@
     for name in NAMES:
         fleet._start(name, first=False)
     fleet.clock.advance(0.1)
-    assert all('config/main' in fleet.known[name] for name in NAMES)
+    assert all('config/main' in fleet.objects[name] for name in NAMES)
 
 
 def test_an_instance_is_loaded_as_soon_as_it_has_read_all() -> None:
-    """All instances were killed and start again; callers are waiting.
+    """An instance restarts while callers are waiting.
 
-    The store answers within milliseconds. Until an instance says that it is
-    loaded it refuses callers, and the balancer, which asks once a second, may
-    find it unready for a second more.
+    The store answers within milliseconds. The instance refuses callers until
+    it is loaded, and the load balancer, which probes once a second, could see
+    it unready for a second more.
     """
     fleet = Fleet('a')
     fleet._start('a', first=False)
     fleet.clock.advance(0.05)
-    assert fleet.known['a']
+    assert fleet.objects['a']
     assert fleet.feeds['a'].loaded
--- a/tests/feeds/test_packing.py
+++ b/tests/feeds/test_packing.py
@@ -1,4 +1,4 @@
-"""Copies of the feed for a fleet that starts at once."""
+"""Tests of compressed snapshots for a fleet that starts at once."""
 
 import random
 
@@ -22,34 +22,34 @@
     table = FeedTable()
 
     def put(stored: StoredObject) -> None:
-        """Take it as it is."""
+        """Accept any object."""
 
     table.set_handlers('servers', put, lambda name: None)
     for number in range(upstreams):
-        _take(table, number, 1)
+        _apply(table, number, 1)
     return table
 
 
-def _find_path(number: int) -> str:
+def _make_path(number: int) -> str:
     return f'servers/i-{random.Random(number).getrandbits(40):010x}'
 
 
-def _take(table: FeedTable, number: int, version: int) -> None:
-    drawn = random.Random(number)
-    address = (drawn.randrange(256), drawn.randrange(256))
+def _apply(table: FeedTable, number: int, version: int) -> None:
+    generator = random.Random(number)
+    address = (generator.randrange(256), generator.randrange(256))
     table.apply(
         FeedEntry(
-            path=_find_path(number),
+            path=_make_path(number),
             version=Revision(version),
             value=_REGISTRATION % (*address, version),
         )
     )
 
 
-def test_a_start_of_all_fits_into_a_relays_memory() -> None:
-    """Three hundred instances ask for 730 registrations at once.
+def test_snapshots_for_all_fit_into_a_relays_memory() -> None:
+    """Three hundred instances request 730 registrations at once.
 
-    A relay has 32 MB for control; what waits for its link has to fit in.
+    A relay has 32 MB for control, and its pending output has to fit into that.
     """
     table = _make_table(730)
     replies = [table.pack_entries() for _ in range(300)]
@@ -57,33 +57,33 @@
     assert len({id(each) for each in replies}) == 1
 
 
-def test_a_copy_is_what_the_relay_holds() -> None:
-    """Nothing is lost on the way, and a change is in the next copy."""
+def test_a_snapshot_has_all_objects_of_the_relay() -> None:
+    """A snapshot contains each object, and the next one contains a change."""
     table = _make_table(3)
     assert unpack(table.pack_entries()) == table.entries()
-    _take(table, 1, 2)
+    _apply(table, 1, 2)
     assert unpack(table.pack_entries()) == table.entries()
-    table.remove(_find_path(2))
+    table.remove(_make_path(2))
     assert unpack(table.pack_entries()) == table.entries()
     assert len(table.entries()) == 2
 
 
 @pytest.mark.parametrize('broken', [b'x', b'', b'\x78\x01'])
-def test_what_is_no_copy_drops_nothing(broken: bytes) -> None:
-    """It raises; taken for an empty copy it would remove all upstreams."""
+def test_an_invalid_snapshot_raises(broken: bytes) -> None:
+    """Read as an empty snapshot it would remove all upstreams."""
     with pytest.raises(LinkError):
         unpack(broken)
 
 
-def test_a_copy_that_was_cut_off_is_none() -> None:
-    """Half of the bytes have come."""
+def test_a_truncated_snapshot_raises() -> None:
+    """Only half of the bytes have arrived."""
     packed = pack(_make_table(50).entries())
     with pytest.raises(LinkError):
         unpack(packed[: len(packed) // 2])
 
 
-def test_releases_that_know_no_packing_get_plain_entries() -> None:
-    """An older one asks without the word, and one answers with entries."""
+def test_releases_without_packing_get_plain_entries() -> None:
+    """Older releases send requests without `packed` and reply with entries."""
     assert not ReadFeed().packed
     copy = FeedCopy(boot=1, number=1, age=0, revision=Revision(1))
     assert (copy.entries, copy.packed) == ([], b'')
--- a/tests/feeds/test_proof.py
+++ b/tests/feeds/test_proof.py
@@ -1,4 +1,4 @@
-"""How new what is held is, by clocks that differ, drift and stand still."""
+"""Tests of a proof's age when clocks differ, drift and machines suspend."""
 
 import math
 
@@ -11,87 +11,91 @@
     """A relay and a follower; their boot clocks start far apart."""
 
     def __init__(self) -> None:
-        self.true = float(0)
+        self.true_time = float(0)
         self.rate = 1.0
         self.proof = Proof(self.read_here)
 
     def read_here(self) -> float:
         """Return the follower's boot clock."""
-        return 5000 + self.true
+        return 5000 + self.true_time
 
     def read_there(self) -> float:
         """Return the relay's boot clock."""
-        return 70 + self.true * self.rate
+        return 70 + self.true_time * self.rate
 
-    def compare(self, way: float = 0.001, back: float = 0.001) -> None:
-        """Ask the relay for its clock; `way` and `back` in seconds."""
-        asked_at = self.read_here()
-        self.true += way
+    def compare_clocks(self, way: float = 0.001, back: float = 0.001) -> None:
+        """Read the relay's clock; `way` and `back` are delays in seconds."""
+        requested_at = self.read_here()
+        self.true_time += way
         clock = self.read_there()
-        self.true += back
-        self.proof.record_clock(1, asked_at, clock)
+        self.true_time += back
+        self.proof.record_clock(1, requested_at, clock)
 
 
-def test_without_a_proof_it_is_infinitely_old() -> None:
+def test_the_age_is_infinite_without_a_proof() -> None:
     """An instance that has just started honours no key."""
     assert Proof(float).age() == math.inf
 
 
-def test_a_relays_proof_is_never_taken_for_newer_than_it_is() -> None:
-    """Its answer about the clock may have been long on the way."""
+def test_a_relays_proof_never_seems_newer_than_it_is() -> None:
+    """The relay's reply with its clock may be delayed either way."""
     for way, back in ((0.001, 0.001), (0.5, 0.001), (0.001, 0.5)):
-        held = _Machines()
-        held.compare(way, back)
-        proved_at, true_then = held.read_there(), held.true
-        held.true += 1
-        held.proof.record_relayed(1, proved_at, held.read_there())
-        truly = held.true - true_then
-        assert truly - 1e-9 <= held.proof.age() <= truly + way + back
+        machines = _Machines()
+        machines.compare_clocks(way, back)
+        proved_at, proved_time = machines.read_there(), machines.true_time
+        machines.true_time += 1
+        machines.proof.record_relayed(1, proved_at, machines.read_there())
+        true_age = machines.true_time - proved_time
+        assert true_age - 1e-9 <= machines.proof.age() <= true_age + way + back
 
 
-def test_news_that_lay_in_a_socket_of_a_suspended_process_is_old() -> None:
-    """It wakes and reads what the relay sent before; the beat says `now`."""
-    held = _Machines()
-    held.compare()
-    proved_at, sent_at = held.read_there(), held.read_there()
-    held.true += 30
-    held.proof.record_relayed(1, proved_at, sent_at)
-    assert held.proof.age() >= 30
+def test_a_message_in_the_socket_of_a_suspended_process_is_old() -> None:
+    """After it resumes, the process reads a heartbeat that was sent before."""
+    machines = _Machines()
+    machines.compare_clocks()
+    proved_at, sent_at = machines.read_there(), machines.read_there()
+    machines.true_time += 30
+    machines.proof.record_relayed(1, proved_at, sent_at)
+    assert machines.proof.age() >= 30
 
 
 def test_a_relay_whose_clock_was_never_compared_proves_nothing() -> None:
-    """Also one that has started again: its clock is another one."""
-    held = _Machines()
-    held.compare()
-    held.proof.record_relayed(2, held.read_there(), held.read_there())
-    assert held.proof.age() == math.inf
-
-
-def test_clocks_drift_apart_and_the_proof_does_not_get_younger() -> None:
-    """The relay's runs too fast by a second in twenty minutes."""
-    held = _Machines()
-    held.compare()
-    held.rate = 1 + 1 / 1200
-    held.true += 2400
-    held.proof.record_relayed(1, held.read_there(), held.read_there())
-    assert held.proof.age() == pytest.approx(0, abs=0.01)
-    held.true += 3
-    assert held.proof.age() == pytest.approx(3, abs=0.02)
-
-
-def test_older_news_does_not_replace_newer() -> None:
-    """Two relays tell; the one that is cut off tells old proofs."""
-    held = _Machines()
-    held.proof.record_own(held.read_here())
-    held.proof.record_own(held.read_here() - 3)
-    assert held.proof.age() == 0
-
-
-def test_a_configuration_that_can_not_be_read_leaves_no_proof() -> None:
-    """The one in force is an older one, however new the news is."""
-    held = _Machines()
-    held.proof.record_own(held.read_here())
-    held.proof.invalidate()
-    assert held.proof.age() == math.inf
-    held.proof.restore()
-    assert held.proof.age() == 0
+    """After its restart a relay has another clock, not compared yet."""
+    machines = _Machines()
+    machines.compare_clocks()
+    machines.proof.record_relayed(
+        2, machines.read_there(), machines.read_there()
+    )
+    assert machines.proof.age() == math.inf
+
+
+def test_the_proof_gets_no_younger_when_clocks_drift_apart() -> None:
+    """The relay's clock gains a second in twenty minutes."""
+    machines = _Machines()
+    machines.compare_clocks()
+    machines.rate = 1 + 1 / 1200
+    machines.true_time += 2400
+    machines.proof.record_relayed(
+        1, machines.read_there(), machines.read_there()
+    )
+    assert machines.proof.age() == pytest.approx(0, abs=0.01)
+    machines.true_time += 3
+    assert machines.proof.age() == pytest.approx(3, abs=0.02)
+
+
+def test_an_older_proof_does_not_replace_a_newer_one() -> None:
+    """Of two relays, one is cut off from the store and sends old proofs."""
+    machines = _Machines()
+    machines.proof.record_own(machines.read_here())
+    machines.proof.record_own(machines.read_here() - 3)
+    assert machines.proof.age() == 0
+
+
+def test_an_unreadable_configuration_leaves_no_proof() -> None:
+    """An older configuration stays in force, however new the proof is."""
+    machines = _Machines()
+    machines.proof.record_own(machines.read_here())
+    machines.proof.invalidate()
+    assert machines.proof.age() == math.inf
+    machines.proof.restore()
+    assert machines.proof.age() == 0
