--- a/guavagate/permits/_choice.py
+++ b/guavagate/permits/_choice.py
@@ -1,4 +1,4 @@
-"""An entry's choice among the pools of a deployment."""
+"""Chooses a pool of a deployment for an entry's work."""
 
 from typing import Final
 
@@ -12,17 +12,17 @@
 
 # Engines cache whole blocks of tokens; 64 tokens are about 256 characters.
 BLOCK_CHARACTERS: Final = 256
-# Longer shared prefixes than this many blocks say no more about where to go.
+# Longer shared prefixes than this many blocks do not improve the choice.
 MAX_BLOCKS: Final = 16
 CHARACTERS_PER_TOKEN: Final = 4
 
 
 def hash_prefixes(prompt: str) -> tuple[int, ...]:
-    """Return hashes of the prompt's growing prefixes, the shortest first."""
+    """Return hashes of the prompt's prefixes, from shortest to longest."""
     hashed = xxhash.xxh3_64()
     keys: list[int] = []
-    for place in range(min(len(prompt) // BLOCK_CHARACTERS, MAX_BLOCKS)):
-        start = place * BLOCK_CHARACTERS
+    for index in range(min(len(prompt) // BLOCK_CHARACTERS, MAX_BLOCKS)):
+        start = index * BLOCK_CHARACTERS
         block = prompt[start : start + BLOCK_CHARACTERS]
         hashed.update(block.encode())
         keys.append(hashed.intdigest())
@@ -30,19 +30,19 @@
 
 
 def estimate_tokens(text: str) -> int:
-    """Return about how many tokens a text has."""
+    """Return an estimate of the number of tokens in a text."""
     return max(len(text) // CHARACTERS_PER_TOKEN, 1)
 
 
 class PoolChooser:
-    """What this entry has learnt of pools from the answers of their homes."""
+    """Chooses a pool by the load that the queue owners have reported."""
 
     def __init__(self, runtime: Runtime) -> None:
         self._runtime = runtime
         self._views: dict[str, PoolView] = {}
 
     def update_load(self, pool: str, load: float) -> None:
-        """Take in the load that a home's answer carries."""
+        """Record the load from a queue owner's reply."""
         view = self._views.get(pool)
         if view is not None:
             view.load = load
@@ -55,7 +55,7 @@
         deployment: DeploymentId,
         work: Work,
     ) -> str:
-        """Return the key of the pool to ask.
+        """Return the key of the pool to send the work to.
 
         Raises
         ------
--- a/guavagate/permits/_client.py
+++ b/guavagate/permits/_client.py
@@ -1,4 +1,4 @@
-"""The entry's side of permits: ask the pool's home, hold, give back."""
+"""Acquires and releases permits from pools' queue owners for an entry."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -37,16 +37,16 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# An entry asks again at this pace while its work is queued, under the same
-# work id, so that a home that died or moved is found within it. A wait beyond
-# it costs one message every two seconds.
-POLL_SECONDS: Final = 2.0
-LINK_MARGIN: Final = 0.5
-REASK_PAUSE: Final = 0.05
+# While its work is queued, an entry repeats its request after this time, with
+# the same work id. It so finds a new queue owner within this time, at the cost
+# of one message every two seconds.
+POLL_INTERVAL_SECONDS: Final = 2.0
+LINK_MARGIN_SECONDS: Final = 0.5
+RETRY_PAUSE_SECONDS: Final = 0.05
 
 
 class FailedAttempt(msgspec.Struct, frozen=True, kw_only=True):
-    """What the home is told of an attempt before it judges a retry."""
+    """Describes a failed attempt to the queue owner, which decides a retry."""
 
     upstream: UpstreamId
     started: bool
@@ -54,48 +54,51 @@
 
 
 class PermitClient:
-    """Holds this instance's permits; one for each daemon."""
+    """Tracks the permits of this instance; one for each process."""
 
     def __init__(self, runtime: Runtime, queue_owner: QueueOwner) -> None:
         self._runtime = runtime
         self._queue_owner = queue_owner
         self._me = runtime.settings.id
-        self._held: dict[str, dict[RequestId, HeldPermit]] = {}
-        self._told: dict[str, InstanceId] = {}
+        self._permits: dict[str, dict[RequestId, HeldPermit]] = {}
+        self._notified_owners: dict[str, InstanceId] = {}
         self._run_starters: dict[RequestId, Callable[[Permit], None]] = {}
-        queue_owner.connect_local_entry(self._take_copy, self.find_missing)
+        queue_owner.connect_local_entry(
+            self._start_speculative_run, self.find_missing
+        )
         runtime.bus.register(AskHeld, self._on_ask_held)
-        runtime.bus.register(RunCopy, self._on_copy)
+        runtime.bus.register(RunCopy, self._on_run_copy)
 
     def start(self) -> None:
-        """Keep homes informed of what is held."""
-        self._runtime.members.subscribe(self._tell_moved)
+        """Send this instance's permits to each new queue owner."""
+        self._runtime.members.subscribe(self._notify_moved)
 
     def now(self) -> float:
         """Return the runtime's time."""
         return self._runtime.clock.now()
 
     def count_permits(self) -> int:
-        """Return how many permits are held."""
-        return sum(len(held) for held in self._held.values())
+        """Return how many permits are in use."""
+        return sum(len(permits) for permits in self._permits.values())
 
     def acquire(
         self, pool: str, work: Work, failed: FailedAttempt | None = None
     ) -> Permit:
         """Wait for a permit, at most to the work's deadline.
 
-        After a failed attempt the home judges whether there is a retry.
+        After a failed attempt the queue owner decides whether to retry.
 
         Raises
         ------
         RefusalError
-            The home refused, or no home answered in time; not run.
+            The queue owner refused, or none answered in time; the work has
+            not run.
         """
         try:
             return self._acquire(pool, work, failed)
         except gevent.GreenletExit:
-            # The caller is gone. Without this the work would keep its seat
-            # until it is seen abandoned, and might be granted meanwhile.
+            # The caller has disconnected. Without this the work would stay
+            # queued until it counts as abandoned, and might get a permit.
             self._withdraw(pool, work)
             raise
 
@@ -105,32 +108,32 @@
         while True:
             remaining = work.deadline - self.now()
             if remaining <= 0:
-                raise self._give_up(pool, work)
-            reply = self._ask(pool, work, remaining, failed)
+                raise self._time_out(pool, work)
+            reply = self._request(pool, work, remaining, failed)
             if reply is not None and not reply.not_home:
                 failed = None
             if reply is None or reply.not_home:
-                self._runtime.clock.sleep(REASK_PAUSE)
+                self._runtime.clock.sleep(RETRY_PAUSE_SECONDS)
                 continue
             if reply.refusal is not None:
-                raise _refuse(reply)
+                raise _make_refusal(reply)
             if reply.permit is not None:
-                return self._hold(work, reply.permit)
+                return self._record_permit(work, reply.permit)
 
     def accept_speculative_runs(
-        self, work_id: RequestId, take: Callable[[Permit], None]
+        self, work_id: RequestId, start: Callable[[Permit], None]
     ) -> None:
-        """Have second copies of some work offered; `take` must not block."""
-        self._run_starters[work_id] = take
+        """Accept speculative runs of some work; `start` must not block."""
+        self._run_starters[work_id] = start
 
     def decline_speculative_runs(self, work_id: RequestId) -> None:
-        """Decline further copies of some work."""
+        """Decline further speculative runs of some work."""
         self._run_starters.pop(work_id, None)
 
     def end_speculative_run(
         self, permit: Permit, *, tokens: int = 0, seconds: float = 0
     ) -> None:
-        """Give a copy's permit back; without tokens it has failed."""
+        """Release a speculative run's permit; without tokens it has failed."""
         self._send_release(
             ReleasePermit(
                 pool=permit.pool,
@@ -143,8 +146,8 @@
         )
 
     def drop(self, permit: Permit) -> None:
-        """Hold a permit no longer; its failure goes with the next request."""
-        self._held.get(permit.pool, {}).pop(permit.work_id, None)
+        """Forget a permit; the next request reports its failure."""
+        self._permits.get(permit.pool, {}).pop(permit.work_id, None)
 
     def release(
         self,
@@ -156,7 +159,7 @@
         first_token_seconds: float = 0,
         cached_tokens: int = 0,
     ) -> None:
-        """Give a permit back with what was measured under it."""
+        """Release a permit with the measurements of its work."""
         self.drop(permit)
         self._send_release(
             ReleasePermit(
@@ -171,13 +174,13 @@
             )
         )
 
-    def report_slow(self, permit: Permit, pace: float) -> None:
-        """Tell the home of a slow stream; `pace` in seconds a token."""
+    def report_slow(self, permit: Permit, token_interval: float) -> None:
+        """Report a slow stream to the queue owner; seconds per token."""
         report = ReportSlow(
             pool=permit.pool,
             work_id=permit.work_id,
             upstream=permit.upstream,
-            pace=pace,
+            pace=token_interval,
         )
         owner = self._find_owner(permit.pool)
         if owner == self._me:
@@ -192,17 +195,17 @@
         elif owner is not None:
             self._runtime.bus.send(owner, message)
 
-    def _take_copy(self, permit: Permit) -> None:
-        take = self._run_starters.get(permit.work_id, self.end_speculative_run)
-        take(permit)
+    def _start_speculative_run(self, permit: Permit) -> None:
+        start = self._run_starters.get(permit.work_id, self.end_speculative_run)
+        start(permit)
 
-    def _on_copy(self, sender: InstanceId, message: Message) -> None:
-        self._take_copy(expect(message, RunCopy).permit)
+    def _on_run_copy(self, sender: InstanceId, message: Message) -> None:
+        self._start_speculative_run(expect(message, RunCopy).permit)
 
     def _find_owner(self, pool: str) -> InstanceId | None:
         return find_queue_owner(pool, self._runtime.members.alive())
 
-    def _ask(
+    def _request(
         self,
         pool: str,
         work: Work,
@@ -210,8 +213,8 @@
         failed: FailedAttempt | None,
     ) -> PermitReply | None:
         owner = self._find_owner(pool)
-        wait = min(POLL_SECONDS, remaining)
-        ask = AskPermit(
+        wait = min(POLL_INTERVAL_SECONDS, remaining)
+        request = AskPermit(
             pool=pool,
             work=work,
             remaining=remaining,
@@ -223,10 +226,10 @@
         if owner is None:
             return None
         if owner == self._me:
-            return self._queue_owner.request(self._me, ask)
+            return self._queue_owner.request(self._me, request)
         try:
             return self._runtime.bus.request(
-                owner, ask, PermitReply, wait + LINK_MARGIN
+                owner, request, PermitReply, wait + LINK_MARGIN_SECONDS
             )
         except LinkError as error:
             write(
@@ -239,10 +242,10 @@
             )
             return None
 
-    def _hold(self, work: Work, permit: Permit) -> Permit:
+    def _record_permit(self, work: Work, permit: Permit) -> Permit:
         held = HeldPermit(work=work, upstream=permit.upstream)
-        self._held.setdefault(permit.pool, {})[work.id] = held
-        self._told.setdefault(
+        self._permits.setdefault(permit.pool, {})[work.id] = held
+        self._notified_owners.setdefault(
             permit.pool, self._find_owner(permit.pool) or self._me
         )
         write(
@@ -263,7 +266,7 @@
                 owner, WithdrawWork(pool=pool, work_id=work.id)
             )
 
-    def _give_up(self, pool: str, work: Work) -> RefusalError:
+    def _time_out(self, pool: str, work: Work) -> RefusalError:
         self._withdraw(pool, work)
         return RefusalError(
             'no upstream was free before the deadline',
@@ -272,39 +275,41 @@
             retry_after=1.0,
         )
 
-    def _tell_moved(self) -> None:
-        for pool in list(self._told):
+    def _notify_moved(self) -> None:
+        for pool in list(self._notified_owners):
             owner = self._find_owner(pool)
-            if owner is not None and owner != self._told[pool]:
-                self._tell(pool, owner)
+            if owner is not None and owner != self._notified_owners[pool]:
+                self._notify_owner(pool, owner)
 
     def find_missing(
         self, pool: str, work_ids: Iterable[RequestId]
     ) -> tuple[RequestId, ...]:
-        """Return those of some permits that this entry does not hold."""
-        held = self._held.get(pool, {})
-        return tuple(one for one in work_ids if one not in held)
+        """Return those of some permits that are not in use here."""
+        permits = self._permits.get(pool, {})
+        return tuple(one for one in work_ids if one not in permits)
 
     def _on_ask_held(self, sender: InstanceId, message: Message) -> Message:
-        asked = expect(message, AskHeld)
-        return HeldReply(missing=self.find_missing(asked.pool, asked.work_ids))
+        request = expect(message, AskHeld)
+        return HeldReply(
+            missing=self.find_missing(request.pool, request.work_ids)
+        )
 
-    def _tell(self, pool: str, owner: InstanceId) -> None:
-        held = tuple(self._held.get(pool, {}).values())
-        self._told[pool] = owner
-        message = HeldPermits(pool=pool, held=held)
+    def _notify_owner(self, pool: str, owner: InstanceId) -> None:
+        permits = tuple(self._permits.get(pool, {}).values())
+        self._notified_owners[pool] = owner
+        message = HeldPermits(pool=pool, held=permits)
         if owner == self._me:
             self._queue_owner.adopt_permits(self._me, message)
         else:
             self._runtime.bus.send(owner, message)
-        if not held:
-            self._told.pop(pool)
+        if not permits:
+            self._notified_owners.pop(pool)
 
 
-def _refuse(reply: PermitReply) -> RefusalError:
+def _make_refusal(reply: PermitReply) -> RefusalError:
     refusal = reply.refusal
     if refusal is None:
-        raise AssertionError('only a refusal is refused')
+        raise AssertionError('the reply has no refusal')
     write(
         _LOGGER,
         PERMIT_REFUSED,
--- a/guavagate/permits/_directory.py
+++ b/guavagate/permits/_directory.py
@@ -1,11 +1,11 @@
-"""Pools of upstreams, and the instance that is home to each.
+"""Divides upstreams into pools and finds each pool's queue owner.
 
 Load pattern: many entries send work to the same few upstreams, which admit
-all they get. Without one queue for each upstream the entries overfill it, and
-nobody can tell interactive work from samples. One queue for all 730 samplers
-would be one instance's whole processor; one for each sampler leaves work
-waiting behind a long job beside an idle sampler. A pool of at most 16 is the
-smallest at which one long job holds back under a tenth of the slots.
+everything. Without a common queue for an upstream the entries overload it, and
+no instance can rank interactive work before samples. One queue for all 730
+samplers would take a whole processor of its instance. With one queue for each
+sampler, work waits behind a long job next to an idle sampler. A pool of at most
+16 is the smallest at which one long job blocks under a tenth of the slots.
 """
 
 from typing import Final
@@ -67,12 +67,12 @@
     count = max(1, -(-len(members) // MAX_POOL))
     return [
         PoolSpec(
-            key=f'{team}/{deployment.id}/{place}',
+            key=f'{team}/{deployment.id}/{number}',
             team=team,
-            members=tuple(members[place::count]),
+            members=tuple(members[number::count]),
             deployment=deployment.id,
         )
-        for place in range(count)
+        for number in range(count)
     ]
 
 
@@ -95,7 +95,7 @@
 
 
 def list_pools(teams: list[TeamSettings]) -> dict[str, PoolSpec]:
-    """Return every pool that the settings in force declare, by key."""
+    """Return every pool that the current settings declare, by key."""
     pools: dict[str, PoolSpec] = {}
     for team in teams:
         for deployment in team.deployments:
@@ -108,11 +108,12 @@
 
 
 def find_queue_owner(key: str, alive: list[PeerSettings]) -> InstanceId | None:
-    """Return the home of a pool among the usable instances.
+    """Return the queue owner of a pool among the live instances.
 
-    Rendezvous hashing: when an instance goes, only its own pools move. Two
-    instances that see the members differently for a moment may name two
-    homes; that costs overfilled slots for that moment, never a promise.
+    With rendezvous hashing only the pools of a stopped instance move. Two
+    instances that disagree on the members for a moment may find two queue
+    owners. That can overload the upstreams for that moment, but breaks no
+    guarantee.
     """
     return max(
         (peer.id for peer in alive),
--- a/guavagate/permits/_generate.py
+++ b/guavagate/permits/_generate.py
@@ -1,8 +1,8 @@
-"""One whole answer from a pool of samplers, over as many as it takes.
+"""Generates one complete answer from a pool of samplers.
 
-A sampler that dies in mid-stream costs a new permit and a resume from the
-last token received; the one who reads the pieces sees no token twice and none
-missing, and each piece names the version that made it.
+When a sampler fails in mid-stream, the answer resumes at another one, under a
+new permit and after the last token received. The reader gets each token exactly
+once, and each piece names the weight version that generated it.
 """
 
 import collections
@@ -24,12 +24,12 @@
 from guavagate.permits._progress import Progress, add_piece
 from guavagate.ports.engine import Generation, ModelEngine, Piece
 
-# A pace over fewer tokens than this says more of one pause than of a sampler.
-PACE_TOKENS: Final = 8
+# Over fewer tokens than this a single pause would dominate the token interval.
+MIN_INTERVAL_TOKENS: Final = 8
 
 
 class AnswerSource(msgspec.Struct, frozen=True, kw_only=True):
-    """Where one answer comes from; `token_timeout` is in seconds."""
+    """What generates one answer; `token_timeout` is in seconds."""
 
     client: PermitClient
     engine: ModelEngine
@@ -38,14 +38,14 @@
 
 
 class _Exchange(msgspec.Struct, kw_only=True):
-    """One exchange with one sampler, measured."""
+    """Measurements of one exchange with one sampler."""
 
     permit: Permit
     started_at: float
     first_token_at: float | None = None
     tokens: int = 0
     ended: Release = Release.CANCELLED
-    told_slow: bool = False
+    reported_slow: bool = False
 
 
 def stream_answer(
@@ -54,30 +54,30 @@
     generation: Generation,
     progress: Progress,
 ) -> Iterator[Piece]:
-    """Yield the pieces of one whole answer.
+    """Yield the pieces of one complete answer.
 
-    Closing the iterator cancels the work upstream and returns the permit.
+    Closing the iterator cancels the work upstream and releases the permit.
 
     Raises
     ------
     RefusalError
-        No sampler gave a whole answer; `not_run` is true only when no
+        No sampler gave a complete answer; `not_run` is true only when no
         exchange can have started.
     """
     failed: FailedAttempt | None = None
     started = False
-    number = 0
+    attempt = 0
     while True:
         permit = _acquire(source, work, failed, started=started)
         try:
             yield from _run_exchange(
-                source, permit, _resume(generation, progress, number), progress
+                source, permit, _resume(generation, progress, attempt), progress
             )
         except UpstreamError as error:
             failed = describe_failure(permit, error)
             started = started or failed.started
             work = _exclude(work, permit)
-            number += 1
+            attempt += 1
             continue
         return
 
@@ -85,28 +85,30 @@
 def run_speculatively(
     source: AnswerSource, permit: Permit, generation: Generation
 ) -> Progress:
-    """Generate a second copy of some work, from its start.
+    """Generate a second answer for some work, from its start.
 
     Raises
     ------
     UpstreamError
-        The copy failed; its permit has been given back.
+        The speculative run failed; its permit has been released.
     """
     progress = Progress()
-    begun = source.client.now()
+    started_at = source.client.now()
     exchange = RequestId(f'{generation.exchange}.copy')
-    asked = msgspec.structs.replace(generation, exchange=exchange)
-    pieces = source.engine.generate(permit.address, asked, source.token_timeout)
-    # A copy that is cancelled because the other was first says nothing: the
-    # pool has closed the work, and a failure told would count against a
-    # healthy sampler.
+    speculative = msgspec.structs.replace(generation, exchange=exchange)
+    pieces = source.engine.generate(
+        permit.address, speculative, source.token_timeout
+    )
+    # A run that is cancelled because the other one finished first reports
+    # nothing: the pool has closed the work, and a reported failure would count
+    # against a healthy sampler.
     try:
         for piece in pieces:
             add_piece(progress, piece, permit.upstream)
     except UpstreamError:
         source.client.end_speculative_run(permit)
         raise
-    seconds = source.client.now() - begun
+    seconds = source.client.now() - started_at
     source.client.end_speculative_run(
         permit, tokens=progress.tokens, seconds=seconds
     )
@@ -114,12 +116,12 @@
 
 
 def exhaust(pieces: Iterator[Piece]) -> None:
-    """Read an answer to its end; its progress holds what was read."""
+    """Read an answer to its end; its progress collects the pieces."""
     collections.deque(pieces, maxlen=0)
 
 
 def describe_failure(permit: Permit, error: UpstreamError) -> FailedAttempt:
-    """Return what the home is told of a failed attempt."""
+    """Return the report of a failed attempt for the queue owner."""
     return FailedAttempt(
         upstream=permit.upstream,
         started=not isinstance(error, UpstreamNotStartedError),
@@ -145,11 +147,11 @@
 def _resume(
     generation: Generation,
     progress: Progress,
-    number: int,
+    attempt: int,
 ) -> Generation:
     return msgspec.structs.replace(
         generation,
-        exchange=RequestId(f'{generation.exchange}.{number}'),
+        exchange=RequestId(f'{generation.exchange}.{attempt}'),
         resume_text=progress.text,
         resume_tokens=progress.tokens,
     )
@@ -175,7 +177,7 @@
     try:
         for piece in pieces:
             _measure(exchange, piece, client.now())
-            _watch_pace(client, exchange)
+            _check_token_interval(client, exchange)
             add_piece(progress, piece, permit.upstream)
             yield piece
     except UpstreamError:
@@ -196,18 +198,18 @@
         exchange.ended = Release.DONE
 
 
-def _watch_pace(client: PermitClient, exchange: _Exchange) -> None:
-    """Tell the home once when the stream is far below its expected pace."""
+def _check_token_interval(client: PermitClient, exchange: _Exchange) -> None:
+    """Report a stream once if it is much slower than expected."""
     expected = exchange.permit.expected_pace
     first = exchange.first_token_at
-    if exchange.told_slow or not expected or first is None:
+    if exchange.reported_slow or not expected or first is None:
         return
-    if exchange.tokens < PACE_TOKENS:
+    if exchange.tokens < MIN_INTERVAL_TOKENS:
         return
-    pace = (client.now() - first) / exchange.tokens
-    if pace > SLOW_STREAM * expected:
-        exchange.told_slow = True
-        client.report_slow(exchange.permit, pace)
+    token_interval = (client.now() - first) / exchange.tokens
+    if token_interval > SLOW_STREAM * expected:
+        exchange.reported_slow = True
+        client.report_slow(exchange.permit, token_interval)
 
 
 def _release(
--- a/guavagate/permits/_messages.py
+++ b/guavagate/permits/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between an entry and a pool's home."""
+"""Messages between an entry and a pool's queue owner."""
 
 import enum
 
@@ -23,19 +23,20 @@
 
 
 class AskPermit(Message, frozen=True, kw_only=True):
-    """An entry asks for an upstream, and asks again while it waits.
+    """Requests an upstream; the entry repeats it while it waits.
 
     Parameters
     ----------
     remaining
-        Seconds to the work's deadline; clocks of two instances don't agree,
-        so the deadline itself is not sent.
+        Seconds to the work's deadline. Clocks of two instances differ, so the
+        deadline itself is not sent.
     wait
-        Seconds after which the home answers that the work is still queued.
+        Seconds after which the queue owner replies that the work is still
+        queued.
     failed_upstream
-        Where the attempt before this one failed, if there was one; said in
-        the same message, so that the failed slot is free and the retry is
-        judged before the work is queued again.
+        Where the previous attempt failed, if there was one. It is part of
+        this message so that the queue owner frees the slot and decides on the
+        retry before it queues the work again.
     failed_started
         Whether that attempt may have started.
     """
@@ -52,7 +53,7 @@
 class Permit(msgspec.Struct, frozen=True, kw_only=True):
     """The right to run one piece of work on one upstream.
 
-    `expected_pace` is in seconds a token; zero when nothing is expected.
+    `expected_pace` is in seconds per token; zero when there is no estimate.
     """
 
     pool: PoolKey
@@ -63,7 +64,7 @@
 
 
 class PermitRefusal(msgspec.Struct, frozen=True, kw_only=True):
-    """Why there will be no permit; the work has not run."""
+    """Says why the work gets no permit; it has not run."""
 
     reason: str
     text: str
@@ -71,7 +72,10 @@
 
 
 class PermitReply(Message, frozen=True, kw_only=True):
-    """A permit, a refusal, or neither while the work is queued."""
+    """Contains a permit, a refusal, or neither while the work is queued.
+
+    `not_home` says that the receiver does not own the pool's queue.
+    """
 
     permit: Permit | None = None
     refusal: PermitRefusal | None = None
@@ -79,7 +83,7 @@
 
 
 class ReleasePermit(Message, frozen=True, kw_only=True):
-    """The work under a permit has ended; seconds and tokens measured."""
+    """Reports the end of the work under a permit, with measurements."""
 
     pool: PoolKey
     work_id: RequestId
@@ -92,18 +96,18 @@
 
 
 class RunCopy(Message, frozen=True, kw_only=True):
-    """The home offers an idle slot for a second copy of slow work."""
+    """Offers an idle slot for a speculative run of slow work."""
 
     permit: Permit
 
 
 class ReportSlow(Message, frozen=True, kw_only=True):
-    """An entry sees a stream at far less than the pace it was placed for.
+    """Reports a stream that is much slower than its placement expected.
 
     Parameters
     ----------
     pace
-        Seconds a token, measured.
+        Measured seconds per token.
     """
 
     pool: PoolKey
@@ -113,24 +117,24 @@
 
 
 class WithdrawWork(Message, frozen=True, kw_only=True):
-    """The entry no longer waits; a permit on its way is given back."""
+    """Withdraws an entry's work; releases a permit that was just granted."""
 
     pool: PoolKey
     work_id: RequestId
 
 
 class HeldPermit(msgspec.Struct, frozen=True, kw_only=True):
-    """One permit that an entry works under."""
+    """One permit that is in use at an entry."""
 
     work: Work
     upstream: UpstreamId
 
 
 class HeldPermits(Message, frozen=True, kw_only=True):
-    """All permits of one pool that an entry works under.
+    """All permits of one pool that are in use at an entry.
 
-    Sent when the pool's home has moved: the new home counts what runs before
-    it grants, so that a takeover does not overfill the engines.
+    Sent to a new queue owner. It counts the running work before it grants
+    permits, so that a takeover does not overload the engines.
     """
 
     pool: PoolKey
@@ -138,13 +142,13 @@
 
 
 class AskHeld(Message, frozen=True, kw_only=True):
-    """A home asks an entry about permits that were given out long ago."""
+    """Checks whether an entry still uses permits that were granted long ago."""
 
     pool: PoolKey
     work_ids: tuple[RequestId, ...]
 
 
 class HeldReply(Message, frozen=True, kw_only=True):
-    """Those of the permits asked about that the entry does not hold."""
+    """Lists those of the checked permits that the entry does not use."""
 
     missing: tuple[RequestId, ...]
--- a/guavagate/permits/_owned.py
+++ b/guavagate/permits/_owned.py
@@ -1,4 +1,4 @@
-"""One pool at its home: who waits, who holds a permit."""
+"""The state of one pool at its queue owner: queued work and permits."""
 
 import math
 from collections.abc import Callable
@@ -12,17 +12,18 @@
 from guavagate.permits._directory import PoolSpec
 from guavagate.permits._messages import AskPermit, HeldPermit, Permit
 
-# An entry asks again every two seconds while it waits; one that has not for
-# this long has died or lost its caller.
+# A waiting entry repeats its request every two seconds. One that has not for
+# this long has stopped or lost its caller.
 ABANDONED_SECONDS: Final = 5.0
-# A release whose message was lost leaves a slot taken. Permits this old are
-# asked about, and again after as long: asking for each at once would cost an
-# entry with 330 permits 24 KB/s, of a budget of 8.
+# When a release message is lost, its slot stays in use. Permits of this age are
+# checked at their entries, and again after the same time. Checking all permits
+# at every scan, each five seconds, would cost an entry with 330 permits
+# 24 KB/s, of a budget of 8.
 CHECK_AFTER_SECONDS: Final = 15.0
 
 
 class QueuedWork(msgspec.Struct, kw_only=True):
-    """One piece of queued work and the answer that its entry waits for."""
+    """One piece of queued work and the reply that its entry waits for."""
 
     entry: InstanceId
     work: Work
@@ -31,7 +32,7 @@
 
 
 class Grant(msgspec.Struct, frozen=True, kw_only=True):
-    """One permit given out."""
+    """One granted permit."""
 
     entry: InstanceId
     permit: Permit
@@ -39,7 +40,7 @@
 
 
 class OwnedPool(msgspec.Struct, kw_only=True):
-    """A pool whose home is here."""
+    """A pool whose queue this instance owns."""
 
     spec: PoolSpec
     pool: Pool
@@ -49,27 +50,27 @@
     last_check_at: float = float('-inf')
     leaving: dict[SamplerId, float] = msgspec.field(default_factory=dict)
 
-    def localise_deadline(self, ask: AskPermit, now: float) -> Work:
-        """Return the asked work with its deadline on this clock."""
-        deadline = now + ask.remaining if ask.remaining else math.inf
-        return msgspec.structs.replace(ask.work, deadline=deadline)
+    def localise_deadline(self, request: AskPermit, now: float) -> Work:
+        """Return the requested work with its deadline on this clock."""
+        deadline = now + request.remaining if request.remaining else math.inf
+        return msgspec.structs.replace(request.work, deadline=deadline)
 
     def grant(
         self,
         queued: QueuedWork,
         sampler: SamplerId,
         now: float,
-        pace: float = 0,
+        token_interval: float = 0,
     ) -> Permit:
-        """Enter a permit for a queued's work."""
-        permit = self.make_permit(queued.work.id, sampler, pace)
+        """Record and return a permit for queued work."""
+        permit = self.make_permit(queued.work.id, sampler, token_interval)
         self.granted[queued.work.id] = Grant(
             entry=queued.entry, permit=permit, at=now
         )
         return permit
 
     def make_permit(
-        self, work_id: RequestId, sampler: SamplerId, pace: float = 0
+        self, work_id: RequestId, sampler: SamplerId, token_interval: float = 0
     ) -> Permit:
         """Return a permit with the sampler's address."""
         address = next(
@@ -80,11 +81,11 @@
             work_id=work_id,
             upstream=UpstreamId(sampler),
             address=address,
-            expected_pace=pace,
+            expected_pace=token_interval,
         )
 
     def adopt(self, entry: InstanceId, held: HeldPermit, now: float) -> None:
-        """Count a permit that the pool's former home gave out."""
+        """Count a permit that the pool's former queue owner granted."""
         sampler = SamplerId(held.upstream)
         self.pool.adopt(held.work, sampler, now)
         queued = QueuedWork(
@@ -96,33 +97,33 @@
         self.grant(queued, sampler, now)
 
     def list_stale(self, now: float) -> dict[InstanceId, tuple[RequestId, ...]]:
-        """Return permits to ask their entries about, by entry."""
-        old: dict[InstanceId, list[RequestId]] = {}
+        """Return old permits to check at their entries, by entry."""
+        stale: dict[InstanceId, list[RequestId]] = {}
         for work_id, grant in self.granted.items():
             if now - max(grant.at, self.last_check_at) > CHECK_AFTER_SECONDS:
-                old.setdefault(grant.entry, []).append(work_id)
-        if old:
+                stale.setdefault(grant.entry, []).append(work_id)
+        if stale:
             self.last_check_at = now
-        return {entry: tuple(ids) for entry, ids in old.items()}
+        return {entry: tuple(ids) for entry, ids in stale.items()}
 
     def list_orphaned(
-        self, is_there: Callable[[InstanceId], bool]
+        self, is_member: Callable[[InstanceId], bool]
     ) -> list[RequestId]:
-        """Return the work of entries that are gone."""
-        queued = [
+        """Return the work of entries that are no longer members."""
+        waiting = [
             work_id
             for work_id, queued in self.queued.items()
-            if not is_there(queued.entry)
+            if not is_member(queued.entry)
         ]
         grants = [
             work_id
             for work_id, grant in self.granted.items()
-            if not is_there(grant.entry)
+            if not is_member(grant.entry)
         ]
-        return queued + grants
+        return waiting + grants
 
     def list_abandoned(self, now: float) -> list[RequestId]:
-        """Return queued work that its entry no longer asks for."""
+        """Return queued work that its entry no longer requests."""
         return [
             work_id
             for work_id, queued in self.queued.items()
--- a/guavagate/permits/_progress.py
+++ b/guavagate/permits/_progress.py
@@ -1,4 +1,4 @@
-"""What has been received of one answer so far."""
+"""Collects the pieces of one answer."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class Progress(msgspec.Struct, kw_only=True):
-    """Pieces of one answer, over all the exchanges that gave them."""
+    """The received part of one answer, over all its exchanges."""
 
     texts: list[str] = msgspec.field(default_factory=list)
     tokens: int = 0
@@ -25,7 +25,7 @@
 
 
 def add_piece(progress: Progress, piece: Piece, sampler: UpstreamId) -> None:
-    """Take a piece into the answer, with the version that it states."""
+    """Add a piece and its weight version to an answer."""
     progress.texts.append(piece.text)
     progress.tokens += piece.tokens
     progress.cached_tokens = max(progress.cached_tokens, piece.cached_tokens)
@@ -35,7 +35,7 @@
     if not piece.tokens:
         return
     if progress.versions and progress.versions[-1][0] == piece.version:
-        before = progress.versions.pop()
-        progress.versions.append((piece.version, before[1] + piece.tokens))
+        previous = progress.versions.pop()
+        progress.versions.append((piece.version, previous[1] + piece.tokens))
         return
     progress.versions.append((piece.version, piece.tokens))
--- a/guavagate/permits/_queue_owner.py
+++ b/guavagate/permits/_queue_owner.py
@@ -1,8 +1,8 @@
-"""The home of pools: one queue and one count of slots for each.
+"""Owns the queues of pools: one queue and one slot count for each pool.
 
-The home alone decides what runs on its upstreams. It holds only what the
-entries can tell a successor again: when it dies they ask the next home, which
-counts what already runs before it grants anything.
+The queue owner alone decides what runs on a pool's upstreams. Its state can be
+rebuilt from the entries: when it fails, they send their requests and permits to
+the next queue owner, which counts the running work before it grants permits.
 """
 
 import logging
@@ -50,25 +50,23 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# Queued work whose deadline can no longer be met is refused at this pace, so
-# its caller hears at most this long after the queue has decided.
-SWEEP_SECONDS: Final = 0.1
-# A new home grants nothing for this long: entries whose home moved list what
-# they hold at once, and a message takes milliseconds between regions. Without
-# it every takeover would put a second load on engines that are full.
-SETTLE_SECONDS: Final = 0.5
-
-
-# Longer than any report lags; an upstream that does serve again waits this
+# Queued work whose deadline can no longer be met is refused at this interval,
+# so its caller gets the refusal at most this long after the decision.
+SWEEP_INTERVAL_SECONDS: Final = 0.1
+# A new queue owner grants nothing for this long. The pool's entries send their
+# permits at once, and a message takes milliseconds between regions. Without
+# this wait every takeover would send a second load to engines that are full.
+TAKEOVER_WAIT_SECONDS: Final = 0.5
+# Longer than any report is delayed. An upstream that serves again waits this
 # much longer for work, which costs little.
 LEAVING_SECONDS: Final = 10.0
-# A caller's stream has one source: a second copy of interactive work would
-# need two, so only the tail of steps is copied.
+# A caller's stream has one source, and a hedge of interactive work would need
+# two. Therefore only the slowest work of a step gets speculative runs.
 POOL_SAFEGUARDS: Final = ALL_SAFEGUARDS - {Safeguard.HEDGING}
 
 
 class QueueOwner:
-    """All pools that this instance is home to."""
+    """Owns the queues of the pools that are assigned to this instance."""
 
     def __init__(self, runtime: Runtime) -> None:
         self._runtime = runtime
@@ -81,7 +79,7 @@
         self._reclaimer = Reclaimer(runtime, self.list_owned, self.schedule)
 
     def start(self) -> None:
-        """Follow settings and members, and keep the queues moving."""
+        """Follow settings and members, and sweep the queues."""
         self._runtime.teams.subscribe(lambda _: self.refresh())
         self._runtime.members.subscribe(self.refresh)
         self.refresh()
@@ -92,16 +90,16 @@
     def connect_local_entry(
         self, start_run: Callable[[Permit], None], find_missing: FindMissing
     ) -> None:
-        """Reach this instance's own entry without the bus."""
+        """Connect this instance's own entry, without the bus."""
         self._speculative_runs.start_locally = start_run
         self._reclaimer.find_missing_locally = find_missing
 
     def list_owned(self) -> list[OwnedPool]:
-        """Return the pools at home here."""
+        """Return the pools whose queues this instance owns."""
         return list(self._owned.values())
 
     def specs(self) -> dict[str, PoolSpec]:
-        """Return every declared pool by key."""
+        """Return every declared pool, by key."""
         return self._specs
 
     def refresh(self) -> None:
@@ -111,36 +109,36 @@
         for key in list(self._owned):
             spec = self._specs.get(key)
             if spec is None or find_queue_owner(key, alive) != self._me:
-                self._give_up(key)
+                self._give_up_pool(key)
             else:
-                self._declare(self._owned[key], spec)
+                self._set_members(self._owned[key], spec)
         for key, spec in self._specs.items():
             if (
                 key not in self._owned
                 and find_queue_owner(key, alive) == self._me
             ):
-                self._take_over(spec)
-        self._forget_dead()
+                self._take_over_pool(spec)
+        self._remove_dead_entries()
 
-    def request(self, sender: InstanceId, ask: AskPermit) -> PermitReply:
-        """Answer with a permit, a refusal, or "still queued"."""
-        owned = self._owned.get(ask.pool)
+    def request(self, sender: InstanceId, request: AskPermit) -> PermitReply:
+        """Reply with a permit, a refusal, or "still queued"."""
+        owned = self._owned.get(request.pool)
         if owned is None:
             return PermitReply(not_home=True)
         self._work_arrived.set()
-        granted = owned.granted.get(ask.work.id)
-        if granted is not None and ask.failed_upstream is None:
+        granted = owned.granted.get(request.work.id)
+        if granted is not None and request.failed_upstream is None:
             return PermitReply(permit=granted.permit)
-        refusal = self._offer(owned, sender, ask)
+        refusal = self._offer(owned, sender, request)
         if refusal is not None:
             return PermitReply(refusal=refusal)
-        queued = owned.queued[ask.work.id]
+        queued = owned.queued[request.work.id]
         queued.last_request_at = self._runtime.clock.now()
         self.schedule(owned)
-        return self._await_answer(queued, ask.wait)
+        return self._await_answer(queued, request.wait)
 
     def release(self, sender: InstanceId, release: ReleasePermit) -> None:
-        """Free a slot, and learn from how the work ended."""
+        """Free a slot, and record how the work ended."""
         owned = self._owned.get(release.pool)
         if owned is None:
             return
@@ -164,7 +162,7 @@
                 cached_tokens=release.cached_tokens,
             )
         elif release.ended in {Release.FAILED, Release.NOT_STARTED}:
-            # The entry does not ask again for this work: it has given up.
+            # The entry does not request this work again.
             owned.pool.fail(release.work_id, sampler, now, started=True)
             owned.pool.cancel(release.work_id, now)
         else:
@@ -174,7 +172,7 @@
     def withdraw(
         self, sender: InstanceId, pool: str, work_id: RequestId
     ) -> None:
-        """Forget work that its entry no longer waits for."""
+        """Remove work that its entry no longer waits for."""
         owned = self._owned.get(pool)
         if owned is None:
             return
@@ -184,7 +182,7 @@
         self.schedule(owned)
 
     def adopt_permits(self, sender: InstanceId, message: HeldPermits) -> None:
-        """Count what an entry holds, after this home has taken over."""
+        """Count an entry's permits after this instance has taken over."""
         owned = self._owned.get(message.pool)
         if owned is None:
             return
@@ -196,7 +194,7 @@
         self.schedule(owned)
 
     def record_slow_stream(self, report: ReportSlow) -> None:
-        """Learn that a stream is slow, long before its end tells."""
+        """Record that a stream is slow, long before it ends."""
         owned = self._owned.get(report.pool)
         if owned is not None:
             owned.pool.progress(
@@ -207,7 +205,7 @@
             )
 
     def mark_leaving(self, owned: OwnedPool, sampler: SamplerId) -> None:
-        """Give an upstream no new work from now on."""
+        """Stop sending new work to an upstream."""
         known = sampler in owned.leaving
         owned.leaving[sampler] = self._runtime.clock.now()
         if known:
@@ -218,14 +216,14 @@
             upstream=sampler,
             pool=owned.spec.key,
         )
-        self._declare(owned, owned.spec)
+        self._set_members(owned, owned.spec)
 
     def mark_serving(self, owned: OwnedPool, sampler: SamplerId) -> None:
-        """Let an upstream that reports itself serving have work again.
+        """Send work again to an upstream that reports that it is serving.
 
-        Reports lag: one made before the upstream began to leave comes after
-        its refusal, and taken at once would send it new work. It has work
-        again only when it has shown no sign of leaving for a while.
+        Reports are delayed. One from before the upstream began to leave may
+        arrive after its refusal, and would bring it new work. It gets work
+        again only when nothing has shown it leaving for a while.
         """
         since = owned.leaving.get(sampler)
         if since is None:
@@ -234,10 +232,10 @@
             return
         owned.leaving.pop(sampler)
         write(_LOGGER, UPSTREAM_SERVING, upstream=sampler, pool=owned.spec.key)
-        self._declare(owned, owned.spec)
+        self._set_members(owned, owned.spec)
 
     def schedule(self, owned: OwnedPool) -> None:
-        """Grant what may start now, and refuse what comes too late."""
+        """Grant permits to work that may start; refuse what is too late."""
         now = self._runtime.clock.now()
         for refused in owned.pool.expire(now):
             queued = owned.queued.pop(refused.work_id, None)
@@ -252,12 +250,12 @@
             record(self._runtime, placement.decision)
 
     def _offer(
-        self, owned: OwnedPool, sender: InstanceId, ask: AskPermit
+        self, owned: OwnedPool, sender: InstanceId, request: AskPermit
     ) -> PermitRefusal | None:
         now = self._runtime.clock.now()
-        work = owned.localise_deadline(ask, now)
-        if ask.failed_upstream is not None:
-            refusal = self._retry(owned, ask, now)
+        work = owned.localise_deadline(request, now)
+        if request.failed_upstream is not None:
+            refusal = self._retry(owned, request, now)
             if refusal is not None:
                 return refusal
         if work.id in owned.queued:
@@ -272,16 +270,16 @@
         return None
 
     def _retry(
-        self, owned: OwnedPool, ask: AskPermit, now: float
+        self, owned: OwnedPool, request: AskPermit, now: float
     ) -> PermitRefusal | None:
-        failed = SamplerId(ask.failed_upstream or '')
-        grant = owned.granted.pop(ask.work.id, None)
-        if ask.failed_leaving:
+        failed = SamplerId(request.failed_upstream or '')
+        grant = owned.granted.pop(request.work.id, None)
+        if request.failed_leaving:
             self.mark_leaving(owned, failed)
         if grant is None:
             return None
         retried = owned.pool.fail(
-            ask.work.id, failed, now, started=ask.failed_started
+            request.work.id, failed, now, started=request.failed_started
         )
         if isinstance(retried, Refused):
             return describe_refusal(retried)
@@ -302,13 +300,13 @@
         if queued is None:
             owned.pool.cancel(work_id, now)
             return
-        pace = placement.expected_pace
-        permit = owned.grant(queued, placement.sampler, now, pace)
+        token_interval = placement.expected_pace
+        permit = owned.grant(queued, placement.sampler, now, token_interval)
         queued.answer.set(PermitReply(permit=permit))
 
-    def _take_over(self, spec: PoolSpec) -> None:
+    def _take_over_pool(self, spec: PoolSpec) -> None:
         now = self._runtime.clock.now()
-        settle = 0 if self._fresh_start else SETTLE_SECONDS
+        takeover_wait = 0 if self._fresh_start else TAKEOVER_WAIT_SECONDS
         owned = OwnedPool(
             spec=spec,
             pool=Pool(
@@ -316,10 +314,10 @@
                 (),
                 now,
             ),
-            grants_from=now + settle,
+            grants_from=now + takeover_wait,
         )
         self._owned[spec.key] = owned
-        self._declare(owned, spec)
+        self._set_members(owned, spec)
         write(_LOGGER, POOL_TAKEN_OVER, pool=spec.key)
         self._runtime.decisions.record(
             spec.key,
@@ -328,13 +326,13 @@
             'first by rendezvous hash of the members',
         )
 
-    def _give_up(self, key: str) -> None:
+    def _give_up_pool(self, key: str) -> None:
         owned = self._owned.pop(key)
         for queued in owned.queued.values():
             queued.answer.set(PermitReply(not_home=True))
         write(_LOGGER, POOL_GIVEN_UP, pool=key)
 
-    def _declare(self, owned: OwnedPool, spec: PoolSpec) -> None:
+    def _set_members(self, owned: OwnedPool, spec: PoolSpec) -> None:
         owned.spec = spec
         now = self._runtime.clock.now()
         owned.pool.set_samplers(
@@ -351,30 +349,30 @@
         )
         self.schedule(owned)
 
-    def _forget_dead(self) -> None:
-        """Free the slots of entries that have died with their callers."""
+    def _remove_dead_entries(self) -> None:
+        """Free the slots of entries that have stopped, with their callers."""
         now = self._runtime.clock.now()
         for owned in self._owned.values():
-            for work_id in owned.list_orphaned(self._is_there):
+            for work_id in owned.list_orphaned(self._is_member):
                 owned.granted.pop(work_id, None)
                 owned.queued.pop(work_id, None)
                 owned.pool.cancel(work_id, now)
             self.schedule(owned)
 
-    def _rest(self) -> None:
-        """Wait for the next sweep; without work, until some is asked for."""
+    def _wait_for_sweep(self) -> None:
+        """Wait for the next sweep; without work, until some arrives."""
         if any(one.queued or one.granted for one in self._owned.values()):
-            self._runtime.clock.sleep(SWEEP_SECONDS)
+            self._runtime.clock.sleep(SWEEP_INTERVAL_SECONDS)
             return
         self._work_arrived.clear()
         self._work_arrived.wait()
 
-    def _is_there(self, entry: InstanceId) -> bool:
+    def _is_member(self, entry: InstanceId) -> bool:
         return self._runtime.members.get(entry) is not None
 
     def _sweep(self) -> None:
         while True:
-            self._rest()
+            self._wait_for_sweep()
             now = self._runtime.clock.now()
             for owned in list(self._owned.values()):
                 for work_id in owned.list_abandoned(now):
--- a/guavagate/permits/_reclaim.py
+++ b/guavagate/permits/_reclaim.py
@@ -1,8 +1,8 @@
-"""Finds permits that their entries no longer hold, and frees their slots.
+"""Finds permits that their entries no longer use, and frees their slots.
 
-A release is one message, and a message can be lost with its connection. The
-symptom would be a sampler that has a slot less for good. Entries are asked
-about permits that are old; what they don't hold is free.
+A release is a single message, and it can be lost with its connection. The
+symptom would be a sampler that has one slot less permanently. Therefore old
+permits are checked at their entries, and those that are not in use are freed.
 """
 
 import logging
@@ -26,12 +26,12 @@
 
 
 class Reclaimer:
-    """Asks entries about old permits.
+    """Checks old permits at their entries.
 
     Attributes
     ----------
     find_missing_locally
-        Answers for this instance's own entry.
+        Checks permits of this instance's own entry.
     """
 
     def __init__(
@@ -46,11 +46,11 @@
         self.find_missing_locally: FindMissing | None = None
 
     def start(self) -> None:
-        """Look until the instance stops."""
+        """Scan periodically until the instance stops."""
         self._runtime.clock.spawn(self._run)
 
     def scan(self) -> None:
-        """Ask about all permits that are old now."""
+        """Check all permits that are old now."""
         now = self._runtime.clock.now()
         for owned in self._list_owned():
             for entry, work_ids in owned.list_stale(now).items():
@@ -73,10 +73,10 @@
         if entry == self._runtime.settings.id:
             find = self.find_missing_locally
             return find(pool, work_ids) if find else ()
-        asked = AskHeld(pool=pool, work_ids=work_ids)
+        request = AskHeld(pool=pool, work_ids=work_ids)
         try:
             return self._runtime.bus.request(
-                entry, asked, HeldReply, CHECK_TIMEOUT_SECONDS
+                entry, request, HeldReply, CHECK_TIMEOUT_SECONDS
             ).missing
         except LinkError:
             return ()
--- a/guavagate/permits/_reports.py
+++ b/guavagate/permits/_reports.py
@@ -1,4 +1,4 @@
-"""Reads the load reports of the upstreams that are at home here."""
+"""Reads the load reports of the upstreams in the owned pools."""
 
 import logging
 from typing import Final
@@ -17,18 +17,18 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# A leaving upstream must get no new work after a few seconds: it is seen at
-# the latest by the next report, so within a second and the report's time.
-REPORT_SECONDS: Final = 1.0
-REPORT_TIMEOUT: Final = 0.8
-# Missed reports are logged at the first and then at every thirtieth.
-LOG_EVERY: Final = 30
+# A leaving upstream must get no new work after a few seconds. The next report
+# shows it at the latest, so within this interval and the report's timeout.
+REPORT_INTERVAL_SECONDS: Final = 1.0
+REPORT_TIMEOUT_SECONDS: Final = 0.8
+# The first missed report in a row is logged, and then every thirtieth.
+LOG_EVERY_MISSED: Final = 30
 # Plain services have no weights.
 NO_VERSION: Final = WeightVersion(0)
 
 
 class ReportReader:
-    """Polls each upstream of the pools at home here."""
+    """Polls each upstream of the owned pools."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._runtime.clock.spawn(self._poll)
 
     def reports(self) -> dict[str, EngineReport]:
-        """Return the newest report of each sampler at home here."""
+        """Return the newest report of each sampler in the owned pools."""
         return self._reports
 
     def _poll(self) -> None:
@@ -57,13 +57,13 @@
             for owned in self._queue_owner.list_owned():
                 for member in owned.spec.members:
                     self._runtime.clock.spawn(self._read, owned, member)
-            self._runtime.clock.sleep(REPORT_SECONDS)
+            self._runtime.clock.sleep(REPORT_INTERVAL_SECONDS)
 
     def _read(self, owned: OwnedPool, member: PoolMember) -> None:
         try:
             report = self._fetch(owned, member)
         except UpstreamError as error:
-            self._miss(member, error)
+            self._record_missed(member, error)
             return
         self._missed.pop(member.id, None)
         self._reports[member.id] = report
@@ -86,8 +86,8 @@
 
     def _fetch(self, owned: OwnedPool, member: PoolMember) -> EngineReport:
         if owned.spec.deployment is not None:
-            return self._engine.report(member.address, REPORT_TIMEOUT)
-        plain = self._service.report(member.address, REPORT_TIMEOUT)
+            return self._engine.report(member.address, REPORT_TIMEOUT_SECONDS)
+        plain = self._service.report(member.address, REPORT_TIMEOUT_SECONDS)
         return EngineReport(
             version=NO_VERSION,
             running=plain.running,
@@ -96,9 +96,9 @@
             leaving=plain.leaving,
         )
 
-    def _miss(self, member: PoolMember, error: UpstreamError) -> None:
+    def _record_missed(self, member: PoolMember, error: UpstreamError) -> None:
         missed = self._missed.get(member.id, 0)
         self._missed[member.id] = missed + 1
         self._reports.pop(member.id, None)
-        if missed % LOG_EVERY == 0:
+        if missed % LOG_EVERY_MISSED == 0:
             write(_LOGGER, REPORT_MISSING, upstream=member.id, error=str(error))
--- a/guavagate/permits/_service.py
+++ b/guavagate/permits/_service.py
@@ -1,4 +1,4 @@
-"""Answers entries' messages to the pools at home here."""
+"""Handles the messages of entries to the owned pools."""
 
 from guavagate.links import Message, expect
 from guavagate.models import InstanceId
@@ -16,7 +16,7 @@
 def serve_queue_owner(runtime: Runtime, queue_owner: QueueOwner) -> None:
     """Register the handlers of messages to a queue owner."""
 
-    def ask(sender: InstanceId, message: Message) -> Message:
+    def request(sender: InstanceId, message: Message) -> Message:
         return queue_owner.request(sender, expect(message, AskPermit))
 
     def release(sender: InstanceId, message: Message) -> None:
@@ -32,7 +32,7 @@
     def record_slow_stream(sender: InstanceId, message: Message) -> None:
         queue_owner.record_slow_stream(expect(message, ReportSlow))
 
-    runtime.bus.register(AskPermit, ask)
+    runtime.bus.register(AskPermit, request)
     runtime.bus.register(ReportSlow, record_slow_stream)
     runtime.bus.register(ReleasePermit, release)
     runtime.bus.register(WithdrawWork, withdraw)
--- a/guavagate/permits/_speculation.py
+++ b/guavagate/permits/_speculation.py
@@ -1,4 +1,4 @@
-"""Offers idle slots for second copies of a step's slowest work."""
+"""Offers idle slots for speculative runs of a step's slowest work."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 
 
 def record(runtime: Runtime, decision: Decision) -> None:
-    """Write a pool's decision to the log and for ``explain``."""
+    """Record a pool's decision in the log and for ``explain``."""
     runtime.decisions.record(
         decision.subject,
         decision.kind,
@@ -27,7 +27,7 @@
 
 
 def describe_refusal(refused: Refused) -> PermitRefusal:
-    """Return a pool's refusal as the entry is told of it."""
+    """Return a pool's refusal in the form that is sent to the entry."""
     return PermitRefusal(
         reason=refused.reason.value,
         text=refused.decision.reason,
@@ -36,12 +36,12 @@
 
 
 class SpeculativeRuns:
-    """The copies of one home's pools.
+    """Speculative runs in the owned pools.
 
     Attributes
     ----------
     start_locally
-        Takes a copy of work that this instance itself holds.
+        Starts a speculative run of work of this instance's own entry.
     """
 
     def __init__(self, runtime: Runtime) -> None:
@@ -49,21 +49,21 @@
         self.start_locally: Callable[[Permit], None] | None = None
 
     def offer(self, owned: OwnedPool, now: float) -> None:
-        """Offer idle slots to the entries whose work would end last."""
+        """Offer idle slots to the entries whose work would finish last."""
         for placement in owned.pool.hedge(now):
             grant = owned.granted.get(placement.work.id)
             if grant is None:
                 owned.pool.cancel(placement.work.id, now)
                 continue
             record(self._runtime, placement.decision)
-            copy = owned.make_permit(placement.work.id, placement.sampler)
+            permit = owned.make_permit(placement.work.id, placement.sampler)
             if grant.entry != self._runtime.settings.id:
-                self._runtime.bus.send(grant.entry, RunCopy(permit=copy))
+                self._runtime.bus.send(grant.entry, RunCopy(permit=permit))
             elif self.start_locally is not None:
-                self.start_locally(copy)
+                self.start_locally(permit)
 
     def end(self, owned: OwnedPool, release: ReleasePermit, now: float) -> None:
-        """Free a copy's slot; refuse the work if nothing else runs it."""
+        """Free a failed run's slot; refuse the work if nothing else runs it."""
         ended = owned.pool.fail(
             release.work_id, SamplerId(release.upstream), now, started=True
         )
--- a/tests/permits/test_queue_owner.py
+++ b/tests/permits/test_queue_owner.py
@@ -1,4 +1,4 @@
-"""Homes and permits while instances die, stall or lose messages."""
+"""Tests of queue owners and permits while instances fail or lose messages."""
 
 import pytest
 
@@ -40,7 +40,7 @@
 
 
 class Entries:
-    """Three instances before one upstream with two slots."""
+    """Three instances that share one upstream with two slots."""
 
     def __init__(self) -> None:
         self.world = World(1)
@@ -71,19 +71,19 @@
         self.queue_owners[name].start()
         self.clients[name].start()
 
-    def owner(self) -> str:
-        """Return the pool's home."""
+    def find_owner(self) -> str:
+        """Return the pool's queue owner."""
         alive = self.world.members[InstanceId('a')].alive()
         return str(find_queue_owner(_POOL, alive))
 
-    def others(self) -> list[str]:
-        """Return the instances that are not the home."""
-        return [name for name in 'abc' if name != self.owner()]
+    def list_others(self) -> list[str]:
+        """Return the instances that are not the queue owner."""
+        return [name for name in 'abc' if name != self.find_owner()]
 
-    def ask(self, name: str, request: str, seconds: float = 60) -> Task:
-        """Ask for a permit in a task of its instance."""
+    def request(self, name: str, request_id: str, seconds: float = 60) -> Task:
+        """Request a permit in a task of its instance."""
         work = Work(
-            id=RequestId(request),
+            id=RequestId(request_id),
             team=TeamId('trust'),
             caller=CallerId('desk'),
             deadline=self.clock.now() + seconds,
@@ -92,149 +92,150 @@
         clock = self.world.hosts[InstanceId(name)].clock
         return clock.spawn(self.clients[name].acquire, _POOL, work)
 
-    def get(self, name: str, request: str) -> Permit:
-        """Ask for a permit and wait for it."""
-        task = self.ask(name, request)
+    def get(self, name: str, request_id: str) -> Permit:
+        """Request a permit and wait for it."""
+        task = self.request(name, request_id)
         assert self.clock.run_until(task.ready, 30)
         permit: Permit = task.get(block=False)
         return permit
 
-    def running(self, name: str) -> int:
-        """Return how much the home on an instance counts as running."""
+    def count_running(self, name: str) -> int:
+        """Return how much work an instance's queue owner counts as running."""
         return sum(
             one.pool.running for one in self.queue_owners[name].list_owned()
         )
 
 
 def test_no_more_run_than_the_upstream_has_slots() -> None:
-    """Three entries ask at once; the third waits until a slot is free."""
+    """Three entries request at once; the third waits until a slot is free."""
     entries = Entries()
     first = entries.get('a', 'r1')
     entries.get('b', 'r2')
-    third = entries.ask('c', 'r3')
+    third = entries.request('c', 'r3')
     entries.clock.advance(5)
     assert not third.ready()
     entries.clients['a'].release(first, Release.DONE, tokens=1, seconds=1)
     assert entries.clock.run_until(third.ready, 1)
 
 
-def test_a_home_that_dies_loses_nothing_and_overfills_nothing() -> None:
-    """Two permits are held and one request waits when the home is killed.
+def test_a_killed_queue_owner_loses_no_work_and_overloads_nothing() -> None:
+    """Two permits are in use and one request waits when the owner is killed.
 
-    The waiting entry asks the next home under the same id. That home has
-    heard from both entries what runs, before it grants: the request gets its
-    permit only when one of the two has ended.
+    The waiting entry sends its request to the next queue owner under the same
+    id. Both entries have sent that owner their permits before it grants any,
+    so the request gets a permit only when one of the two is released.
     """
     entries = Entries()
-    owner, (one, two) = entries.owner(), entries.others()
-    held = entries.get(one, 'r1')
+    owner, (one, two) = entries.find_owner(), entries.list_others()
+    permit = entries.get(one, 'r1')
     entries.get(two, 'r2')
-    waiting = entries.ask(one, 'r3')
+    waiting = entries.request(one, 'r3')
     entries.clock.advance(1)
     entries.world.kill(owner)
     entries.clock.advance(8)
     successor = str(
         find_queue_owner(_POOL, entries.world.members[InstanceId(one)].alive())
     )
-    assert entries.running(successor) == 2
+    assert entries.count_running(successor) == 2
     assert not waiting.ready()
-    entries.clients[one].release(held, Release.DONE, tokens=1, seconds=1)
+    entries.clients[one].release(permit, Release.DONE, tokens=1, seconds=1)
     assert entries.clock.run_until(waiting.ready, 5)
     assert waiting.get(block=False).work_id == 'r3'
 
 
-def test_a_new_home_waits_to_hear_what_runs() -> None:
-    """The new home learns of the death before the entry that holds permits.
+def test_a_new_queue_owner_waits_for_the_permits_in_use() -> None:
+    """The new owner sees the failure before the entry with the permits does.
 
-    Its own caller asks at once. Granting then would give the upstream a third
-    piece of work; it waits half a second, hears of two, and queues the third.
+    Its own caller requests a permit at once, which would be a third for two
+    slots. The owner waits half a second, receives the two permits in use, and
+    queues the third request.
     """
     entries = Entries()
-    owner, names = entries.owner(), entries.others()
+    owner, names = entries.find_owner(), entries.list_others()
     peers = entries.world.peers
     rest = [peers[InstanceId(name)] for name in names]
     successor = str(find_queue_owner(_POOL, rest))
-    holder = next(name for name in names if name != successor)
-    entries.get(holder, 'r1')
-    entries.get(holder, 'r2')
+    other = next(name for name in names if name != successor)
+    entries.get(other, 'r1')
+    entries.get(other, 'r2')
     entries.world.hosts[InstanceId(owner)].kill()
     gone = peers[InstanceId(owner)]
     members = entries.world.members
     members[InstanceId(successor)].update(gone, alive=False)
-    waiting = entries.ask(successor, 'r3')
+    waiting = entries.request(successor, 'r3')
     entries.clock.advance(0.3)
-    members[InstanceId(holder)].update(gone, alive=False)
+    members[InstanceId(other)].update(gone, alive=False)
     entries.clock.advance(3)
     assert not waiting.ready()
-    assert entries.running(successor) == 2
+    assert entries.count_running(successor) == 2
 
 
-def test_an_entry_that_dies_gives_its_slots_back() -> None:
-    """Its callers are gone with it; others need not wait for its work."""
+def test_the_slots_of_a_killed_entry_are_freed() -> None:
+    """Its callers are gone as well, so others must not wait for its work."""
     entries = Entries()
-    one, two = entries.others()
+    one, two = entries.list_others()
     entries.get(one, 'r1')
     entries.get(one, 'r2')
-    waiting = entries.ask(two, 'r3')
+    waiting = entries.request(two, 'r3')
     entries.clock.advance(1)
     entries.world.kill(one)
     assert entries.clock.run_until(waiting.ready, 5)
 
 
-def test_a_lost_release_is_found_by_asking() -> None:
-    """The message that ends a permit is lost; its slot comes back.
+def test_the_slot_of_a_lost_release_is_reclaimed() -> None:
+    """The message that releases a permit is lost.
 
-    The entry no longer holds the permit, and nobody else will ever end it.
-    The home asks about permits that are old and frees what is not held.
+    The entry no longer uses the permit, and no other message will release it.
+    The queue owner checks old permits and frees those that are not in use.
     """
     entries = Entries()
-    owner, (one, _) = entries.owner(), entries.others()
+    owner, (one, _) = entries.find_owner(), entries.list_others()
     permit = entries.get(one, 'r1')
     entries.get(one, 'r2')
     entries.clients[one].drop(permit)
     entries.clock.advance(10)
-    assert entries.running(owner) == 2
+    assert entries.count_running(owner) == 2
     entries.clock.advance(15)
-    assert entries.running(owner) == 1
+    assert entries.count_running(owner) == 1
 
 
-def test_a_request_that_can_not_be_in_time_is_refused_in_time() -> None:
-    """Both slots stay taken; the third is told not_run before its deadline."""
+def test_a_request_that_misses_its_deadline_is_refused_in_time() -> None:
+    """Both slots stay in use; the third request is refused as not run."""
     entries = Entries()
     entries.get('a', 'r1')
     entries.get('b', 'r2')
-    asked = entries.clock.now()
-    task = entries.ask('c', 'r3', seconds=3)
+    requested_at = entries.clock.now()
+    task = entries.request('c', 'r3', seconds=3)
     assert entries.clock.run_until(task.ready, 10)
     with pytest.raises(RefusalError) as caught:
         task.get(block=False)
     assert caught.value.not_run.value == 'true'
-    assert entries.clock.now() - asked <= 3.5
+    assert entries.clock.now() - requested_at <= 3.5
 
 
-def test_an_upstream_that_leaves_gets_nothing_more() -> None:
-    """Its refusal is heard by the home at once; other work is refused."""
+def test_a_leaving_upstream_gets_no_more_work() -> None:
+    """Its refusal reaches the queue owner at once; other work is refused."""
     entries = Entries()
-    owner, (one, two) = entries.owner(), entries.others()
+    owner, (one, two) = entries.find_owner(), entries.list_others()
     permit = entries.get(one, 'r1')
     entries.clients[one].release(permit, Release.LEAVING)
     entries.clock.advance(1)
-    task = entries.ask(two, 'r2', seconds=4)
+    task = entries.request(two, 'r2', seconds=4)
     entries.clock.run_until(task.ready, 10)
     assert isinstance(task.exception, RefusalError)
-    assert not entries.running(owner)
+    assert not entries.count_running(owner)
 
 
-def test_a_report_from_before_the_refusal_brings_no_work_back() -> None:
-    """The upstream refuses as leaving; then its lagging report comes.
+def test_a_delayed_report_brings_no_work_to_a_leaving_upstream() -> None:
+    """The upstream refuses as leaving; then an older report arrives.
 
-    That report was made earlier and says that it serves. Work goes there
-    again only when it has said so for longer than reports lag.
+    That report says that it is serving. The upstream gets work again only when
+    it has reported so for longer than reports are delayed.
     """
     entries = Entries()
-    owner = entries.owner()
-    permit = entries.get(entries.others()[0], 'r1')
-    entries.clients[entries.others()[0]].release(permit, Release.LEAVING)
+    owner = entries.find_owner()
+    permit = entries.get(entries.list_others()[0], 'r1')
+    entries.clients[entries.list_others()[0]].release(permit, Release.LEAVING)
     entries.clock.advance(1)
     queue_owner = entries.queue_owners[owner]
     owned = queue_owner.list_owned()[0]
@@ -245,14 +246,14 @@
     assert owned.pool.slots == 2
 
 
-def test_a_repeated_ask_is_one_piece_of_work() -> None:
-    """The permit's reply was lost: the same work gets the same permit."""
+def test_a_repeated_request_gets_the_same_permit() -> None:
+    """The reply with the permit was lost, and the entry repeats its request."""
     entries = Entries()
-    one = entries.others()[0]
+    one = entries.list_others()[0]
     permit = entries.get(one, 'r1')
     assert entries.get(one, 'r1') == permit
-    owner = entries.owner()
-    assert entries.running(owner) == 1
+    owner = entries.find_owner()
+    assert entries.count_running(owner) == 1
     late = ReleasePermit(
         pool=_POOL,
         work_id=RequestId('other'),
@@ -260,4 +261,4 @@
         ended=Release.DONE,
     )
     entries.queue_owners[owner].release(InstanceId(one), late)
-    assert entries.running(owner) == 1
+    assert entries.count_running(owner) == 1
