--- a/guavagate/feeds/_follower.py
+++ b/guavagate/feeds/_follower.py
@@ -97,19 +97,23 @@
         self._relays[sender] = _Relay(0, 0, stale_since, 0, reading=True)
         requested_at = self._boot_clock()
         try:
-            copy = self._bus.request(
+            snapshot = self._bus.request(
                 sender, ReadFeed(packed=True), FeedCopy, READ_TIMEOUT_SECONDS
             )
-            entries = unpack(copy.packed) if copy.packed else copy.entries
+            entries = (
+                unpack(snapshot.packed) if snapshot.packed else snapshot.entries
+            )
         except LinkError as error:
             _LOGGER.debug('could not read from relay %s: %s', sender, error)
             self._relays.pop(sender)
             return
-        self._table.apply_snapshot(entries, copy.revision)
-        self._proof.record_clock(copy.boot, requested_at, copy.clock)
-        self._proof.record_relayed(copy.boot, copy.proved_at, copy.clock)
+        self._table.apply_snapshot(entries, snapshot.revision)
+        self._proof.record_clock(snapshot.boot, requested_at, snapshot.clock)
+        self._proof.record_relayed(
+            snapshot.boot, snapshot.proved_at, snapshot.clock
+        )
         self._relays[sender] = _Relay(
-            copy.boot, copy.number, self._clock.now(), copy.age
+            snapshot.boot, snapshot.number, self._clock.now(), snapshot.age
         )
         self._on_loaded()
         if previous is None:
--- a/tests/feeds/test_feed.py
+++ b/tests/feeds/test_feed.py
@@ -177,20 +177,20 @@
 def test_an_upstream_that_left_does_not_come_back() -> None:
     """A slow relay sends it after another relay has sent its removal."""
     table = FeedTable()
-    held: dict[str, bytes] = {}
+    objects: dict[str, bytes] = {}
     table.set_handlers(
         'servers',
-        lambda stored: held.update({stored.path: stored.value}),
-        lambda name: held.clear(),
+        lambda stored: objects.update({stored.path: stored.value}),
+        lambda name: objects.clear(),
     )
     entry = FeedEntry(path='servers/x', version=Revision(3), value=b'1')
     table.apply(entry)
     table.apply(FeedEntry(path='servers/x', version=Revision(3)))
     table.apply(entry)
-    assert not held
+    assert not objects
     table.apply_snapshot([], Revision(9))
     table.apply(FeedEntry(path='servers/x', version=Revision(10), value=b'2'))
-    assert held
+    assert objects
 
 
 def test_a_missed_removal_is_applied_from_a_snapshot(fleet: Fleet) -> None:
