--- a/guavagate/feeds/_feed.py
+++ b/guavagate/feeds/_feed.py
@@ -157,11 +157,11 @@
         bus.register(ReadFeed, self._on_read_feed)
         bus.register(ReadFeedClock, self._on_read_clock)
 
-    def set_handlers(
+    def register_handlers(
         self, prefix: str, put: Put, remove: Remove | None
     ) -> None:
-        """Set the handlers, which must not block, for objects of a prefix."""
-        self._table.set_handlers(prefix, put, remove)
+        """Register handlers, which must not block, for a prefix."""
+        self._table.register_handlers(prefix, put, remove)
 
     @property
     def loaded(self) -> bool:
--- a/guavagate/feeds/_table.py
+++ b/guavagate/feeds/_table.py
@@ -29,10 +29,10 @@
         self._unreadable = UnreadableObjects()
         self.on_change: Callable[[FeedEntry], None] = _ignore
 
-    def set_handlers(
+    def register_handlers(
         self, prefix: str, put: Put, remove: Remove | None
     ) -> None:
-        """Set the handlers, which must not block, for objects of a prefix."""
+        """Register handlers, which must not block, for a prefix."""
         self._handlers[prefix] = (put, remove)
 
     def entries(self) -> list[FeedEntry]:
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -209,8 +209,10 @@
             proof_path=self._settings.bounds.find_proof(),
             may_be_standby=lambda: not self._services.active,
         )
-        feed.set_handlers(const.CONFIG, self._put_config, None)
-        feed.set_handlers(const.SERVERS, self._put_server, self._drop_server)
+        feed.register_handlers(const.CONFIG, self._put_config, None)
+        feed.register_handlers(
+            const.SERVERS, self._put_server, self._drop_server
+        )
         versions = Mirror(
             self._store, self._clock, const.VERSIONS, self._put_version
         )
--- a/tests/feeds/fleet.py
+++ b/tests/feeds/fleet.py
@@ -92,12 +92,12 @@
             may_be_standby=lambda: name not in self.working,
             boot_clock=self.clock.now,
         )
-        feed.set_handlers('config', put, None)
+        feed.register_handlers('config', put, None)
 
         def remove(gone: str) -> None:
             objects.pop(f'servers/{gone}')
 
-        feed.set_handlers('servers', put, remove)
+        feed.register_handlers('servers', put, remove)
         self.feeds[name] = feed
         feed.start()
 
--- a/tests/feeds/test_feed.py
+++ b/tests/feeds/test_feed.py
@@ -178,7 +178,7 @@
     """A slow relay sends it after another relay has sent its removal."""
     table = FeedTable()
     objects: dict[str, bytes] = {}
-    table.set_handlers(
+    table.register_handlers(
         'servers',
         lambda stored: objects.update({stored.path: stored.value}),
         lambda name: objects.clear(),
--- a/tests/feeds/test_packing.py
+++ b/tests/feeds/test_packing.py
@@ -24,7 +24,7 @@
     def put(stored: StoredObject) -> None:
         """Accept any object."""
 
-    table.set_handlers('servers', put, lambda name: None)
+    table.register_handlers('servers', put, lambda name: None)
     for number in range(upstreams):
         _apply(table, number, 1)
     return table
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -137,7 +137,7 @@
         upstreams.put(decode_server(name, stored.value))
 
     table = FeedTable()
-    table.set_handlers(
+    table.register_handlers(
         'servers', put, lambda name: upstreams.remove(UpstreamId(name))
     )
     good = msgspec.json.encode(_SERVER)
