--- a/guavagate/permits/_client.py
+++ b/guavagate/permits/_client.py
@@ -38,7 +38,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 # While its work is queued, an entry repeats its request after this time, with
-# the same work id. It so finds a new queue owner within this time, at the cost
+# the same work id. It finds a new queue owner within this time, at the cost
 # of one message every two seconds.
 POLL_INTERVAL_SECONDS: Final = 2.0
 LINK_MARGIN_SECONDS: Final = 0.5
--- a/guavagate/permits/_queue_owner.py
+++ b/guavagate/permits/_queue_owner.py
@@ -162,7 +162,7 @@
                 cached_tokens=release.cached_tokens,
             )
         elif release.ended in {Release.FAILED, Release.NOT_STARTED}:
-            # The entry does not request this work again.
+            # The entry has given up and does not request this work again.
             owned.pool.fail(release.work_id, sampler, now, started=True)
             owned.pool.cancel(release.work_id, now)
         else:
