--- a/guavagate/jobs/__init__.py
+++ b/guavagate/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs: items submitted at once, run later, their results read by position."""
+"""Jobs: items submitted together, run later, with results read by position."""
 
 from guavagate.jobs._messages import LookupStatus
 from guavagate.jobs._models import (
--- a/guavagate/jobs/_active.py
+++ b/guavagate/jobs/_active.py
@@ -390,7 +390,7 @@
         )
         self._metrics.observe(names.JOB_SECONDS, seconds)
         _cancel(work)
-        self._partial_texts.keep(work)
+        self._partial_texts.store(work)
         held.changed.set()
 
 
--- a/guavagate/jobs/_committer.py
+++ b/guavagate/jobs/_committer.py
@@ -1,4 +1,4 @@
-"""Lists finished results in groups: each write to the store has its price."""
+"""Commits finished results in batches, as each write to the store is costly."""
 
 import logging
 from collections.abc import Callable
@@ -16,46 +16,46 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Results wait this long for company. A step takes seconds and its last result
-# does not wait, so a trainer sees no delay by it.
-GROUP_SECONDS: Final = 0.3
-RETRY_SECONDS: Final = 0.2
+# How long a result waits for others to share its write. A step takes seconds
+# and its last result does not wait, so a trainer sees no delay.
+BATCH_SECONDS: Final = 0.3
+RETRY_INTERVAL_SECONDS: Final = 0.2
 
 
 class Committer:
-    """Lists the results of one job.
+    """Commits the results of one job.
 
     Parameters
     ----------
-    listed
-        Called, without blocking, after results were listed.
+    on_committed
+        Called after results were committed; must not block.
     """
 
     def __init__(
-        self, clock: Clock, work: JobWork, listed: Callable[[], None]
+        self, clock: Clock, work: JobWork, on_committed: Callable[[], None]
     ) -> None:
         self._clock = clock
         self._work = work
-        self._listed = listed
+        self._on_committed = on_committed
         self._urgent = Event()
         self._task: Task | None = None
 
-    def take(self, *, urgent: bool) -> None:
-        """List what is pending; at once if it is urgent."""
+    def commit_pending(self, *, urgent: bool) -> None:
+        """Commit the pending results, immediately if urgent."""
         if urgent:
             self._urgent.set()
         if self._task is None or self._task.dead:
             self._task = self._clock.spawn(self._run)
 
     def stop(self) -> None:
-        """List nothing more."""
+        """Stop committing results."""
         if self._task is not None:
             self._task.kill(block=False)
 
     def _run(self) -> None:
         work = self._work
         while work.pending:
-            wait_for(self._clock, self._urgent, GROUP_SECONDS)
+            wait_for(self._clock, self._urgent, BATCH_SECONDS)
             self._urgent.clear()
             try:
                 added = work.log.append(list(work.pending))
@@ -67,7 +67,7 @@
                     pending=len(work.pending),
                     problem=repr(error),
                 )
-                self._clock.sleep(RETRY_SECONDS)
+                self._clock.sleep(RETRY_INTERVAL_SECONDS)
                 continue
             work.note_listed()
             write(
@@ -79,4 +79,4 @@
                 total=len(work.items),
                 groups=work.complete_groups,
             )
-            self._listed()
+            self._on_committed()
--- a/guavagate/jobs/_expiry.py
+++ b/guavagate/jobs/_expiry.py
@@ -1,4 +1,4 @@
-"""Removes jobs from the store when nobody may read them any more."""
+"""Removes jobs from the store after their retention time."""
 
 import logging
 from typing import Final
@@ -18,21 +18,21 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Readers and instances may tell the time differently; a job is kept longer
-# rather than shorter than was promised.
-SLACK_SECONDS: Final = 60.0
+# Clocks of readers and instances may differ; a job is kept longer rather than
+# shorter than promised.
+CLOCK_SKEW_SECONDS: Final = 60.0
 
 
 def is_expired(job: Job, now: float, retention: float) -> bool:
-    """Return whether a job that is closed may go; `now` since 1970."""
-    return now - job.submitted_at > retention + SLACK_SECONDS
+    """Return whether a closed job may be removed; `now` is in Unix time."""
+    return now - job.submitted_at > retention + CLOCK_SKEW_SECONDS
 
 
 def remove_job(store: ObjectStore, clock: Clock, job: Job) -> None:
-    """Remove a job and all that was kept of it; raises `StoreError`.
+    """Remove a job and all its objects from the store; raises `StoreError`.
 
-    The job itself goes last: removed halfway, it is still there to be found,
-    and the next owner removes the rest.
+    The job object is removed last, so that the next owner still finds a job
+    that was removed only in part, and removes the rest.
     """
     chunks, _ = store.list_under(results_prefix(job.id))
     for chunk in chunks:
--- a/guavagate/jobs/_owner.py
+++ b/guavagate/jobs/_owner.py
@@ -27,7 +27,7 @@
     ResultState,
 )
 from guavagate.jobs._pace import STALL_SECONDS
-from guavagate.jobs._replicas import COPY_SECONDS, TextReplicas
+from guavagate.jobs._replicas import REPLICATION_INTERVAL_SECONDS, TextReplicas
 from guavagate.jobs._rewards import Rewards
 from guavagate.jobs._runner import ItemRunner
 from guavagate.jobs._snapshots import TextSnapshots
@@ -244,7 +244,7 @@
     def _copy_texts(self) -> None:
         """Keep what was made of the texts, here and with who may come next."""
         while True:
-            self._clock.sleep(COPY_SECONDS)
+            self._clock.sleep(REPLICATION_INTERVAL_SECONDS)
             works = self._held.list_open()
             if works:
                 self._snapshots.save(self._service, works)
@@ -332,4 +332,4 @@
             seconds=round(seconds, 2),
             longest_gap=round(progress.longest_gap, 2),
         )
-        held.committer.take(urgent=urgent or not work.open)
+        held.committer.commit_pending(urgent=urgent or not work.open)
--- a/guavagate/jobs/_partial_texts.py
+++ b/guavagate/jobs/_partial_texts.py
@@ -1,8 +1,9 @@
-"""Texts of items that a job's end left unfinished, for a later job.
+"""Stores partial texts of unfinished groups for the job that resubmits them.
 
-Load pattern: a trainer goes on when enough groups are whole, and asks for the
-others again with its next step. The longest texts are the ones left over:
-started anew each time, they would be the last again and might never end.
+Load pattern: a trainer continues once enough groups are complete and resubmits
+the others with its next step. Those contain the longest texts. Restarted from
+the first event by each job, they would finish last every time and might never
+complete.
 """
 
 from collections import OrderedDict
@@ -19,12 +20,12 @@
 from guavagate.jobs._work import JobWork, Text
 from guavagate.models import TeamId, WeightVersion
 
-# Two or three steps of each of a few trainers; older ones are too stale.
-MOST_ITEMS: Final = 2000
+# Two or three steps of a few trainers; older items are too stale to resubmit.
+MAX_ITEMS: Final = 2000
 
 
-class _Kept(msgspec.Struct):
-    """What is there of an item; `result` if it was finished."""
+class _StoredItem(msgspec.Struct):
+    """The partial text of an item, and its result if it finished."""
 
     team: TeamId
     item: JobItem
@@ -33,14 +34,14 @@
 
 
 class PartialTexts:
-    """Keeps what was made of items whose groups were not whole."""
+    """Stores texts and results of items whose groups did not complete."""
 
     def __init__(self) -> None:
-        self._kept: OrderedDict[ItemId, _Kept] = OrderedDict()
+        self._items: OrderedDict[ItemId, _StoredItem] = OrderedDict()
 
-    def keep(self, work: JobWork) -> None:
-        """Take in what an ended job leaves."""
-        results = {
+    def store(self, work: JobWork) -> None:
+        """Store what an ended job has of its incomplete groups."""
+        completed = {
             each.id: each
             for each in (*work.log.results, *work.pending)
             if each.state is ResultState.COMPLETED
@@ -49,41 +50,45 @@
             item = progress.item
             if work.is_whole(item.group):
                 continue
-            result = results.get(item.id)
+            result = completed.get(item.id)
             if result is not None or progress.text.last:
-                self._kept[item.id] = _Kept(
+                self._items[item.id] = _StoredItem(
                     work.job.team, item, progress.text, result
                 )
-                self._kept.move_to_end(item.id)
-        while len(self._kept) > MOST_ITEMS:
-            self._kept.popitem(last=False)
+                self._items.move_to_end(item.id)
+        while len(self._items) > MAX_ITEMS:
+            self._items.popitem(last=False)
 
     def restore(self, work: JobWork) -> list[Result]:
-        """Give a new job what fits it; return the results that are whole."""
+        """Restore partial texts into a new job; return completed results."""
         job = work.job
-        whole = []
+        results = []
         for progress in work.items.values():
-            kept = self._kept.pop(progress.item.id, None)
-            if kept is None or not _is_same(kept.item, progress.item):
+            stored = self._items.pop(progress.item.id, None)
+            if stored is None or not _is_same_request(
+                stored.item, progress.item
+            ):
                 continue
-            if kept.team != job.team:
+            if stored.team != job.team:
                 continue
-            # A signature is that of the request that gave it, whichever step
-            # asked for it; for another request only the text is of use.
-            rated = kept.item.reward == progress.item.reward
-            if kept.result is not None and rated:
-                if _fits(kept.result.versions, job.min_version):
-                    whole.append(kept.result)
-            elif kept.text.last > progress.text.last and kept.text.fits(
+            # A signature belongs to the reward request that produced it, in
+            # whichever step. If the request differs, only the text is usable.
+            same_reward = stored.item.reward == progress.item.reward
+            if stored.result is not None and same_reward:
+                if _meets_min_version(stored.result.versions, job.min_version):
+                    results.append(stored.result)
+            elif stored.text.last > progress.text.last and stored.text.fits(
                 job.min_version, None
             ):
-                progress.text = kept.text
-        return whole
+                progress.text = stored.text
+        return results
 
 
-def _is_same(one: JobItem, other: JobItem) -> bool:
+def _is_same_request(one: JobItem, other: JobItem) -> bool:
     return (one.path, one.body) == (other.path, other.body)
 
 
-def _fits(versions: list[WeightVersion], oldest: WeightVersion) -> bool:
-    return bool(versions) and min(versions) >= oldest
+def _meets_min_version(
+    versions: list[WeightVersion], min_version: WeightVersion
+) -> bool:
+    return bool(versions) and min(versions) >= min_version
--- a/guavagate/jobs/_replicas.py
+++ b/guavagate/jobs/_replicas.py
@@ -1,9 +1,10 @@
-"""Texts in the making, as an owner tells them to who may come after it.
+"""Replicates partial texts from a job owner to its possible successors.
 
-A text is durable only when it is listed. The longest texts take most of the
-time that a step has, so an owner that dies near its end would have them made
-anew from the start, and the step would be late for these few. Copies cost a
-few kilobytes a second on the links; all of them may be lost without harm.
+A text is durable only once it is committed. The longest texts take most of a
+step's time. If the owner died near the end of a step, its successor would
+restart them from the first event, and the step would be late because of these
+few. Replicas cost a few kilobytes per second on the links, and losing all of
+them does no harm.
 """
 
 import itertools
@@ -23,23 +24,24 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# What a takeover loses of each text is as old as this; a text grows by ten
-# events meanwhile, of the hundred that a long one has.
-COPY_SECONDS: Final = 0.5
-# Of one copy, in characters, the longest texts first: what is left out comes
-# with the next one. A burst of 190 texts at twenty events a second is 60,000;
-# more is a fleet whose links have other things to carry.
-COPY_CHARACTERS: Final = 100_000
-# Owners of a few services, and those before them; older ones are of no use.
-MOST_SOURCES: Final = 8
-# A peer that does not answer gets all anew next time.
-REPLY_SECONDS: Final = 0.4
+# A takeover loses this much of each text: about ten events, of the hundred
+# that a long text has.
+REPLICATION_INTERVAL_SECONDS: Final = 0.5
+# Limit of one message. The longest texts go first, the rest follows in the next
+# message. A burst of 190 texts at twenty events a second is 60,000 characters;
+# a larger one would take link capacity from other messages of a large fleet.
+MAX_MESSAGE_CHARACTERS: Final = 100_000
+# Covers the current and former owners of a few services; replicas of older
+# sources are useless.
+MAX_SOURCES: Final = 8
+# A peer that does not reply in time gets the complete texts next time.
+REPLY_TIMEOUT_SECONDS: Final = 0.4
 
 
 class TextPart(msgspec.Struct, frozen=True):
-    """Events of an item's text from the one after `after` on.
+    """The events of an item's text that follow the first `after` events.
 
-    `number` tells texts of one item apart: one that is made anew has another.
+    `number` distinguishes the texts of one item: a restarted text has another.
     """
 
     job: JobId
@@ -52,9 +54,10 @@
 
 
 class TextCopy(Message, frozen=True, kw_only=True):
-    """What an owner's texts have grown by; `jobs` are those in work.
+    """New events of an owner's texts; `jobs` are its open jobs.
 
-    `boot` is drawn anew by each process, as the numbers of its texts are.
+    `boot` is a random number of the sending process, as text numbers are
+    unique only within a process.
     """
 
     service: ServiceId
@@ -64,20 +67,20 @@
 
 
 class TextCopied(Message, frozen=True, kw_only=True):
-    """The copy was taken in."""
+    """Acknowledges a `TextCopy`."""
 
 
-class _Told(msgspec.Struct):
-    """How far a peer knows a text."""
+class _SentText(msgspec.Struct):
+    """How much of a text a peer has."""
 
     text: Text
     number: int
-    events: int
-    whole: bool = False
+    event_count: int
+    complete: bool = False
 
 
-class _Copy(msgspec.Struct):
-    """A text that an owner has told, by its number there."""
+class _Replica(msgspec.Struct):
+    """A replicated text and its number at the owner."""
 
     number: int
     text: Text
@@ -85,20 +88,23 @@
 
 _Key: TypeAlias = tuple[JobId, ItemId]
 _Source: TypeAlias = tuple[ServiceId, InstanceId, int]
-_Copies: TypeAlias = dict[JobId, dict[ItemId, _Copy]]
+_Replicas: TypeAlias = dict[JobId, dict[ItemId, _Replica]]
 
 
 class TextReplicas:
-    """The copies that this instance keeps for others, and sends."""
+    """Sends replicas to peers and stores those of other instances."""
 
     def __init__(self, bus: Bus) -> None:
         self._bus = bus
         self._boot = secrets.randbits(62)
         self._numbers = itertools.count(1)
-        # Two that both believe to own a service make two texts of each item;
-        # pieces of both put together are a text that no sampler has made.
-        self._kept: OrderedDict[_Source, _Copies] = OrderedDict()
-        self._told: dict[tuple[ServiceId, InstanceId], dict[_Key, _Told]] = {}
+        # Two instances that both believe they own a service produce two texts
+        # of each item. Joining parts of both would give a text that no sampler
+        # generated, so replicas are stored by source.
+        self._received: OrderedDict[_Source, _Replicas] = OrderedDict()
+        self._sent: dict[
+            tuple[ServiceId, InstanceId], dict[_Key, _SentText]
+        ] = {}
         bus.register(TextCopy, self._on_copy)
 
     def send(
@@ -107,129 +113,129 @@
         works: list[JobWork],
         peers: Iterable[InstanceId],
     ) -> None:
-        """Tell peers what was made since they were told last."""
+        """Send peers the events since the last message to each of them."""
         for peer in peers:
-            told = self._told.get((service, peer), {})
-            grown = self._choose_grown(works, told)
+            sent = self._sent.get((service, peer), {})
+            updates = self._select_updates(works, sent)
             copy = TextCopy(
                 service=service,
                 boot=self._boot,
                 jobs=[work.job.id for work in works],
-                parts=[part for _, part in grown],
+                parts=[part for _, part in updates],
             )
-            # Counted before the answer, during which the texts grow on.
+            # Counted before the request, as the texts grow while it runs.
             counts = {
-                (part.job, part.item): _Told(
+                (part.job, part.item): _SentText(
                     progress.text,
                     part.number,
                     part.after + len(part.events),
                     part.whole,
                 )
-                for progress, part in grown
+                for progress, part in updates
             }
             try:
-                self._bus.request(peer, copy, TextCopied, REPLY_SECONDS)
+                self._bus.request(peer, copy, TextCopied, REPLY_TIMEOUT_SECONDS)
             except LinkError as error:
-                _LOGGER.debug('%s took no copy: %s', peer, error)
-                self._told.pop((service, peer), None)
+                _LOGGER.debug('%s did not store a replica: %s', peer, error)
+                self._sent.pop((service, peer), None)
             else:
                 open_jobs = set(copy.jobs)
-                kept = {
+                unchanged = {
                     key: each
-                    for key, each in told.items()
+                    for key, each in sent.items()
                     if key[0] in open_jobs
                 }
-                self._told[service, peer] = {**kept, **counts}
+                self._sent[service, peer] = {**unchanged, **counts}
 
     def restore(self, work: JobWork) -> None:
-        """Give a job that is taken over the texts that were copied here."""
-        for (service, _, _), copies in self._kept.items():
+        """Restore the replicated texts into a job that is taken over."""
+        for (service, _, _), replicas in self._received.items():
             if service != work.job.service:
                 continue
-            for item, copy in copies.pop(work.job.id, {}).items():
-                use_text(work, item, copy.text)
+            for item, replica in replicas.pop(work.job.id, {}).items():
+                adopt_text(work, item, replica.text)
 
     def _on_copy(self, sender: InstanceId, message: Message) -> TextCopied:
         copy = expect(message, TextCopy)
         source = (copy.service, sender, copy.boot)
-        before = self._kept.get(source, {})
-        copies = {job: before.get(job, {}) for job in copy.jobs}
-        self._kept[source] = copies
-        self._kept.move_to_end(source)
-        while len(self._kept) > MOST_SOURCES:
-            self._kept.popitem(last=False)
+        before = self._received.get(source, {})
+        replicas = {job: before.get(job, {}) for job in copy.jobs}
+        self._received[source] = replicas
+        self._received.move_to_end(source)
+        while len(self._received) > MAX_SOURCES:
+            self._received.popitem(last=False)
         for part in copy.parts:
-            if part.job in copies:
-                _take_part(copies[part.job], part)
+            if part.job in replicas:
+                _apply_part(replicas[part.job], part)
         return TextCopied()
 
-    def _choose_grown(
-        self, works: list[JobWork], told: dict[_Key, _Told]
+    def _select_updates(
+        self, works: list[JobWork], sent: dict[_Key, _SentText]
     ) -> list[tuple[Progress, TextPart]]:
-        """Return what a peer lacks of texts that are not listed yet."""
-        grown = [
+        """Return the parts of uncommitted texts that a peer lacks."""
+        updates = [
             (progress, part)
             for work in works
             for progress in work.items.values()
             if progress.item.id not in work.log.committed
-            and (part := self._cut_part(work.job.id, progress, told))
+            and (part := self._make_part(work.job.id, progress, sent))
         ]
-        grown.sort(key=lambda each: -each[0].text.last)
-        left = COPY_CHARACTERS
+        updates.sort(key=lambda each: -each[0].text.last)
+        left = MAX_MESSAGE_CHARACTERS
         chosen: list[tuple[Progress, TextPart]] = []
-        for progress, part in grown:
+        for progress, part in updates:
             left -= sum(map(len, part.events))
             if left < 0 and chosen:
                 break
             chosen.append((progress, part))
         return chosen
 
-    def _cut_part(
-        self, job: JobId, progress: Progress, told: dict[_Key, _Told]
+    def _make_part(
+        self, job: JobId, progress: Progress, sent: dict[_Key, _SentText]
     ) -> TextPart | None:
-        """Return what a peer lacks of a text; one made anew it lacks whole."""
-        known = told.get((job, progress.item.id))
+        """Return the part of a text that a peer lacks, all if it restarted."""
+        known = sent.get((job, progress.item.id))
         text = progress.text
         if known is None or known.text is not text:
-            known = _Told(text, next(self._numbers), 0)
-        if text.last == known.events and text.whole == known.whole:
+            known = _SentText(text, next(self._numbers), 0)
+        if text.last == known.event_count and text.whole == known.complete:
             return None
         return TextPart(
             job,
             progress.item.id,
             known.number,
-            known.events,
-            text.events[known.events :],
+            known.event_count,
+            text.events[known.event_count :],
             list(text.versions),
             text.whole,
         )
 
 
-def use_text(work: JobWork, item: ItemId, text: Text) -> None:
-    """Have an item go on with a text, if it fits and more was made of it."""
+def adopt_text(work: JobWork, item: ItemId, text: Text) -> None:
+    """Resume an item from a text if it is usable and longer than its own."""
     progress = work.items.get(item)
     if progress is None or progress.done:
         return
-    mine = progress.text
-    more = (text.last, text.whole) > (mine.last, mine.whole)
-    if more and text.fits(work.job.min_version, None):
+    current = progress.text
+    longer = (text.last, text.whole) > (current.last, current.whole)
+    if longer and text.fits(work.job.min_version, None):
         progress.text = text
 
 
-def _take_part(copies: dict[ItemId, _Copy], part: TextPart) -> None:
-    """Put a part behind what is here of the same text.
+def _apply_part(replicas: dict[ItemId, _Replica], part: TextPart) -> None:
+    """Append a part to the replica of the same text.
 
-    Messages may come late, after newer ones: what belongs to an older text, or
-    adds nothing, is left. Behind a gap a part is of no use.
+    Messages may arrive out of order. A part of an older text, one that adds
+    nothing and one that leaves a gap are ignored.
     """
-    held = copies.get(part.item)
-    if held is None or held.number < part.number:
-        held = _Copy(part.number, Text())
-    events = held.text.events
-    fits = held.number == part.number and part.after <= len(events)
+    replica = replicas.get(part.item)
+    if replica is None or replica.number < part.number:
+        replica = _Replica(part.number, Text())
+    events = replica.text.events
+    fits = replica.number == part.number and part.after <= len(events)
     end = part.after + len(part.events)
-    if not fits or (end, part.whole) <= (len(events), held.text.whole):
+    if not fits or (end, part.whole) <= (len(events), replica.text.whole):
         return
     events = [*events[: part.after], *part.events]
-    held.text = Text(events, list(part.versions), len(events), part.whole)
-    copies[part.item] = held
+    replica.text = Text(events, list(part.versions), len(events), part.whole)
+    replicas[part.item] = replica
--- a/guavagate/jobs/_snapshots.py
+++ b/guavagate/jobs/_snapshots.py
@@ -1,14 +1,14 @@
-"""Texts in the making on this instance's own disk, for a restart of all.
+"""Saves partial texts on the local disk for a restart of all instances.
 
-Copies at other instances are lost when all instances stop at once. The owner
-before goes on with its jobs then, and the longest texts, which take most of the
-time that a step has, would be made anew from their first event, each of them
-late. What is kept here is a prefix of each text as its sampler made it. All of
-it may be lost, torn, or of long ago: it is used only for items that are still
-to be made, and a file that can not be read is left out.
+Failure pattern: all instances stop at once, which loses the replicas at the
+other instances. The former owner then resumes its jobs. The longest texts,
+which take most of a step's time, would restart from the first event, and all of
+them would be late. A snapshot holds a prefix of each text as its sampler
+generated it. It may be lost, torn or old: it is used only for items that are
+not done, and an unreadable file is ignored.
 
-Disks stall for seconds and fill up. Files are written by a thread, one at a
-time, and what finds the last one still at work is not written.
+Disks stall for seconds and fill up. A thread writes one file at a time, and a
+snapshot is skipped while the previous write is still running.
 """
 
 import logging
@@ -24,25 +24,25 @@
 from guavagate.events import jobs as events
 from guavagate.events import write
 from guavagate.jobs._models import ItemId, JobId
-from guavagate.jobs._replicas import use_text
+from guavagate.jobs._replicas import adopt_text
 from guavagate.jobs._work import JobWork, Text
 from guavagate.models import ServiceId, WeightVersion
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Longer than what all slots of a large fleet hold; a larger file is not ours.
-MOST_BYTES: Final = 16_000_000
+# More than the texts of all slots of a large fleet; a larger file is not ours.
+MAX_FILE_BYTES: Final = 16_000_000
 
-RunAside = Callable[[Callable[[], None]], object]
+RunBlocking = Callable[[Callable[[], None]], object]
 
 
 def run_in_thread(work: Callable[[], None]) -> object:
-    """Run what may block in a thread of its own."""
+    """Run a blocking function in the hub's thread pool."""
     return gevent.get_hub().threadpool.spawn(work)
 
 
 class _SavedText(msgspec.Struct, frozen=True, array_like=True):
-    """A text that was not listed yet."""
+    """A text that is not committed yet."""
 
     job: JobId
     item: ItemId
@@ -52,36 +52,38 @@
 
 
 class TextSnapshots:
-    """Keeps the texts of the jobs that this instance works on.
+    """Saves and restores the texts of the jobs that this instance owns.
 
     Parameters
     ----------
     path
-        The folder for data; nothing is kept where it is empty.
-    run_aside
-        Runs what may block for long.
+        The data directory; nothing is saved if it is empty.
+    run_blocking
+        Runs a function that may block for long.
     """
 
-    def __init__(self, path: str, run_aside: RunAside = run_in_thread) -> None:
+    def __init__(
+        self, path: str, run_blocking: RunBlocking = run_in_thread
+    ) -> None:
         self._path = pathlib.Path(path) if path else None
-        self._run_aside = run_aside
+        self._run_blocking = run_blocking
         self._busy = False
         self._problem = ''
-        self._told = False
-        self._kept: dict[JobId, list[_SavedText]] = {}
+        self._problem_logged = False
+        self._loaded: dict[JobId, list[_SavedText]] = {}
 
     def load(self, service: ServiceId) -> None:
-        """Read what an earlier start of this instance has kept."""
-        path = self._find_file(service)
+        """Load the snapshot of an earlier run of this instance."""
+        path = self._get_path(service)
         if path is not None:
-            self._run_aside(lambda: self._read(path))
+            self._run_blocking(lambda: self._read(path))
 
     def save(self, service: ServiceId, works: list[JobWork]) -> None:
-        """Keep the texts of open jobs, unless the disk is still at work."""
-        path = self._find_file(service)
+        """Save the texts of open jobs, unless a write is still running."""
+        path = self._get_path(service)
         if path is None or self._busy:
             return
-        self._tell_problem()
+        self._log_problem()
         texts = [
             _SavedText(
                 work.job.id,
@@ -96,20 +98,20 @@
         ]
         content = msgspec.msgpack.encode(texts)
         self._busy = True
-        self._run_aside(lambda: self._write(path, content))
+        self._run_blocking(lambda: self._write(path, content))
 
     def restore(self, work: JobWork) -> None:
-        """Give a job that is taken over the texts that were kept here."""
-        for saved in self._kept.pop(work.job.id, []):
+        """Restore the saved texts into a job that is taken over."""
+        for saved in self._loaded.pop(work.job.id, []):
             text = Text(
                 list(saved.events),
                 list(saved.versions),
                 len(saved.events),
                 saved.whole,
             )
-            use_text(work, saved.item, text)
+            adopt_text(work, saved.item, text)
 
-    def _find_file(self, service: ServiceId) -> pathlib.Path | None:
+    def _get_path(self, service: ServiceId) -> pathlib.Path | None:
         if self._path is None:
             return None
         name = parse.quote(service, safe='')
@@ -118,7 +120,7 @@
     def _read(self, path: pathlib.Path) -> None:
         try:
             with path.open('rb') as file:
-                content = file.read(MOST_BYTES)
+                content = file.read(MAX_FILE_BYTES)
             texts = msgspec.msgpack.decode(content, type=list[_SavedText])
         except FileNotFoundError:
             return
@@ -126,17 +128,17 @@
             self._problem = str(error)
             return
         for text in texts:
-            self._kept.setdefault(text.job, []).append(text)
+            self._loaded.setdefault(text.job, []).append(text)
 
     def _write(self, path: pathlib.Path, content: bytes) -> None:
-        """Replace the file; after a loss of power there is one or the other."""
-        fresh = path.with_suffix('.new')
+        """Replace the file atomically; a power loss leaves one version."""
+        temporary = path.with_suffix('.new')
         try:
-            with fresh.open('wb') as file:
+            with temporary.open('wb') as file:
                 file.write(content)
                 file.flush()
                 os.fsync(file.fileno())
-            fresh.replace(path)
+            temporary.replace(path)
         except OSError as error:
             self._problem = str(error)
         else:
@@ -144,11 +146,11 @@
         finally:
             self._busy = False
 
-    def _tell_problem(self) -> None:
-        """Tell of a disk that fails, once until it works again.
+    def _log_problem(self) -> None:
+        """Log a failing disk once until it works again.
 
-        Here and not where it is met: threads write no log lines.
+        Not logged where it occurs, as worker threads must not write log lines.
         """
-        if self._problem and not self._told:
+        if self._problem and not self._problem_logged:
             write(_LOGGER, events.TEXTS_NOT_KEPT, problem=self._problem)
-        self._told = bool(self._problem)
+        self._problem_logged = bool(self._problem)
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -103,15 +103,15 @@
     Safeguard(
         'a late copy changes nothing',
         'guavagate/jobs/_replicas.py',
-        'fits = held.number == part.number and part',
+        'fits = replica.number == part.number and part',
         'fits = part',
         'tests/jobs/test_texts.py',
     ),
     Safeguard(
         'a copy is used where its versions fit',
         'guavagate/jobs/_replicas.py',
-        'if more and text.fits(work.job.min_version, None):',
-        'if more:',
+        'if longer and text.fits(work.job.min_version, None):',
+        'if longer:',
         'tests/jobs/test_texts.py',
     ),
     Safeguard(
@@ -161,8 +161,8 @@
     Safeguard(
         'a signature is carried for the same request only',
         'guavagate/jobs/_partial_texts.py',
-        'rated = kept.item.reward == progress.item.reward',
-        'rated = True',
+        'same_reward = stored.item.reward == progress.item.reward',
+        'same_reward = True',
         'tests/jobs/test_rewards.py',
     ),
     Safeguard(
--- a/tests/jobs/test_texts.py
+++ b/tests/jobs/test_texts.py
@@ -236,7 +236,7 @@
             node.replicas.send, SERVICE, [work], [InstanceId('b')]
         )
         fleet.clock.run_until(task.ready, 2)
-        copies = next(iter(peer._kept.values()))
+        copies = next(iter(peer._received.values()))
         assert list(copies[job.id]) == copied
 
 
