--- a/guavagate/front/_jobs.py
+++ b/guavagate/front/_jobs.py
@@ -74,7 +74,7 @@
     def _tell_accepted(
         self, exchange: Exchange, job: Job, *, new: bool
     ) -> None:
-        self._reader.remember(job)
+        self._reader.cache_job(job)
         seconds = self._clock.now() - exchange.arrived
         self._metrics.observe(names.ACCEPT_SECONDS, seconds)
         write(
--- a/guavagate/jobs/_active.py
+++ b/guavagate/jobs/_active.py
@@ -23,10 +23,10 @@
     JobId,
     Page,
     Result,
-    cut_page,
+    make_page,
 )
 from guavagate.jobs._partial_texts import PartialTexts
-from guavagate.jobs._result_log import WRITE_SECONDS, ResultLog
+from guavagate.jobs._result_log import WRITE_TIMEOUT_SECONDS, ResultLog
 from guavagate.jobs._schedule import count_demands
 from guavagate.jobs._store import JobStore
 from guavagate.jobs._work import JobWork
@@ -166,7 +166,7 @@
             return LookupStatus.UNCERTAIN, None
         results = held.work.log.results
         total = len(held.work.items)
-        return LookupStatus.FOUND, cut_page(results, total, after, PAGE_BYTES)
+        return LookupStatus.FOUND, make_page(results, total, after, PAGE_BYTES)
 
     def read_item(
         self, job: JobId, item: ItemId, team: TeamId = _ANYBODY
@@ -300,7 +300,7 @@
         held.work.note_listed()
         # Writes that were on their way at the end may still come.
         ending = held.ended_at is not None and (
-            asked < held.ended_at + WRITE_SECONDS
+            asked < held.ended_at + WRITE_TIMEOUT_SECONDS
         )
         if not ending:
             held.reconciled = max(held.reconciled, invalidations)
--- a/guavagate/jobs/_messages.py
+++ b/guavagate/jobs/_messages.py
@@ -1,4 +1,4 @@
-"""What instances ask the owner of a job."""
+"""Messages that instances send to the owner of a job."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class LookupStatus(enum.Enum):
-    """What an instance can say of a job."""
+    """Whether an instance found a job."""
 
     FOUND = 'found'
     MISSING = 'missing'
@@ -16,7 +16,7 @@
 
 
 class ReadPage(Message, frozen=True, kw_only=True):
-    """Asks, for a team, for results from a position on; `wait` in seconds."""
+    """Requests results from a position on for a team; `wait` in seconds."""
 
     service: ServiceId
     job: JobId
@@ -26,14 +26,14 @@
 
 
 class PageReply(Message, frozen=True, kw_only=True):
-    """Results, where the job was found."""
+    """The requested results, if the job was found."""
 
     known: LookupStatus
     page: Page | None = None
 
 
 class ReadItem(Message, frozen=True, kw_only=True):
-    """Asks, for a team, for an item's body."""
+    """Requests an item's body for a team."""
 
     service: ServiceId
     job: JobId
@@ -42,7 +42,7 @@
 
 
 class ItemReply(Message, frozen=True, kw_only=True):
-    """The body, where the item was found."""
+    """The requested body, if the item was found."""
 
     known: LookupStatus
     body: bytes = b''
--- a/guavagate/jobs/_models.py
+++ b/guavagate/jobs/_models.py
@@ -1,4 +1,4 @@
-"""What a job is, and what is kept of it in the store."""
+"""Jobs, their results, and their paths in the store."""
 
 import enum
 from typing import Final, NewType
@@ -18,16 +18,17 @@
 
 
 class ResultState(enum.Enum):
-    """How an item ended."""
+    """The outcome of an item."""
 
     COMPLETED = 'completed'
     ERRORED = 'errored'
 
 
 class JobItem(msgspec.Struct, frozen=True, kw_only=True):
-    """One item: a request to run, and the group that it completes.
+    """One item: a request to run, and the group that it belongs to.
 
-    `reward` is sent once the text is whole; its signature is the result's.
+    `reward` is sent once the text is complete; the signature in the answer
+    becomes the signature of the result.
     """
 
     id: ItemId
@@ -41,12 +42,12 @@
 
 
 class Job(msgspec.Struct, frozen=True, kw_only=True):
-    """One step of a trainer; times in seconds, `submitted_at` since 1970.
+    """One step of a trainer; times in seconds, `submitted_at` in Unix time.
 
-    `fingerprint` stands for the content as the trainer sent it, so that a
-    repeated submission is told from another one under the same id. `team` is
-    empty where the configuration knew none, as in records of a release that
-    knew none: these are any caller's, since nobody can be told to be theirs.
+    `fingerprint` identifies the content that the trainer sent, to distinguish a
+    repeated submission from a different job under the same id. `team` is empty
+    if the configuration had no teams, or in records of a release without teams.
+    Any caller may access such jobs, as their team is unknown.
     """
 
     id: JobId
@@ -67,14 +68,15 @@
     team: TeamId = TeamId('')
 
     def is_accessible_to(self, team: TeamId) -> bool:
-        """Return whether a team's callers may see and end the job."""
+        """Return whether a team's callers may read and end the job."""
         return not self.team or self.team == team
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What is listed of an item; `versions` are those that made its text.
+    """The committed result of an item.
 
-    `signature` is that of its reward request, where the item names one.
+    `versions` are the weight versions that generated its text; `signature` is
+    the answer to its reward request, if the item has one.
     """
 
     id: ItemId
@@ -85,10 +87,11 @@
 
 
 class Chunk(msgspec.Struct, frozen=True):
-    """Results listed by one write; its number is the fence.
+    """Results committed by one write; its number acts as a fence.
 
-    Of two instances that both believe that they own a job, one creates the
-    next number; the other meets it, and drops its own results of those items.
+    If two instances both believe they own a job, only one of them creates the
+    chunk with the next number. The other finds it there, and drops its own
+    results of those items.
     """
 
     writer: str
@@ -96,7 +99,7 @@
 
 
 class Page(msgspec.Struct, frozen=True):
-    """Results from a position on."""
+    """Results from a position on, and the position to read next."""
 
     total: int
     next: int
@@ -104,40 +107,43 @@
 
 
 def job_path(job: JobId) -> str:
-    """Return where a job is kept."""
+    """Return the path of a job."""
     return f'{JOBS}/{job}'
 
 
 def part_path(job: JobId, number: int) -> str:
-    """Return where a part of a large job's items is kept."""
+    """Return the path of a part of a large job's items."""
     return f'job-parts-{job}/{number:06}'
 
 
 def end_path(job: JobId) -> str:
-    """Return where it is kept that a job was ended."""
+    """Return the path of the marker that a job was ended."""
     return f'{ENDS}/{job}'
 
 
 def results_prefix(job: JobId) -> str:
-    """Return under what a job's results are kept."""
+    """Return the path prefix of a job's results."""
     return f'{_RESULTS}-{job}'
 
 
 def chunk_path(job: JobId, number: int) -> str:
-    """Return where a chunk of results is kept."""
+    """Return the path of a chunk of results."""
     return f'{results_prefix(job)}/{number:06}'
 
 
-def cut_page(results: list[Result], total: int, after: int, limit: int) -> Page:
-    """Return results from a position on, within a size in bytes.
+def make_page(
+    results: list[Result], total: int, after: int, max_bytes: int
+) -> Page:
+    """Return the results from a position on, limited to a size in bytes.
 
-    At least one if there is one, so that a reader always gets on.
+    Contains at least one result if there is one, so that a reader always makes
+    progress.
     """
     size = 0
     page: list[Result] = []
     for result in results[after:]:
         size += len(result.text)
-        if page and size > limit:
+        if page and size > max_bytes:
             break
         page.append(result)
     return Page(total, after + len(page), page)
--- a/guavagate/jobs/_ownership.py
+++ b/guavagate/jobs/_ownership.py
@@ -1,4 +1,4 @@
-"""Which instance works on the jobs of a service; found without asking."""
+"""Determines which instance owns a service's jobs, without messages."""
 
 from collections.abc import Mapping
 
@@ -13,15 +13,21 @@
 
 
 class Ownership:
-    """The owner of each service's jobs, by seniority among who is alive.
+    """The owner of each service's jobs, by uptime among the live members.
 
-    Instances without a callers' edge go first: they have no callers to keep
-    waiting. Views may differ for some seconds; the numbers of chunks and the
+    Instances without a callers' edge rank first, as job work delays no callers
+    there. Membership views may differ for some seconds; chunk numbers and the
     lease for orders keep two owners from doing harm.
 
-    After a restart of all, nobody is senior. Then the one that worked on a
-    service before goes on with it: it held the lease for orders, and any other
-    would have to wait that out, with steps waiting for new weights.
+    After a restart of all instances, all have the same uptime. The former owner
+    then continues: it held the lease for orders. Any other instance would have
+    to wait until the lease expires, while steps wait for new weights.
+
+    Attributes
+    ----------
+    ready
+        Whether this instance may own jobs: its view of the members had time to
+        converge, and it is not leaving.
     """
 
     def __init__(
@@ -33,52 +39,52 @@
         self._members = members
         self._boot_of = boot_of
         self._me = me
-        self._former: Mapping[ServiceId, InstanceId] = {}
+        self._former_by_service: Mapping[ServiceId, InstanceId] = {}
         self.ready = False
 
     def set_former_owners(self, former: Mapping[ServiceId, InstanceId]) -> None:
-        """Take in who worked on the services before this instance started."""
-        self._former = former
+        """Set who owned the services before this instance started."""
+        self._former_by_service = former
 
     def find_owner(self, service: ServiceId) -> InstanceId | None:
-        """Return the owner, or nothing while no instance is known."""
+        """Return the owner, or None while no instance is known."""
         ranked = self.rank_candidates(service)
         if not ranked:
             return None
-        former = self._former.get(service)
-        if former in ranked and self._began_together(former, ranked[0]):
+        former = self._former_by_service.get(service)
+        if former in ranked and self._started_together(former, ranked[0]):
             return former
         return ranked[0]
 
     def rank_candidates(self, service: ServiceId) -> list[InstanceId]:
-        """Return who may own a service's jobs, the first choice first."""
+        """Return the candidates for a service's jobs, first choice first."""
         return self.rank_for_duty(f'jobs of {service}')
 
     def rank_for_duty(self, duty: str) -> list[InstanceId]:
-        """Return who may take a duty for all, the first choice first."""
+        """Return the candidates for a fleet-wide duty, first choice first."""
         return rank_seniors(duty, self._list_candidates(), self._boot_of)
 
     def is_among_longest_running(self) -> bool:
-        """Return whether nobody who may own jobs has run for longer."""
-        mine = find_age(self._me, self._boot_of)
+        """Return whether no candidate has run for longer than this instance."""
+        own_age = find_age(self._me, self._boot_of)
         return all(
-            find_age(each, self._boot_of) >= mine
+            find_age(each, self._boot_of) >= own_age
             for each in self._list_candidates()
         )
 
     def _list_candidates(self) -> list[InstanceId]:
         alive = self._members.alive()
-        quiet = [each.id for each in alive if not each.http_address]
-        return quiet or [each.id for each in alive]
+        without_edge = [each.id for each in alive if not each.http_address]
+        return without_edge or [each.id for each in alive]
 
-    def _began_together(self, *others: InstanceId) -> bool:
+    def _started_together(self, *others: InstanceId) -> bool:
         ages = {find_age(each, self._boot_of) for each in (self._me, *others)}
         return len(ages) == 1
 
     def is_owner(self, service: ServiceId) -> bool:
-        """Return whether this instance works on a service's jobs.
+        """Return whether this instance owns a service's jobs.
 
-        Not before this one had time to hear of the others: each would take
-        itself for the owner of everything as they all start.
+        False until the membership view had time to converge. When all instances
+        start, each would otherwise consider itself the owner of everything.
         """
         return self.ready and self.find_owner(service) == self._me
--- a/guavagate/jobs/_reader.py
+++ b/guavagate/jobs/_reader.py
@@ -1,4 +1,4 @@
-"""Reads of jobs at any instance: the owner is asked, else the store."""
+"""Serves reads of jobs at any instance, from the owner or from the store."""
 
 import logging
 from collections.abc import Callable
@@ -14,7 +14,7 @@
     ReadItem,
     ReadPage,
 )
-from guavagate.jobs._models import ItemId, Job, JobId, Page, cut_page
+from guavagate.jobs._models import ItemId, Job, JobId, Page, make_page
 from guavagate.jobs._owner import JobOwner
 from guavagate.jobs._ownership import Ownership
 from guavagate.jobs._store import JobStore, measure_item
@@ -23,19 +23,19 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# The owner answers from memory; when it does not, the store is asked while
-# the reader still waits.
-ASK_SECONDS: Final = 0.6
-# Bodies of jobs accepted or read here; an entry has little memory.
-CACHED_BYTES: Final = 8_000_000
+# The owner replies from memory. If it does not reply in time, the store is read
+# while the reader still waits.
+OWNER_TIMEOUT_SECONDS: Final = 0.6
+# For bodies of jobs accepted or read here; an entry has little memory.
+MAX_CACHE_BYTES: Final = 8_000_000
 
-_ANYBODY: Final = TeamId('')
+_ANY_TEAM: Final = TeamId('')
 
-FindOwner = Callable[[ServiceId], JobOwner | None]
+FindLocalOwner = Callable[[ServiceId], JobOwner | None]
 
 
 class JobReader:
-    """Answers reads of jobs, at any instance."""
+    """Serves reads of jobs, at any instance."""
 
     def __init__(
         self,
@@ -43,27 +43,27 @@
         bus: Bus,
         job_store: JobStore,
         ownership: Ownership,
-        find_owner: FindOwner,
+        find_local_owner: FindLocalOwner,
     ) -> None:
         self._clock = clock
         self._bus = bus
         self._job_store = job_store
         self._ownership = ownership
-        self._find_owner = find_owner
+        self._find_local_owner = find_local_owner
         self._cache: dict[JobId, Job] = {}
         self._cached_bytes = 0
         bus.register(ReadPage, self._on_read_page)
         bus.register(ReadItem, self._on_read_item)
 
-    def remember(self, job: Job) -> None:
-        """Keep a job that was accepted here, for bodies and totals."""
+    def cache_job(self, job: Job) -> None:
+        """Cache a job for later reads of item bodies and totals."""
         if job.id in self._cache:
             return
         self._cache[job.id] = job
-        self._cached_bytes += measure(job)
-        while self._cached_bytes > CACHED_BYTES and len(self._cache) > 1:
+        self._cached_bytes += measure_job(job)
+        while self._cached_bytes > MAX_CACHE_BYTES and len(self._cache) > 1:
             oldest = self._cache.pop(next(iter(self._cache)))
-            self._cached_bytes -= measure(oldest)
+            self._cached_bytes -= measure_job(oldest)
 
     def read(
         self,
@@ -71,22 +71,22 @@
         job: JobId,
         after: int,
         wait: float,
-        team: TeamId = _ANYBODY,
+        team: TeamId = _ANY_TEAM,
     ) -> tuple[LookupStatus, Page | None]:
         """Return results from a position on; `wait` in seconds.
 
         Parameters
         ----------
         services
-            Those whose jobs may be meant; their owners are asked in turn.
+            Candidates for the job's service; their owners are queried in turn.
         team
-            Whose callers ask; another team's job is not there for them.
+            The team of the caller; jobs of other teams are missing for it.
         """
         for service in services:
             message = ReadPage(
                 service=service, job=job, after=after, wait=wait, team=team
             )
-            reply = self._ask_page(message)
+            reply = self._request_page(message)
             if reply is not None and reply.known is LookupStatus.FOUND:
                 return reply.known, reply.page
         return self._read_stored(job, after, team)
@@ -96,30 +96,30 @@
         services: list[ServiceId],
         job: JobId,
         item: ItemId,
-        team: TeamId = _ANYBODY,
+        team: TeamId = _ANY_TEAM,
     ) -> tuple[LookupStatus, bytes]:
         """Return an item's body."""
         if job in self._cache:
             return _find_body(self._cache[job], item, team)
         for service in services:
             message = ReadItem(service=service, job=job, item=item, team=team)
-            reply = self._ask_item(message)
+            reply = self._request_item(message)
             if reply is not None and reply.known is LookupStatus.FOUND:
                 return reply.known, reply.body
         try:
             found = self._job_store.read(job)
         except StoreError as error:
-            _LOGGER.debug('job %s can not be read: %s', job, error)
+            _LOGGER.debug('job %s could not be read: %s', job, error)
             return LookupStatus.UNCERTAIN, b''
         if found is None:
             return LookupStatus.MISSING, b''
-        self.remember(found)
+        self.cache_job(found)
         return _find_body(found, item, team)
 
     def exists(
-        self, services: list[ServiceId], job: JobId, team: TeamId = _ANYBODY
+        self, services: list[ServiceId], job: JobId, team: TeamId = _ANY_TEAM
     ) -> LookupStatus:
-        """Return whether there is such a job for a team."""
+        """Return whether a job exists for a team."""
         cached = self._cache.get(job)
         if cached is not None and cached.is_accessible_to(team):
             return LookupStatus.FOUND
@@ -133,42 +133,44 @@
             found = self._cache.get(job) or self._job_store.read(job)
             if found is None:
                 return LookupStatus.MISSING, None
-            self.remember(found)
+            self.cache_job(found)
             if not found.is_accessible_to(team):
                 return LookupStatus.MISSING, None
             log = self._job_store.open_log(job)
             log.load()
         except StoreError as error:
-            _LOGGER.debug('job %s can not be read: %s', job, error)
+            _LOGGER.debug('job %s could not be read: %s', job, error)
             return LookupStatus.UNCERTAIN, None
         total = len(found.items)
-        return LookupStatus.FOUND, cut_page(
+        return LookupStatus.FOUND, make_page(
             log.results, total, after, PAGE_BYTES
         )
 
-    def _ask_page(self, message: ReadPage) -> PageReply | None:
+    def _request_page(self, message: ReadPage) -> PageReply | None:
         owner = self._ownership.find_owner(message.service)
         if owner is None:
             return None
         if self._ownership.is_owner(message.service):
             return self._serve_page(message)
-        timeout = message.wait + ASK_SECONDS
+        timeout = message.wait + OWNER_TIMEOUT_SECONDS
         try:
             return self._bus.request(owner, message, PageReply, timeout)
         except LinkError as error:
-            _LOGGER.debug('%s was not asked: %s', owner, error)
+            _LOGGER.debug('owner %s did not reply: %s', owner, error)
             return None
 
-    def _ask_item(self, message: ReadItem) -> ItemReply | None:
+    def _request_item(self, message: ReadItem) -> ItemReply | None:
         owner = self._ownership.find_owner(message.service)
         if owner is None:
             return None
         if self._ownership.is_owner(message.service):
             return self._serve_item(message)
         try:
-            return self._bus.request(owner, message, ItemReply, ASK_SECONDS)
+            return self._bus.request(
+                owner, message, ItemReply, OWNER_TIMEOUT_SECONDS
+            )
         except LinkError as error:
-            _LOGGER.debug('%s was not asked: %s', owner, error)
+            _LOGGER.debug('owner %s did not reply: %s', owner, error)
             return None
 
     def _on_read_page(self, _: InstanceId, message: Message) -> Message:
@@ -178,7 +180,7 @@
         return self._serve_item(expect(message, ReadItem))
 
     def _serve_page(self, message: ReadPage) -> PageReply:
-        owner = self._find_owner(message.service)
+        owner = self._find_local_owner(message.service)
         if owner is None:
             return PageReply(known=LookupStatus.UNCERTAIN)
         known, page = owner.read(
@@ -187,7 +189,7 @@
         return PageReply(known=known, page=page)
 
     def _serve_item(self, message: ReadItem) -> ItemReply:
-        owner = self._find_owner(message.service)
+        owner = self._find_local_owner(message.service)
         if owner is None:
             return ItemReply(known=LookupStatus.UNCERTAIN)
         known, body = owner.read_item(message.job, message.item, message.team)
@@ -204,6 +206,6 @@
     return LookupStatus.MISSING, b''
 
 
-def measure(job: Job) -> int:
-    """Return about how many bytes a job takes."""
+def measure_job(job: Job) -> int:
+    """Return the approximate size of a job in bytes."""
     return sum(measure_item(each) for each in job.items)
--- a/guavagate/jobs/_result_log.py
+++ b/guavagate/jobs/_result_log.py
@@ -1,4 +1,4 @@
-"""The results of one job, listed in numbered chunks that never change."""
+"""Commits the results of a job in numbered chunks that never change."""
 
 import logging
 from typing import Final
@@ -22,12 +22,12 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 _UNREADABLE: Final = UnreadableObjects()
-# One try of a write; whoever lists goes on trying as long as it owns the job.
-WRITE_SECONDS: Final = 3.0
+# Time limit of one write; the owner retries for as long as it owns the job.
+WRITE_TIMEOUT_SECONDS: Final = 3.0
 
 
 class ResultLog:
-    """What is durable of a job's results, in order."""
+    """The durable results of a job, in order."""
 
     def __init__(
         self, store: ObjectStore, clock: Clock, job: JobId, writer: str
@@ -36,8 +36,8 @@
         self._clock = clock
         self._job = job
         self._writer = writer
-        self._next = 0
-        self._uncertain: Chunk | None = None
+        self._next_number = 0
+        self._uncertain_chunk: Chunk | None = None
         self.results: list[Result] = []
         self.committed: set[ItemId] = set()
 
@@ -45,34 +45,36 @@
         """Read all chunks; raises `StoreUnavailableError`."""
         chunks, _ = self._store.list_under(results_prefix(self._job))
         ordered = sorted(chunks, key=lambda each: each.path)
-        for stored in ordered[self._next :]:
-            self._take(_decode(stored))
+        for stored in ordered[self._next_number :]:
+            self._apply(_decode(stored))
 
     def append(self, results: list[Result]) -> list[Result]:
-        """List results that are not listed yet; return those added.
+        """Commit the results that are not committed yet; return those added.
 
         Raises what `create` raises. A chunk that may have been written is
-        tried again first and unchanged: under the same number it is either
-        there already or still to be created, and nothing is listed twice.
+        retried first and unchanged under the same number, where it either
+        exists already or is created now. So no result is committed twice.
         """
         added: list[Result] = []
         while True:
-            chunk = self._uncertain or self._make(results)
+            chunk = self._uncertain_chunk or self._make_chunk(results)
             if not chunk.results:
                 return added
-            self._uncertain = chunk
-            number = self._next
+            self._uncertain_chunk = chunk
+            number = self._next_number
             path = chunk_path(self._job, number)
             value = msgspec.json.encode(chunk)
-            other = create(self._store, self._clock, path, value, WRITE_SECONDS)
-            if self._next > number:
-                continue  # A reader has loaded this chunk meanwhile.
+            other = create(
+                self._store, self._clock, path, value, WRITE_TIMEOUT_SECONDS
+            )
+            if self._next_number > number:
+                continue  # A reader loaded this chunk in the meantime.
             if other is None:
-                self._take(chunk)
+                self._apply(chunk)
                 added += chunk.results
                 continue
             adopted = _decode(other)
-            self._take(adopted)
+            self._apply(adopted)
             write(
                 _LOGGER,
                 events.ADOPTED,
@@ -81,21 +83,22 @@
                 results=len(adopted.results),
             )
 
-    def _make(self, results: list[Result]) -> Chunk:
-        fresh = [each for each in results if each.id not in self.committed]
-        return Chunk(self._writer, fresh)
+    def _make_chunk(self, results: list[Result]) -> Chunk:
+        uncommitted = [
+            each for each in results if each.id not in self.committed
+        ]
+        return Chunk(self._writer, uncommitted)
 
-    def _take(self, chunk: Chunk) -> None:
-        """Take in the chunk that stands under the next number.
+    def _apply(self, chunk: Chunk) -> None:
+        """Apply the chunk that is stored under the next number.
 
-        A chunk in doubt was meant for that number, so it is settled: were it
-        tried again, it would go under another one, and its items would be
-        listed twice. An item that stands in two chunks all the same keeps its
-        first place; every reader leaves out the same ones, as all of them
-        read the same chunks in the same order.
+        An uncertain chunk was meant for that number, so it is dropped: retried
+        under another number, its items would be committed twice. An item that
+        is in two chunks nevertheless keeps its first position. All readers skip
+        the same items, as they read the same chunks in the same order.
         """
-        self._next += 1
-        self._uncertain = None
+        self._next_number += 1
+        self._uncertain_chunk = None
         for result in chunk.results:
             if result.id not in self.committed:
                 self.committed.add(result.id)
@@ -103,10 +106,10 @@
 
 
 def _decode(stored: StoredObject) -> Chunk:
-    """Return a chunk; one that can not be read lists nothing.
+    """Return a chunk; an unreadable one counts as empty.
 
-    Its number is taken all the same, for every reader alike: results keep
-    their positions, and what else was made is listed behind it.
+    It keeps its number for every reader, so results keep their positions and
+    later results are committed after it.
     """
     try:
         return msgspec.json.decode(stored.value, type=Chunk)
--- a/guavagate/jobs/_store.py
+++ b/guavagate/jobs/_store.py
@@ -1,4 +1,4 @@
-"""Jobs as they are in the store: written once, read back by anyone."""
+"""Stores accepted jobs: written once, readable by any instance."""
 
 from typing import Final
 
@@ -18,18 +18,18 @@
 from guavagate.jobs._result_log import ResultLog
 from guavagate.ports.store import ObjectStore, StoredObject
 
-# Bodies grow by a third in JSON; what is left of the store's limit is for the
-# head of a job.
+# Bodies grow by a third in JSON; the rest of the store's object size limit is
+# for the head of a job.
 PART_BYTES: Final = 600_000
-# Ids, headers and the like of an item or of its reward request.
-HEAD_BYTES: Final = 500
+# Estimate for ids, headers and the like of an item or its reward request.
+ITEM_HEAD_BYTES: Final = 500
 
 
 _UNREADABLE: Final = UnreadableObjects()
 
 
 class JobConflictError(Exception):
-    """Another job was accepted under the same id."""
+    """A different job was accepted under the same id."""
 
 
 class JobStore:
@@ -38,7 +38,7 @@
     Parameters
     ----------
     writer
-        Names this process in what it writes.
+        Identifies this process in the chunks that it writes.
     """
 
     def __init__(self, store: ObjectStore, clock: Clock, writer: str) -> None:
@@ -46,36 +46,36 @@
         self._clock = clock
         self._writer = writer
 
-    def accept(self, job: Job, limit: float) -> bool:
-        """Keep a job; return whether it is new.
+    def accept(self, job: Job, timeout: float) -> bool:
+        """Store a job; return whether it is new.
 
-        A large job's items go first, in parts; the job itself, which makes
-        it accepted, is written last.
+        A large job's items are written first, in parts. The job object is
+        written last; the job is accepted once it exists.
 
         Raises
         ------
         JobConflictError
-            The id is taken by a job with another content.
+            The id is in use by a job with different content.
         NotWrittenError, MaybeWrittenError
-            As `create` says.
+            See `create`.
         """
         parts = split_items(job.items)
         if len(parts) > 1:
             for number, items in enumerate(parts):
                 path = part_path(job.id, number)
                 value = msgspec.json.encode(items)
-                create(self.object_store, self._clock, path, value, limit)
+                create(self.object_store, self._clock, path, value, timeout)
             job = msgspec.structs.replace(job, items=[], parts=len(parts))
         value = msgspec.json.encode(job)
         other = create(
-            self.object_store, self._clock, job_path(job.id), value, limit
+            self.object_store, self._clock, job_path(job.id), value, timeout
         )
         if other is None:
             return True
         try:
-            held = decode_job(other.value)
-            same = held.fingerprint == job.fingerprint
-            same = same and held.is_accessible_to(job.team)
+            existing = decode_job(other.value)
+            same = existing.fingerprint == job.fingerprint
+            same = same and existing.is_accessible_to(job.team)
         except ValueError:
             same = False
         if not same:
@@ -83,9 +83,9 @@
         return False
 
     def read(self, job: JobId) -> Job | None:
-        """Return an accepted job, or nothing; the store's newest answer.
+        """Return an accepted job, or None; reads the store, not a cache.
 
-        What another writer put there, and can not be read, was never accepted.
+        An unreadable object comes from another writer and was never accepted.
         """
         stored = self.object_store.get(job_path(job))
         if stored is None:
@@ -97,7 +97,7 @@
             return None
 
     def assemble(self, stored: StoredObject) -> Job:
-        """Return a stored job with all its items."""
+        """Return a stored job with all its items, including those in parts."""
         job = decode_job(stored.value)
         if not job.parts:
             return job
@@ -109,30 +109,30 @@
             items += msgspec.json.decode(part.value, type=list[JobItem])
         return msgspec.structs.replace(job, items=items)
 
-    def end(self, job: JobId, limit: float) -> None:
-        """Keep that a job was ended; may be repeated."""
-        create(self.object_store, self._clock, end_path(job), b'{}', limit)
+    def end(self, job: JobId, timeout: float) -> None:
+        """Store that a job was ended; idempotent."""
+        create(self.object_store, self._clock, end_path(job), b'{}', timeout)
 
     def open_log(self, job: JobId) -> ResultLog:
-        """Return the list of a job's results, not loaded."""
+        """Return the log of a job's results, not loaded."""
         return ResultLog(self.object_store, self._clock, job, self._writer)
 
 
 def decode_job(value: bytes) -> Job:
-    """Return a job as it is stored; its items may be in parts."""
+    """Return a job as stored, without the items that are in parts."""
     return msgspec.json.decode(value, type=Job)
 
 
 def measure_item(item: JobItem) -> int:
-    """Return about how many bytes an item takes before it is encoded."""
-    size = len(item.body) + len(item.path) + HEAD_BYTES
+    """Return the approximate size of an item in bytes, before encoding."""
+    size = len(item.body) + len(item.path) + ITEM_HEAD_BYTES
     if item.reward is not None:
-        size += len(item.reward.body) + len(item.reward.path) + HEAD_BYTES
+        size += len(item.reward.body) + len(item.reward.path) + ITEM_HEAD_BYTES
     return size
 
 
 def split_items(items: list[JobItem]) -> list[list[JobItem]]:
-    """Return the items in parts that each fit into one object."""
+    """Return the items in parts that each fit into one store object."""
     parts: list[list[JobItem]] = [[]]
     size = 0
     for item in items:
--- a/standins/_safeguard_jobs.py
+++ b/standins/_safeguard_jobs.py
@@ -1,4 +1,4 @@
-"""What is removed of how jobs are worked on, one safeguard a row."""
+"""Mutations that each remove one safeguard of the jobs."""
 
 from typing import Final
 
@@ -6,21 +6,22 @@
 
 JOB_SAFEGUARDS: Final = (
     Safeguard(
-        'a chunk in doubt is settled by the one that stands there',
+        'an uncertain chunk is dropped once its number is taken',
         'guavagate/jobs/_result_log.py',
-        '        self._next += 1\n        self._uncertain = None\n',
-        '        self._next += 1\n',
+        '        self._next_number += 1\n'
+        '        self._uncertain_chunk = None\n',
+        '        self._next_number += 1\n',
         'tests/jobs/test_result_log.py',
     ),
     Safeguard(
-        'an item that stands twice is read once',
+        'an item that was committed twice is read once',
         'guavagate/jobs/_result_log.py',
         '            if result.id not in self.committed:\n',
         '            if True:\n',
         'tests/jobs/test_result_log.py',
     ),
     Safeguard(
-        'a new owner waits until all jobs are read',
+        'a new owner waits until all jobs are loaded',
         'guavagate/jobs/_owner.py',
         'return self._jobs.loaded and self._held.is_complete',
         'return True',
@@ -62,14 +63,14 @@
         'tests/jobs/test_silence.py',
     ),
     Safeguard(
-        'texts are kept on disk',
+        'partial texts are saved on disk',
         'guavagate/jobs/_owner.py',
         '                self._snapshots.save(self._service, works)\n',
         '',
         'tests/jobs/test_snapshots.py',
     ),
     Safeguard(
-        'a stalled disk is not queued for',
+        'snapshots do not queue for a stalled disk',
         'guavagate/jobs/_snapshots.py',
         'if path is None or self._busy:',
         'if path is None:',
--- a/tests/jobs/test_result_log.py
+++ b/tests/jobs/test_result_log.py
@@ -108,7 +108,7 @@
     other = ResultLog(
         MemoryStore(logs.clock, logs.state), logs.clock, JobId('job-1'), 'c'
     )
-    other._next = 1
+    other._next_number = 1
     task = logs.clock.spawn(
         other.append, [_make_result('i', 'second'), _make_result('j')]
     )
--- a/tests/platform/test_edge_keys.py
+++ b/tests/platform/test_edge_keys.py
@@ -40,7 +40,7 @@
         self.teams.append(job.team)
         return True
 
-    def remember(self, job: Job) -> None:
+    def cache_job(self, job: Job) -> None:
         """Keep nothing."""
 
     def read(self, *asked: object) -> tuple[LookupStatus, None]:
