--- a/guavagate/jobs/_active.py
+++ b/guavagate/jobs/_active.py
@@ -1,4 +1,4 @@
-"""The jobs in work at their owner: taken in once, read, ended, let go."""
+"""The active jobs of an owner: loaded once, read, ended and removed."""
 
 import logging
 from collections import defaultdict
@@ -37,20 +37,20 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-RETRY_SECONDS: Final = 0.1
+RETRY_INTERVAL_SECONDS: Final = 0.1
 PAGE_BYTES: Final = 900_000
-# Readers of a job in doubt wait at least so long for its look-up, fifty usual
-# answers of the store; then they ask the store themselves.
-SETTLE_SECONDS: Final = 0.3
-_ANYBODY: Final = TeamId('')
+# Readers of an uncertain job wait at least this long for its reconciliation,
+# about fifty usual answers of the store; then they read the store themselves.
+RECONCILE_SECONDS: Final = 0.3
+_ANY_TEAM: Final = TeamId('')
 
 
 class ActiveJob(msgspec.Struct):
-    """A job in work, and who waits for its results.
+    """An active job and the event that wakes readers of its results.
 
-    `invalidations` counts how often another instance may have listed results
-    unknown here, `reconciled` how many of these were looked into;
-    `ended_at` is on the runtime's clock.
+    `invalidations` counts how often another instance may have committed results
+    that are unknown here, `reconciled` how many of these were resolved by a
+    read of the store; `ended_at` is on the runtime's clock.
     """
 
     work: JobWork
@@ -62,36 +62,36 @@
     reconcile_task: Task | None = None
 
     def may_grow(self) -> bool:
-        """Return whether further results may come to be known here."""
+        """Return whether further results may become known here."""
         return self.work.open or self.is_uncertain()
 
     def has(self, position: int) -> bool:
-        """Return whether there is a result at a position."""
+        """Return whether a position has a result."""
         return len(self.work.log.results) > position
 
     def is_uncertain(self) -> bool:
-        """Return whether what is not here may have been listed elsewhere."""
-        whole = len(self.work.log.committed) >= len(self.work.items)
-        return self.invalidations > self.reconciled and not whole
+        """Return whether another instance may have committed more results."""
+        complete = len(self.work.log.committed) >= len(self.work.items)
+        return self.invalidations > self.reconciled and not complete
 
 
 class ActiveJobs:
-    """What one owner has in work.
+    """The active jobs of one owner.
 
     Parameters
     ----------
-    taken
-        Called with a job that was taken in and may be worked on.
+    on_loaded
+        Called with a job that was loaded and may be worked on.
     finish
-        Called with results that a job has from an earlier one.
-    bring
-        Called with a job before it is worked on, to give it texts that its
-        former owner has told.
+        Called with results that resubmitted items have from an earlier job.
+    restore_texts
+        Called with a job before it is worked on, to restore partial texts that
+        were replicated or saved.
 
     Attributes
     ----------
-    active
-        Whether the owner is at work; nothing is taken in else.
+    owning
+        Whether this instance owns the service's jobs; otherwise it loads none.
     """
 
     def __init__(
@@ -99,18 +99,18 @@
         clock: Clock,
         job_store: JobStore,
         metrics: Metrics,
-        taken: Callable[[Job], None],
+        on_loaded: Callable[[Job], None],
         finish: Callable[[JobWork, Result], None],
-        bring: Callable[[JobWork], None],
+        restore_texts: Callable[[JobWork], None],
     ) -> None:
-        self.active = False
+        self.owning = False
         self._clock = clock
         self._job_store = job_store
         self._metrics = metrics
-        self._taken = taken
+        self._on_loaded = on_loaded
         self._finish = finish
-        self._bring = bring
-        self._held: dict[JobId, ActiveJob] = {}
+        self._restore_texts = restore_texts
+        self._jobs: dict[JobId, ActiveJob] = {}
         self._ended: set[JobId] = set()
         self._loading: dict[JobId, Event] = {}
         self._expected: set[JobId] = set()
@@ -119,23 +119,23 @@
         self._cadences: defaultdict[str, Cadence] = defaultdict(Cadence)
 
     def __contains__(self, job: JobId) -> bool:
-        """Return whether a job is in work."""
-        return job in self._held
+        """Return whether a job is active."""
+        return job in self._jobs
 
     def __iter__(self) -> Iterator[ActiveJob]:
-        """Return the jobs as they are now."""
-        return iter(list(self._held.values()))
+        """Iterate over a copy of the current jobs."""
+        return iter(list(self._jobs.values()))
 
     def get(self, job: JobId) -> ActiveJob | None:
-        """Return a job in work."""
-        return self._held.get(job)
+        """Return an active job, if there is one of this id."""
+        return self._jobs.get(job)
 
     def list_open(self) -> list[JobWork]:
         """Return the jobs that have items to run."""
-        return [held.work for held in self if held.work.open]
+        return [active.work for active in self if active.work.open]
 
-    def demands(self) -> dict[str, ModelDemand]:
-        """Return what the open jobs, and the next ones, ask of each model."""
+    def collect_demands(self) -> dict[str, ModelDemand]:
+        """Return the demand of open and expected jobs on each model."""
         now = self._clock.now()
         demands = count_demands(self.list_open(), now)
         for model, cadence in self._cadences.items():
@@ -146,76 +146,76 @@
         return demands
 
     def read(
-        self, job: JobId, after: int, wait: float, team: TeamId = _ANYBODY
+        self, job: JobId, after: int, wait: float, team: TeamId = _ANY_TEAM
     ) -> tuple[LookupStatus, Page | None]:
-        """Return results from a position on, once there are any."""
-        known, held = self._find_for(job, team)
-        if held is None:
-            return known, None
-        doubtful = not held.has(after) and held.is_uncertain()
-        if doubtful:
-            self._reconcile_soon(held)
-        until = self._clock.now() + max(wait, SETTLE_SECONDS * doubtful)
-        while self.active and not held.has(after) and held.may_grow():
-            left = until - self._clock.now()
-            if left <= 0:
+        """Return results from a position on, waiting until there are any."""
+        status, active = self._find_for_team(job, team)
+        if active is None:
+            return status, None
+        uncertain = not active.has(after) and active.is_uncertain()
+        if uncertain:
+            self._reconcile_soon(active)
+        deadline = self._clock.now() + max(wait, RECONCILE_SECONDS * uncertain)
+        while self.owning and not active.has(after) and active.may_grow():
+            remaining = deadline - self._clock.now()
+            if remaining <= 0:
                 break
-            held.changed.clear()
-            wait_for(self._clock, held.changed, left)
-        if not held.has(after) and held.is_uncertain():
+            active.changed.clear()
+            wait_for(self._clock, active.changed, remaining)
+        if not active.has(after) and active.is_uncertain():
             return LookupStatus.UNCERTAIN, None
-        results = held.work.log.results
-        total = len(held.work.items)
+        results = active.work.log.results
+        total = len(active.work.items)
         return LookupStatus.FOUND, make_page(results, total, after, PAGE_BYTES)
 
     def read_item(
-        self, job: JobId, item: ItemId, team: TeamId = _ANYBODY
+        self, job: JobId, item: ItemId, team: TeamId = _ANY_TEAM
     ) -> tuple[LookupStatus, bytes]:
         """Return an item's body."""
-        known, held = self._find_for(job, team)
-        if held is None:
-            return known, b''
-        progress = held.work.items.get(item)
+        status, active = self._find_for_team(job, team)
+        if active is None:
+            return status, b''
+        progress = active.work.items.get(item)
         if progress is None:
             return LookupStatus.MISSING, b''
         return LookupStatus.FOUND, progress.item.body
 
     def mark_uncertain(self) -> None:
-        """Take in that another instance may have worked here meanwhile.
+        """Mark all jobs as uncertain: another instance may have worked on them.
 
-        An owner that was frozen or cut off is asked again when it is back. It
-        learns what others have listed when it lists something itself; for a
-        job that they have finished it never does, and readers would find
-        nothing where there was a result before.
+        An owner that was frozen or disconnected receives reads again once it is
+        back. It discovers results that others committed only when it commits
+        something itself. For a job that others finished it never does, and
+        readers would find nothing where they read a result before.
         """
-        for held in self:
-            held.invalidations += 1
+        for active in self:
+            active.invalidations += 1
 
     @property
     def is_complete(self) -> bool:
-        """Return whether every job that is to be taken in has been."""
+        """Return whether every expected job is loaded."""
         return not self._expected
 
     def expect(self, job: JobId) -> None:
-        """Note that a job is about to be taken in."""
+        """Record that a job is about to be loaded."""
         self._expected.add(job)
 
-    def take_stored(
+    def load_stored(
         self, job: JobId, stored: StoredObject, fresh: bool
     ) -> None:
-        """Take a stored job in, however long that takes."""
+        """Load a stored job, retrying until it succeeds."""
         try:
-            self._take_stored(stored, fresh)
+            self._load_stored(stored, fresh)
         finally:
             self._expected.discard(job)
 
-    def _take_stored(self, stored: StoredObject, fresh: bool) -> None:
-        while self.active:
+    def _load_stored(self, stored: StoredObject, fresh: bool) -> None:
+        while self.owning:
             try:
                 self._load(self._job_store.assemble(stored), fresh=fresh)
             except StoreError as error:
-                _LOGGER.debug('a job can not be loaded: %s', error)
-                self._clock.sleep(RETRY_SECONDS)
+                _LOGGER.debug('a job could not be loaded: %s', error)
+                self._clock.sleep(RETRY_INTERVAL_SECONDS)
             except ValueError as error:
                 self._unreadable.note(stored.path, str(error))
                 return
@@ -223,91 +223,91 @@
                 return
 
     def end(self, job: JobId) -> None:
-        """Note that a job was ended by its trainer."""
+        """Record that a job was ended by its trainer."""
         self._ended.add(job)
-        held = self._held.get(job)
-        if held is not None and not held.work.ended:
-            self._end(held)
+        active = self._jobs.get(job)
+        if active is not None and not active.work.ended:
+            self._end(active)
 
     def drop(self, job: JobId) -> None:
-        """Forget a job that is gone from the store."""
-        held = self._held.pop(job, None)
-        if held is not None:
-            held.work.ended = True
-            _cancel(held.work)
+        """Remove a job that was removed from the store."""
+        active = self._jobs.pop(job, None)
+        if active is not None:
+            active.work.ended = True
+            _cancel(active.work)
 
     def clear(self) -> None:
-        """Leave all jobs to another owner."""
-        self.active = False
-        for held in self:
-            held.committer.stop()
-            held.work.ended = True
-            _cancel(held.work)
-            held.changed.set()
-        self._held.clear()
+        """Release all jobs to another owner."""
+        self.owning = False
+        for active in self:
+            active.committer.stop()
+            active.work.ended = True
+            _cancel(active.work)
+            active.changed.set()
+        self._jobs.clear()
         self._expected.clear()
 
-    def _find_for(
+    def _find_for_team(
         self, job: JobId, team: TeamId
     ) -> tuple[LookupStatus, ActiveJob | None]:
-        """Return a job if a team's callers may see it.
+        """Return a job if a team's callers may access it.
 
-        To others it is not there: whether an id is taken tells of the work of
-        another team.
+        For others it is missing, as whether an id is in use reveals the work
+        of another team.
         """
-        known, held = self._find(job)
-        if held is not None and not held.work.job.is_accessible_to(team):
+        status, active = self._find(job)
+        if active is not None and not active.work.job.is_accessible_to(team):
             return LookupStatus.MISSING, None
-        return known, held
+        return status, active
 
     def _find(self, job: JobId) -> tuple[LookupStatus, ActiveJob | None]:
-        """Return a job in work; one not heard of yet is looked for."""
-        if not self.active:
+        """Return an active job; an unknown one is looked up in the store."""
+        if not self.owning:
             return LookupStatus.UNCERTAIN, None
-        held = self._held.get(job)
-        if held is not None:
-            return LookupStatus.FOUND, held
+        active = self._jobs.get(job)
+        if active is not None:
+            return LookupStatus.FOUND, active
         try:
             found = self._job_store.read(job)
             if found is None:
                 return LookupStatus.MISSING, None
             self._load(found, fresh=False)
         except StoreError as error:
-            _LOGGER.debug('job %s can not be looked for: %s', job, error)
-        held = self._held.get(job)
+            _LOGGER.debug('job %s could not be looked up: %s', job, error)
+        active = self._jobs.get(job)
         return (
-            LookupStatus.UNCERTAIN if held is None else LookupStatus.FOUND
-        ), held
+            LookupStatus.UNCERTAIN if active is None else LookupStatus.FOUND
+        ), active
 
-    def _reconcile_soon(self, held: ActiveJob) -> None:
-        """Look up in a task of its own what others may have listed.
+    def _reconcile_soon(self, active: ActiveJob) -> None:
+        """Load results that others may have committed, in a task of its own.
 
-        What is here never changes, so only readers of a position without a
-        result wait for it. The store may be away; who waits gets what is
-        listed here meanwhile, or is told to ask the store.
+        Known results never change, so only readers of a position without a
+        result wait for it. If the store is unavailable, they get what is
+        committed here in the meantime, or the answer to read the store.
         """
-        if held.reconcile_task is None or held.reconcile_task.dead:
-            held.reconcile_task = self._clock.spawn(self._reconcile, held)
+        if active.reconcile_task is None or active.reconcile_task.dead:
+            active.reconcile_task = self._clock.spawn(self._reconcile, active)
 
-    def _reconcile(self, held: ActiveJob) -> None:
-        invalidations = held.invalidations
-        asked = self._clock.now()
+    def _reconcile(self, active: ActiveJob) -> None:
+        invalidations = active.invalidations
+        started_at = self._clock.now()
         try:
-            held.work.log.load()
+            active.work.log.load()
         except StoreError as error:
-            _LOGGER.debug('%s stays in doubt: %s', held.work.job.id, error)
+            _LOGGER.debug('%s stays uncertain: %s', active.work.job.id, error)
             return
-        held.work.note_listed()
-        # Writes that were on their way at the end may still come.
-        ending = held.ended_at is not None and (
-            asked < held.ended_at + WRITE_TIMEOUT_SECONDS
+        active.work.note_listed()
+        # Writes in flight when the job ended may still take effect.
+        ending = active.ended_at is not None and (
+            started_at < active.ended_at + WRITE_TIMEOUT_SECONDS
         )
         if not ending:
-            held.reconciled = max(held.reconciled, invalidations)
-        held.changed.set()
+            active.reconciled = max(active.reconciled, invalidations)
+        active.changed.set()
 
     def _load(self, job: Job, *, fresh: bool) -> None:
-        """Take a job into work; waits while another task does so."""
+        """Load and activate a job; wait if another task is loading it."""
         other = self._loading.get(job.id)
         if other is not None:
             other.wait()
@@ -318,10 +318,10 @@
             log = self._job_store.open_log(job.id)
             if not fresh:
                 log.load()
-            if job.id not in self._held and self.active:
-                # Should another have listed results already, the first chunk
-                # meets the one that is there.
-                self._hold(job, log, fresh=fresh)
+            if job.id not in self._jobs and self.owning:
+                # If another instance already committed results, the first
+                # commit finds its chunk.
+                self._activate(job, log, fresh=fresh)
         finally:
             self._loading.pop(job.id)
             done.set()
@@ -329,23 +329,23 @@
     def _find_age(self, job: Job, *, fresh: bool) -> float:
         """Return how long ago a job was submitted, in seconds.
 
-        One that the store has just told of was submitted just now, whatever
-        the clocks of the two instances say. By a clock that was set back by
-        seconds a new step would seem to be late from its start, and would be
-        put behind all others.
+        A fresh job, which the store has just announced, has age zero whatever
+        the clocks of the two instances say. If the clock of its entry was set
+        back by seconds, a new step would seem late from its start and would be
+        scheduled after all others.
         """
         if fresh:
             return 0
         return max(self._clock.wall() - job.submitted_at, 0)
 
-    def _hold(self, job: Job, log: ResultLog, *, fresh: bool) -> None:
+    def _activate(self, job: Job, log: ResultLog, *, fresh: bool) -> None:
         age = self._find_age(job, fresh=fresh)
         work = JobWork(job, log, self._clock.now(), age)
-        self._bring(work)
+        self._restore_texts(work)
         changed = Event()
         committer = Committer(self._clock, work, changed.set)
-        held = ActiveJob(work, committer, changed, int(fresh))
-        self._held[job.id] = held
+        active = ActiveJob(work, committer, changed, int(fresh))
+        self._jobs[job.id] = active
         self._cadences[job.model].note(job.step, work.since)
         write(
             _LOGGER,
@@ -362,21 +362,21 @@
             age=round(age, 2),
         )
         if job.id in self._ended:
-            self._end(held)
+            self._end(active)
         else:
-            self._take_carried(held)
-        self._taken(job)
+            self._restore_resubmitted(active)
+        self._on_loaded(job)
 
-    def _take_carried(self, held: ActiveJob) -> None:
-        """Use what is there of items that an earlier job left unfinished."""
-        for result in self._partial_texts.restore(held.work):
-            self._finish(held.work, result)
+    def _restore_resubmitted(self, active: ActiveJob) -> None:
+        """Restore results and texts of resubmitted items of earlier jobs."""
+        for result in self._partial_texts.restore(active.work):
+            self._finish(active.work, result)
 
-    def _end(self, held: ActiveJob) -> None:
-        work = held.work
+    def _end(self, active: ActiveJob) -> None:
+        work = active.work
         work.ended = True
-        held.invalidations += 1
-        held.ended_at = self._clock.now()
+        active.invalidations += 1
+        active.ended_at = self._clock.now()
         seconds = self._clock.now() - work.since
         write(
             _LOGGER,
@@ -391,7 +391,7 @@
         self._metrics.observe(names.JOB_SECONDS, seconds)
         _cancel(work)
         self._partial_texts.store(work)
-        held.changed.set()
+        active.changed.set()
 
 
 def _cancel(work: JobWork) -> None:
--- a/guavagate/jobs/_models.py
+++ b/guavagate/jobs/_models.py
@@ -12,9 +12,9 @@
 ItemId = NewType('ItemId', str)
 GroupId = NewType('GroupId', str)
 
-JOBS: Final = 'jobs'
-ENDS: Final = 'job-ends'
-_RESULTS: Final = 'job-results'
+JOBS_PREFIX: Final = 'jobs'
+ENDS_PREFIX: Final = 'job-ends'
+_RESULTS_PREFIX: Final = 'job-results'
 
 
 class ResultState(enum.Enum):
@@ -108,7 +108,7 @@
 
 def job_path(job: JobId) -> str:
     """Return the path of a job."""
-    return f'{JOBS}/{job}'
+    return f'{JOBS_PREFIX}/{job}'
 
 
 def part_path(job: JobId, number: int) -> str:
@@ -118,12 +118,12 @@
 
 def end_path(job: JobId) -> str:
     """Return the path of the marker that a job was ended."""
-    return f'{ENDS}/{job}'
+    return f'{ENDS_PREFIX}/{job}'
 
 
 def results_prefix(job: JobId) -> str:
     """Return the path prefix of a job's results."""
-    return f'{_RESULTS}-{job}'
+    return f'{_RESULTS_PREFIX}-{job}'
 
 
 def chunk_path(job: JobId, number: int) -> str:
--- a/guavagate/jobs/_owner.py
+++ b/guavagate/jobs/_owner.py
@@ -17,8 +17,8 @@
 from guavagate.jobs._expiry import is_expired, remove_job
 from guavagate.jobs._messages import LookupStatus
 from guavagate.jobs._models import (
-    ENDS,
-    JOBS,
+    ENDS_PREFIX,
+    JOBS_PREFIX,
     ItemId,
     Job,
     JobId,
@@ -45,25 +45,25 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Changes wake the owner; this finds items that may be tried again.
-IDLE_SECONDS: Final = 0.1
-# The owner looks ten times a second. One that was frozen for less than this
-# was not taken for dead, as that takes more than a second.
-PAUSE_SECONDS: Final = 0.8
-# Listing the jobs and reading each takes a tenth of this; with a store that is
-# slow an owner begins with what it has.
-TAKEOVER_SECONDS: Final = 0.6
-# An item is given up late rather than early.
+# Changes wake the owner; this interval finds items that may be retried.
+DISPATCH_INTERVAL_SECONDS: Final = 0.1
+# The owner runs ten times a second. Other members consider an instance dead
+# after more than a second, so a shorter freeze caused no other owner.
+MIN_FREEZE_SECONDS: Final = 0.8
+# Listing and reading the jobs usually takes a tenth of this. If the store is
+# slow, an owner begins with the jobs it has.
+MAX_TAKEOVER_SECONDS: Final = 0.6
+# An item expires late rather than early.
 TTL_SLACK_SECONDS: Final = 1.0
-EXPIRE_SECONDS: Final = 10.0
-# How many instances keep a copy of each text: the next owner and, should it
-# fail with this one, the one after it.
-COPIES: Final = 2
-_ANYBODY: Final = TeamId('')
+EXPIRY_INTERVAL_SECONDS: Final = 10.0
+# Replicas of each text: at the next owner and, in case it fails together with
+# this one, at the one after it.
+REPLICA_COUNT: Final = 2
+_ANY_TEAM: Final = TeamId('')
 
 
 class JobOwner:
-    """Runs the items of one service's jobs, and lists their results."""
+    """Runs the items of one service's jobs, and commits their results."""
 
     def __init__(
         self,
@@ -105,131 +105,131 @@
             upstreams,
             states,
             self._finish,
-            self._take_whole,
+            self._on_text_complete,
         )
         self._dispatcher = Dispatcher(
             service, clock, upstreams, states, client, runner, slots, metrics
         )
-        self._held = ActiveJobs(
+        self._active_jobs = ActiveJobs(
             clock,
             job_store,
             metrics,
-            self._note_taken,
+            self._on_job_loaded,
             self._finish,
-            self._bring,
+            self._restore_texts,
         )
         self._task: Task | None = None
-        self._helpers: list[Task] = []
+        self._background_tasks: list[Task] = []
         store = job_store.object_store
-        self._jobs = Mirror(
+        self._job_mirror = Mirror(
             store,
             clock,
-            JOBS,
+            JOBS_PREFIX,
             self._put_job,
             self._drop_job,
-            loaded=self._held.mark_uncertain,
+            loaded=self._active_jobs.mark_uncertain,
         )
-        self._ends = Mirror(store, clock, ENDS, self._put_end)
+        self._end_mirror = Mirror(store, clock, ENDS_PREFIX, self._put_end)
         states.subscribe(self._wake.set)
-        upstreams.subscribe_restarts(self._leave_former)
+        upstreams.subscribe_restarts(self._cancel_stale_runs)
 
     @property
     def active(self) -> bool:
-        """Return whether this instance works on the service's jobs."""
+        """Return whether this instance owns the service's jobs."""
         return self._task is not None
 
     def start(self) -> None:
         """Take the service's jobs over."""
         if self._task is None:
             write(_LOGGER, events.COORDINATES, service=self._service)
-            self._held.active = True
+            self._active_jobs.owning = True
             self._snapshots.load(self._service)
             self._started_at = self._clock.now()
             self._taken_over = False
-            self._jobs.start()
-            self._ends.start()
+            self._job_mirror.start()
+            self._end_mirror.start()
             self._task = self._clock.spawn(self._run)
-            self._helpers = [
-                self._clock.spawn(self._expire),
-                self._clock.spawn(self._copy_texts),
+            self._background_tasks = [
+                self._clock.spawn(self._remove_expired),
+                self._clock.spawn(self._replicate_texts),
             ]
 
     def stop(self) -> None:
-        """Leave the service's jobs to another instance."""
+        """Release the service's jobs to another instance."""
         if self._task is None:
             return
         write(_LOGGER, events.STEPPED_DOWN, service=self._service)
         self._task.kill(block=False)
         self._task = None
-        for helper in self._helpers:
-            helper.kill(block=False)
-        self._jobs.stop()
-        self._ends.stop()
-        self._held.clear()
+        for task in self._background_tasks:
+            task.kill(block=False)
+        self._job_mirror.stop()
+        self._end_mirror.stop()
+        self._active_jobs.clear()
 
     def mark_uncertain(self) -> None:
-        """Take in that another instance may have worked here meanwhile."""
-        self._held.mark_uncertain()
+        """Record that another instance may have worked on the jobs."""
+        self._active_jobs.mark_uncertain()
 
-    def demands(self) -> dict[str, ModelDemand]:
-        """Return what the open jobs, and the next ones, ask of each model."""
-        return self._held.demands()
+    def collect_demands(self) -> dict[str, ModelDemand]:
+        """Return the demand of open and expected jobs on each model."""
+        return self._active_jobs.collect_demands()
 
     def count_open(self) -> dict[str, int]:
-        """Return the items by model that are not done."""
+        """Return the number of unfinished items by model."""
         counts: dict[str, int] = {}
-        for work in self._held.list_open():
-            undone = sum(not each.done for each in work.items.values())
-            counts[work.job.model] = counts.get(work.job.model, 0) + undone
+        for work in self._active_jobs.list_open():
+            unfinished = sum(not each.done for each in work.items.values())
+            counts[work.job.model] = counts.get(work.job.model, 0) + unfinished
         return counts
 
     def read(
-        self, job: JobId, after: int, wait: float, team: TeamId = _ANYBODY
+        self, job: JobId, after: int, wait: float, team: TeamId = _ANY_TEAM
     ) -> tuple[LookupStatus, Page | None]:
-        """Return results from a position on, once there are any."""
-        return self._held.read(job, after, wait, team)
+        """Return results from a position on, waiting until there are any."""
+        return self._active_jobs.read(job, after, wait, team)
 
     def read_item(
-        self, job: JobId, item: ItemId, team: TeamId = _ANYBODY
+        self, job: JobId, item: ItemId, team: TeamId = _ANY_TEAM
     ) -> tuple[LookupStatus, bytes]:
         """Return an item's body."""
-        return self._held.read_item(job, item, team)
+        return self._active_jobs.read_item(job, item, team)
 
-    def _bring(self, work: JobWork) -> None:
-        """Give a job that is taken over what there is of its texts."""
+    def _restore_texts(self, work: JobWork) -> None:
+        """Restore the partial texts of a job that is taken over."""
         self._replicas.restore(work)
         self._snapshots.restore(work)
 
-    def _take_whole(self, work: JobWork, progress: Progress) -> None:
+    def _on_text_complete(self, work: JobWork, progress: Progress) -> None:
         self._dispatcher.note_text(work, progress)
         self._rewards.take_whole(work, progress)
 
-    def _note_taken(self, job: Job) -> None:
+    def _on_job_loaded(self, job: Job) -> None:
         amount = sum(max(each.expected_tokens, 1) for each in job.items)
         self._states.note_work(job.model, amount)
         self._wake.set()
 
     def _put_job(self, name: str, stored: StoredObject) -> None:
         job = decode_job(stored.value)
-        if job.service != self._service or job.id in self._held:
+        if job.service != self._service or job.id in self._active_jobs:
             return
-        fresh = self._jobs.loaded and self._jobs.is_news
-        self._held.expect(job.id)
-        self._clock.spawn(self._held.take_stored, job.id, stored, fresh)
+        fresh = self._job_mirror.loaded and self._job_mirror.is_news
+        self._active_jobs.expect(job.id)
+        self._clock.spawn(self._active_jobs.load_stored, job.id, stored, fresh)
 
     def _drop_job(self, name: str) -> None:
-        self._held.drop(JobId(name))
+        self._active_jobs.drop(JobId(name))
 
     def _put_end(self, name: str, stored: StoredObject) -> None:
-        self._held.end(JobId(name))
+        self._active_jobs.end(JobId(name))
 
-    def _expire(self) -> None:
-        """Remove closed jobs whose time is over."""
+    def _remove_expired(self) -> None:
+        """Remove closed jobs after their retention time."""
         while True:
-            self._clock.sleep(EXPIRE_SECONDS)
+            self._clock.sleep(EXPIRY_INTERVAL_SECONDS)
             now = self._clock.wall()
-            for held in self._held:
-                work = held.work
+            for active in self._active_jobs:
+                work = active.work
                 expired = is_expired(work.job, now, self._retention)
                 if work.open or not expired:
                     continue
@@ -238,69 +238,72 @@
                         self._job_store.object_store, self._clock, work.job
                     )
                 except StoreError as error:
-                    _LOGGER.debug('%s is not removed: %s', work.job.id, error)
+                    _LOGGER.debug(
+                        'job %s could not be removed: %s', work.job.id, error
+                    )
                     break
 
-    def _copy_texts(self) -> None:
-        """Keep what was made of the texts, here and with who may come next."""
+    def _replicate_texts(self) -> None:
+        """Save partial texts on disk, and replicate them to successors."""
         while True:
             self._clock.sleep(REPLICATION_INTERVAL_SECONDS)
-            works = self._held.list_open()
+            works = self._active_jobs.list_open()
             if works:
                 self._snapshots.save(self._service, works)
-                peers = self._list_successors()[:COPIES]
+                peers = self._list_successors()[:REPLICA_COUNT]
                 self._replicas.send(self._service, works, peers)
 
     def _run(self) -> None:
-        looked_at = self._boot_clock()
+        last_run_at = self._boot_clock()
         while True:
-            before, looked_at = looked_at, self._boot_clock()
-            if looked_at - before > PAUSE_SECONDS:
-                self._held.mark_uncertain()
+            previous_run_at, last_run_at = last_run_at, self._boot_clock()
+            if last_run_at - previous_run_at > MIN_FREEZE_SECONDS:
+                self._active_jobs.mark_uncertain()
             self._dispatch()
             self._wake.clear()
-            wait_for(self._clock, self._wake, IDLE_SECONDS)
+            wait_for(self._clock, self._wake, DISPATCH_INTERVAL_SECONDS)
 
     def _has_taken_over(self, now: float) -> bool:
-        """Return whether all jobs are here that the owner before worked on.
+        """Return whether all jobs of the former owner are loaded.
 
-        Those that are read first would else take every slot, and the oldest
-        steps, which are nearly whole, would wait behind them.
+        Otherwise the jobs that load first would take every slot, and the oldest
+        steps, which are nearly complete, would wait for them.
         """
-        if now - self._started_at > TAKEOVER_SECONDS:
+        if now - self._started_at > MAX_TAKEOVER_SECONDS:
             return True
-        return self._jobs.loaded and self._held.is_complete
+        return self._job_mirror.loaded and self._active_jobs.is_complete
 
     def _dispatch(self) -> None:
         now = self._clock.now()
         self._taken_over = self._taken_over or self._has_taken_over(now)
         if not self._taken_over:
             return
-        works = self._held.list_open()
+        works = self._active_jobs.list_open()
         self._metrics.set_gauge(names.OPEN_JOBS, len(works))
         if not works:
             return
         for work in works:
-            self._give_up_old(work, now)
+            self._fail_expired_items(work, now)
         self._dispatcher.dispatch(works, now)
         self._rewards.dispatch(works, now)
 
-    def _leave_former(self, upstream: Upstream) -> None:
-        """Have the runs of a sampler's former start go on elsewhere.
+    def _cancel_stale_runs(self, upstream: Upstream) -> None:
+        """Cancel runs at a sampler that restarted, so that others resume them.
 
-        Behind a cut they would be silent until the time limit. One that has
-        just sent an event is the new start's, begun before it was noted.
+        Behind a network partition their streams would stall until the time
+        limit. A run with a recent event belongs to the new process: it started
+        before the restart was observed.
         """
         now = self._clock.now()
-        for work in self._held.list_open():
+        for work in self._active_jobs.list_open():
             for progress in work.items.values():
-                here = progress.sampler == upstream.id
-                if here and now - progress.heard_at > STALL_SECONDS:
+                runs_there = progress.sampler == upstream.id
+                if runs_there and now - progress.heard_at > STALL_SECONDS:
                     progress.cancel()
 
-    def _give_up_old(self, work: JobWork, now: float) -> None:
-        # Counted from here, not from the submission: instances' clocks may
-        # be seconds apart, and an item must not be given up too early.
+    def _fail_expired_items(self, work: JobWork, now: float) -> None:
+        # Measured from the load, not from the submission: clocks of instances
+        # may differ by seconds, and an item must not expire too early.
         if now - work.taken_at < work.job.item_ttl + TTL_SLACK_SECONDS:
             return
         for progress in work.items.values():
@@ -309,9 +312,9 @@
                 self._finish(work, result)
 
     def _finish(self, work: JobWork, result: Result) -> None:
-        """Take an item's result; it is shown once it is durable."""
-        held = self._held.get(work.job.id)
-        if held is None or held.work is not work or work.ended:
+        """Record an item's result; readers see it once it is durable."""
+        active = self._active_jobs.get(work.job.id)
+        if active is None or active.work is not work or work.ended:
             return
         progress = work.items[result.id]
         seconds = float(0)
@@ -332,4 +335,4 @@
             seconds=round(seconds, 2),
             longest_gap=round(progress.longest_gap, 2),
         )
-        held.committer.commit_pending(urgent=urgent or not work.open)
+        active.committer.commit_pending(urgent=urgent or not work.open)
--- a/guavagate/jobs/_reader.py
+++ b/guavagate/jobs/_reader.py
@@ -123,8 +123,8 @@
         cached = self._cache.get(job)
         if cached is not None and cached.is_accessible_to(team):
             return LookupStatus.FOUND
-        known, _ = self.read(services, job, 0, 0, team)
-        return known
+        status, _ = self.read(services, job, 0, 0, team)
+        return status
 
     def _read_stored(
         self, job: JobId, after: int, team: TeamId
@@ -183,17 +183,17 @@
         owner = self._find_local_owner(message.service)
         if owner is None:
             return PageReply(known=LookupStatus.UNCERTAIN)
-        known, page = owner.read(
+        status, page = owner.read(
             message.job, message.after, message.wait, message.team
         )
-        return PageReply(known=known, page=page)
+        return PageReply(known=status, page=page)
 
     def _serve_item(self, message: ReadItem) -> ItemReply:
         owner = self._find_local_owner(message.service)
         if owner is None:
             return ItemReply(known=LookupStatus.UNCERTAIN)
-        known, body = owner.read_item(message.job, message.item, message.team)
-        return ItemReply(known=known, body=body)
+        status, body = owner.read_item(message.job, message.item, message.team)
+        return ItemReply(known=status, body=body)
 
 
 def _find_body(
--- a/guavagate/service.py
+++ b/guavagate/service.py
@@ -222,7 +222,7 @@
             self._named,
             states,
             self._client,
-            owner.demands,
+            owner.collect_demands,
             lambda: self._count_slots(service),
         )
         states.subscribe(coordinator.wake)
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -117,7 +117,7 @@
     Safeguard(
         'a woken owner looks up what others have listed',
         'guavagate/jobs/_active.py',
-        'return self.invalidations > self.reconciled and not whole',
+        'return self.invalidations > self.reconciled and not complete',
         'return False',
         'tests/jobs/test_owner.py',
     ),
@@ -189,7 +189,7 @@
     Safeguard(
         'successors are told of texts',
         'guavagate/jobs/_owner.py',
-        'peers = self._list_successors()[:COPIES]',
+        'peers = self._list_successors()[:REPLICA_COUNT]',
         'peers = []',
         'tests/jobs/test_texts.py',
     ),
--- a/tests/jobs/test_clocks.py
+++ b/tests/jobs/test_clocks.py
@@ -21,6 +21,6 @@
     task = other.clock.spawn(other.job_store.accept, skewed, 2.5)
     fleet.clock.run_until(task.ready, 5)
     fleet.clock.advance(0.1)
-    works = owner.owner._held.list_open()
+    works = owner.owner._active_jobs.list_open()
     assert [work.job.id for work in works] == ['job-1']
     assert works[0].since >= before
--- a/tests/jobs/test_owner.py
+++ b/tests/jobs/test_owner.py
@@ -278,14 +278,14 @@
     fleet.submit(make_job(), 'a')
     fleet.clock.advance(_LATER)
     other = fleet.nodes[find_other(fleet)]
-    held = other.owner._held
-    held.active = True
+    held = other.owner._active_jobs
+    held.owning = True
     reading = other.clock.spawn(
         other.job_store.object_store.get, job_path(JobId('job-1'))
     )
     fleet.clock.run_until(reading.ready, 5)
     stored = reading.get(block=False)
-    taking = other.clock.spawn(held.take_stored, stored, True)
+    taking = other.clock.spawn(held.load_stored, stored, True)
     fleet.clock.run_until(taking.ready, 5)
     asking = other.clock.spawn(held.read, JobId('job-1'), 0, 0)
     fleet.clock.run_until(asking.ready, 5)
@@ -305,7 +305,7 @@
     fleet.submit(make_job(), 'a')
     fleet.clock.advance(_LATER)
     owner = fleet.nodes[fleet.owner()]
-    held = owner.owner._held
+    held = owner.owner._active_jobs
     job = held.get(JobId('job-1'))
     assert job is not None
     job.work.log = owner.job_store.open_log(JobId('job-1'))
--- a/tests/jobs/test_texts.py
+++ b/tests/jobs/test_texts.py
@@ -129,7 +129,7 @@
     fleet.submit(make_job(groups=1, size=1), survivor)
     fleet.clock.advance(1.3)
     node = fleet.nodes[owner]
-    held = node.owner._held.get(JobId('job-1'))
+    held = node.owner._active_jobs.get(JobId('job-1'))
     assert held is not None
     progress = held.work.items[ItemId('0-0')]
     old = list(progress.text.events)
