--- a/guavagate/duties/_reporter.py
+++ b/guavagate/duties/_reporter.py
@@ -22,7 +22,7 @@
 from guavagate.models import InstanceId
 from guavagate.ports.duties import Counts, DutyAnswer, DutyClient, Holder
 from guavagate.ports.store import ObjectStore
-from guavagate.rollouts import Lease, LeaseHeldError, secure_for_orders
+from guavagate.rollouts import Lease, LeaseHeldError, acquire_for_orders
 
 _LOGGER: Final = logging.getLogger(__name__)
 
@@ -178,7 +178,7 @@
 
     def _report(self, window: int) -> None:
         if not self._lease.may_order():
-            secure_for_orders(self._lease, self._clock)
+            acquire_for_orders(self._lease, self._clock)
         if not self._lease.may_order():
             return
         holder = Holder(self._me, self._lease.generation)
--- a/guavagate/duties/_scaler.py
+++ b/guavagate/duties/_scaler.py
@@ -13,7 +13,7 @@
 from guavagate.models import InstanceId, ServiceId, ZoneId
 from guavagate.ports.configuration import Scaling
 from guavagate.ports.duties import DutyAnswer, DutyClient, Holder, ScaleOrder
-from guavagate.rollouts import Lease, LeaseHeldError, secure_for_orders
+from guavagate.rollouts import Lease, LeaseHeldError, acquire_for_orders
 from guavagate.routing import RouteTable, UpstreamTable
 
 _LOGGER: Final = logging.getLogger(__name__)
@@ -169,7 +169,7 @@
 
     def _order(self, key: _Key, amount: int) -> None:
         if not self._lease.may_order():
-            secure_for_orders(self._lease, self._clock)
+            acquire_for_orders(self._lease, self._clock)
         if not self._lease.may_order():
             return
         zone, kind = key
--- a/guavagate/duties/_usage.py
+++ b/guavagate/duties/_usage.py
@@ -13,7 +13,7 @@
 from guavagate.models import InstanceId, TeamId
 from guavagate.ports.duties import DutyClient
 from guavagate.ports.store import ObjectStore
-from guavagate.rollouts import SUCCESSORS, Lease, Renewals
+from guavagate.rollouts import MAX_SUCCESSORS, Lease, Renewals
 from guavagate.runtime import Members
 from guavagate.util.boot_clock import read_boot_clock
 
@@ -98,7 +98,9 @@
         return self._ownership.rank_for_duty(_DUTY)
 
     def _list_successors(self) -> list[InstanceId]:
-        return [each for each in self._rank() if each != self._me][:SUCCESSORS]
+        return [each for each in self._rank() if each != self._me][
+            :MAX_SUCCESSORS
+        ]
 
     def _is_first(self) -> bool:
         ranked = self._rank()
--- a/guavagate/jobs/_active.py
+++ b/guavagate/jobs/_active.py
@@ -142,7 +142,7 @@
             due = cadence.expect_next()
             if due is not None:
                 demand = demands.setdefault(model, ModelDemand())
-                demand.next_in = due - now
+                demand.seconds_to_next_job = due - now
         return demands
 
     def read(
--- a/guavagate/jobs/_dispatch.py
+++ b/guavagate/jobs/_dispatch.py
@@ -122,8 +122,8 @@
             )
             state = self._states.get(name)
             upstream = self._upstreams.get(name)
-            if upstream is not None and not state.silent:
-                state.silent = True
+            if upstream is not None and not state.stalled:
+                state.stalled = True
                 self._clock.spawn(self._ask_again, upstream, state)
             for progress in runs:
                 progress.cancel()
@@ -138,9 +138,9 @@
                 self._clock.sleep(ASK_SECONDS)
             else:
                 break
-        state.silent = False
+        state.stalled = False
         write(_LOGGER, events.SAMPLER_ANSWERS, sampler=upstream.id)
-        self._states.tell()
+        self._states.notify()
 
     def _list_samplers(
         self, now: float, *, soon: bool = False
@@ -198,7 +198,7 @@
         progress.sampler = upstream.id
         progress.started = now
         state = self._states.get(upstream.id)
-        state.held += 1
+        state.in_flight += 1
         write(
             _LOGGER,
             events.ITEM_STARTED,
@@ -207,7 +207,7 @@
             group=progress.item.group,
             sampler=upstream.id,
             after=progress.text.last,
-            held=state.held,
+            held=state.in_flight,
         )
         self._clock.spawn(self._runner.run, work, progress, upstream)
 
--- a/guavagate/jobs/_owner.py
+++ b/guavagate/jobs/_owner.py
@@ -206,7 +206,7 @@
 
     def _on_job_loaded(self, job: Job) -> None:
         amount = sum(max(each.expected_tokens, 1) for each in job.items)
-        self._states.note_work(job.model, amount)
+        self._states.record_workload(job.model, amount)
         self._wake.set()
 
     def _put_job(self, name: str, stored: StoredObject) -> None:
--- a/guavagate/jobs/_runner.py
+++ b/guavagate/jobs/_runner.py
@@ -139,7 +139,7 @@
             progress.longest_gap = max(progress.longest_gap, now - last_at)
             pace = meter.note(now)
             if pace is not None:
-                self._states.note_pace(upstream.id, pace)
+                self._states.record_event_interval(upstream.id, pace)
             last_at = now
             progress.heard_at = now
             self._take_event(work, progress, upstream, event)
@@ -158,7 +158,7 @@
                 f' {progress.text.last}',
                 'check the sampler; the item goes on after the last whole one',
             )
-        self._states.note_version(upstream.id, job.model, event.version)
+        self._states.record_version(upstream.id, job.model, event.version)
         progress.text.add(event)
         only = event.version if job.single_version else None
         if not progress.text.fits(job.min_version, only):
@@ -183,8 +183,8 @@
         progress.run = None
         progress.task = None
         progress.sampler = None
-        self._states.get(upstream.id).held -= 1
-        self._states.tell()
+        self._states.get(upstream.id).in_flight -= 1
+        self._states.notify()
 
     def _note_failed(
         self, work: JobWork, progress: Progress, error: Exception
--- a/guavagate/jobs/_schedule.py
+++ b/guavagate/jobs/_schedule.py
@@ -145,7 +145,7 @@
         demand.waiting += len(waiting)
         if waiting:
             since = now - work.since
-            demand.waiting_for = max(demand.waiting_for, since)
+            demand.waiting_seconds = max(demand.waiting_seconds, since)
     return demands
 
 
--- a/guavagate/jobs/_slots.py
+++ b/guavagate/jobs/_slots.py
@@ -36,7 +36,7 @@
     usual = find_usual_pace(serving, states)
     listed = []
     for upstream, state in known:
-        if state.silent or state.avoid_until > until:
+        if state.stalled or state.avoid_until > until:
             continue
         if state.loading and not soon:
             continue
@@ -45,10 +45,12 @@
             SamplerSlots(
                 id=upstream.id,
                 versions=state.versions,
-                free=max(slots - state.held, 0),
+                free=max(slots - state.in_flight, 0),
                 slots=slots,
-                pace=state.pace / usual if usual and state.pace else 1.0,
-                models=states.serves(upstream.id),
+                pace=state.event_interval / usual
+                if usual and state.event_interval
+                else 1.0,
+                models=states.get_models(upstream.id),
             )
         )
     return listed
@@ -62,7 +64,7 @@
     In seconds; the middle one, as a few may have turned slow.
     """
     paces = sorted(
-        pace for each in serving if (pace := states.get(each.id).pace)
+        pace for each in serving if (pace := states.get(each.id).event_interval)
     )
     return paces[len(paces) // 2] if paces else 0
 
--- a/guavagate/rollouts/__init__.py
+++ b/guavagate/rollouts/__init__.py
@@ -1,21 +1,21 @@
 """Versions of the weights: who orders samplers, and which serve what."""
 
-from guavagate.rollouts._assign import assign
+from guavagate.rollouts._assign import assign_samplers
 from guavagate.rollouts._coordinator import Coordinator, NamedVersions
 from guavagate.rollouts._lease import (
     Lease,
     LeaseHeldError,
     LeaseRecord,
+    acquire_for_orders,
     lease_path,
     list_holders,
-    secure_for_orders,
 )
 from guavagate.rollouts._plan import ModelDemand
-from guavagate.rollouts._renewals import SUCCESSORS, Renewals
+from guavagate.rollouts._renewals import MAX_SUCCESSORS, Renewals
 from guavagate.rollouts._states import SamplerState, SamplerStates
 
 __all__ = (
-    'SUCCESSORS',
+    'MAX_SUCCESSORS',
     'Coordinator',
     'Lease',
     'LeaseHeldError',
@@ -25,8 +25,8 @@
     'Renewals',
     'SamplerState',
     'SamplerStates',
-    'assign',
+    'assign_samplers',
     'lease_path',
     'list_holders',
-    'secure_for_orders',
+    'acquire_for_orders',
 )
--- a/guavagate/rollouts/_assign.py
+++ b/guavagate/rollouts/_assign.py
@@ -26,7 +26,7 @@
 Assignment = dict[UpstreamId, frozenset[str]]
 
 
-def assign(
+def assign_samplers(
     models: Sequence[str],
     versions: Versions,
     before: Mapping[UpstreamId, frozenset[str]],
--- a/guavagate/rollouts/_coordinator.py
+++ b/guavagate/rollouts/_coordinator.py
@@ -18,17 +18,17 @@
     VersionOrder,
 )
 from guavagate.ports.upstreams import Upstream
-from guavagate.rollouts._assign import assign
+from guavagate.rollouts._assign import assign_samplers
 from guavagate.rollouts._lease import (
     Lease,
     LeaseHeldError,
-    secure_for_orders,
+    acquire_for_orders,
 )
 from guavagate.rollouts._plan import (
     ModelDemand,
     PlannedOrder,
     SamplerView,
-    find_helpers,
+    choose_samplers_to_borrow,
     plan_orders,
 )
 from guavagate.rollouts._states import SamplerState, SamplerStates
@@ -112,7 +112,7 @@
         for order in self._orders:
             order.kill(block=False)
         self._orders = []
-        self._states.forget_loading()
+        self._states.reset_loading()
         self._task = None
         self._lease.release()
 
@@ -134,16 +134,16 @@
 
     def _look(self) -> None:
         serving = self._upstreams.serving(self._service)
-        self._states.take(serving)
+        self._states.update(serving)
         self._assign(serving)
         planned = self._plan(serving)
         if not planned:
             return
-        secure_for_orders(self._lease, self._clock)
+        acquire_for_orders(self._lease, self._clock)
         by_id = {each.id: each for each in serving}
         for order in planned:
             if not self._lease.may_order():
-                self._lease.secure()
+                self._lease.acquire_or_renew()
             self._states.get(order.sampler).loading = True
             upstream = by_id[order.sampler]
             self._orders = [each for each in self._orders if not each.dead]
@@ -159,8 +159,8 @@
         versions = {
             each.id: self._states.get(each.id).versions for each in serving
         }
-        assigned = assign(
-            models, versions, self._states.assigned, self._states.work
+        assigned = assign_samplers(
+            models, versions, self._states.assigned, self._states.workloads
         )
         if assigned != self._states.assigned:
             self._states.assigned = assigned
@@ -171,7 +171,7 @@
                 service=self._service,
                 samplers=shown,
             )
-            self._states.tell()
+            self._states.notify()
 
     def _plan(self, serving: list[Upstream]) -> list[PlannedOrder]:
         """Return the orders to send now, and let idle samplers help."""
@@ -198,7 +198,7 @@
         for model, newest in self._named.newest.items():
             demand = demands.setdefault(model, ModelDemand())
             demand.newest = newest
-            demand.named_for = now - self._named.named_at[model]
+            demand.seconds_since_named = now - self._named.named_at[model]
         return demands
 
     def _view(self, upstream: Upstream) -> SamplerView:
@@ -207,21 +207,23 @@
         return SamplerView(
             id=upstream.id,
             versions=state.versions,
-            models=self._states.serves(upstream.id),
+            models=self._states.get_models(upstream.id),
             loading=state.loading,
-            held=state.held,
-            free=max(slots - state.held, 0),
+            held=state.in_flight,
+            free=max(slots - state.in_flight, 0),
         )
 
     def _set_helpers(
         self, usable: list[SamplerView], demands: dict[str, ModelDemand]
     ) -> None:
         """Add helpers; those whose model has nothing waiting are let go."""
-        helpers = self._states.helpers
+        helpers = self._states.borrowed
         for sampler, model in list(helpers.items()):
             if model not in demands or not demands[model].waiting:
                 helpers.pop(sampler)
-        for sampler, model in find_helpers(usable, demands).items():
+        for sampler, model in choose_samplers_to_borrow(
+            usable, demands
+        ).items():
             helpers[sampler] = model
             write(_LOGGER, events.HELPS, sampler=sampler, model=model)
 
@@ -260,7 +262,7 @@
             versions=state.versions,
             seconds=round(self._clock.now() - began, 2),
         )
-        self._states.tell()
+        self._states.notify()
         self._wake.set()
 
     def _send(
@@ -284,7 +286,7 @@
         already = self._client.order(upstream, order)
         state.orders_taken = taken if already else taken + 1
         if already:
-            self._states.note_version(upstream.id, model, version)
+            self._states.record_version(upstream.id, model, version)
         write(
             _LOGGER,
             events.ORDERED,
@@ -329,7 +331,7 @@
         state = self._states.get(upstream.id)
         state.orders_taken = report.orders_taken
         for model, version in report.versions.items():
-            self._states.note_version(upstream.id, model, version)
+            self._states.record_version(upstream.id, model, version)
         return not report.busy
 
     def _note_start(
@@ -349,7 +351,7 @@
                 f'{upstream.id} reported of a former start',
                 'nothing; it is asked again',
             )
-        self._states.start_anew(upstream.id, incarnation)
+        self._states.reset(upstream.id, incarnation)
 
     def _look_at(self, upstream: Upstream) -> None:
         """Learn what became of an order that failed."""
--- a/guavagate/rollouts/_lease.py
+++ b/guavagate/rollouts/_lease.py
@@ -113,7 +113,7 @@
         """Return how long a fresh holder still has to wait."""
         return max(self._first_order_at - self._now(), 0)
 
-    def secure(self) -> None:
+    def acquire_or_renew(self) -> None:
         """Hold the lease, renewed just now.
 
         Raises
@@ -255,13 +255,13 @@
     return f'{LEASES}/{service}'
 
 
-def secure_for_orders(lease: Lease, clock: Clock) -> None:
+def acquire_for_orders(lease: Lease, clock: Clock) -> None:
     """Hold a lease, and wait out what its former holder may still send."""
-    lease.secure()
+    lease.acquire_or_renew()
     wait = lease.wait_seconds()
     if wait:
         clock.sleep(wait)
-        lease.secure()
+        lease.acquire_or_renew()
 
 
 def _decode(stored: StoredObject) -> LeaseRecord:
--- a/guavagate/rollouts/_plan.py
+++ b/guavagate/rollouts/_plan.py
@@ -33,21 +33,22 @@
 
 
 class ModelDemand(msgspec.Struct):
-    """What is asked of a model; times in seconds.
+    """The demand for a model; times in seconds.
 
-    `required` is the oldest version that all open jobs accept, `waiting` the
-    items without a slot, `waiting_for` how long some have been waiting,
-    `named_for` how long ago the newest version was named, `open_jobs` the jobs
-    in work, `next_in` how long until the next job is due, as far as known.
+    `required` is the oldest version that all open jobs accept, `waiting`
+    counts items without a slot, `waiting_seconds` is how long some of them have
+    waited, `seconds_since_named` how long ago the trainer named the newest
+    version, and `seconds_to_next_job` the expected time to its next job, if
+    known.
     """
 
     newest: WeightVersion = WeightVersion(0)
     required: WeightVersion = WeightVersion(0)
     waiting: int = 0
-    waiting_for: float = 0
-    named_for: float = 0
+    waiting_seconds: float = 0
+    seconds_since_named: float = 0
     open_jobs: int = 0
-    next_in: float | None = None
+    seconds_to_next_job: float | None = None
 
 
 class SamplerView(msgspec.Struct):
@@ -100,7 +101,7 @@
     return _pick(ordered, allowed)
 
 
-def find_helpers(
+def choose_samplers_to_borrow(
     samplers: Sequence[SamplerView], demands: Mapping[str, ModelDemand]
 ) -> dict[UpstreamId, str]:
     """Return idle samplers that help with a model they do not serve.
@@ -113,7 +114,7 @@
         model
         for model, demand in demands.items()
         if demand.waiting >= HELP_WAITING
-        and demand.waiting_for > HELP_AFTER_SECONDS
+        and demand.waiting_seconds > HELP_AFTER_SECONDS
     ]
     needy.sort(key=lambda model: -demands[model].waiting)
     helpers: dict[UpstreamId, str] = {}
@@ -135,16 +136,16 @@
 
 def _is_calm(demand: ModelDemand) -> bool:
     """Return whether a load now holds nothing up."""
-    if demand.named_for > PUT_OFF_SECONDS:
+    if demand.seconds_since_named > PUT_OFF_SECONDS:
         return True
     if demand.waiting:
         return False
     if demand.open_jobs:
         return True
     # A trainer that is behind its schedule submits as it names the version.
-    next_in = -demand.named_for
-    if demand.next_in is not None:
-        next_in = max(demand.next_in, next_in)
+    next_in = -demand.seconds_since_named
+    if demand.seconds_to_next_job is not None:
+        next_in = max(demand.seconds_to_next_job, next_in)
     return not -OVERDUE_SECONDS < next_in < LOAD_SECONDS
 
 
--- a/guavagate/rollouts/_renewals.py
+++ b/guavagate/rollouts/_renewals.py
@@ -14,7 +14,7 @@
 from guavagate.util.boot_clock import read_boot_clock
 
 # Who is told of each renewal: two that fail at once leave one that has heard.
-SUCCESSORS: Final = 3
+MAX_SUCCESSORS: Final = 3
 
 
 class LeaseRenewed(Message, frozen=True, kw_only=True):
--- a/guavagate/rollouts/_states.py
+++ b/guavagate/rollouts/_states.py
@@ -7,8 +7,8 @@
 from guavagate.models import UpstreamId, WeightVersion
 from guavagate.ports.upstreams import Upstream
 
-_PACE_SHARE = 0.3
-_WORK_SHARE = 0.3
+_INTERVAL_SMOOTHING = 0.3
+_WORKLOAD_SMOOTHING = 0.3
 
 
 class SamplerState(msgspec.Struct):
@@ -22,14 +22,14 @@
     versions: dict[str, WeightVersion] = {}
     orders_taken: int | None = None
     loading: bool = False
-    held: int = 0
-    pace: float = 0
+    in_flight: int = 0
+    event_interval: float = 0
     avoid_until: float = 0
     unreachable: int = 0
     failed_orders: int = 0
     order_after: float = 0
     incarnation: int = 0
-    silent: bool = False
+    stalled: bool = False
 
 
 class SamplerStates:
@@ -39,22 +39,22 @@
         self._states: dict[UpstreamId, SamplerState] = {}
         self.assigned: dict[UpstreamId, frozenset[str]] = {}
         # Idle samplers that serve one more model while its items wait.
-        self.helpers: dict[UpstreamId, str] = {}
+        self.borrowed: dict[UpstreamId, str] = {}
         # What each model's trainer submits in a job, by its recent ones.
-        self.work: dict[str, float] = {}
+        self.workloads: dict[str, float] = {}
         self._subscribers: list[Callable[[], None]] = []
 
     def subscribe(self, changed: Callable[[], None]) -> None:
         """Call back, without blocking, after each change that frees work."""
         self._subscribers.append(changed)
 
-    def serves(self, sampler: UpstreamId) -> frozenset[str]:
+    def get_models(self, sampler: UpstreamId) -> frozenset[str]:
         """Return the models that a sampler is given items of."""
         models = self.assigned.get(sampler, frozenset())
-        extra = self.helpers.get(sampler)
+        extra = self.borrowed.get(sampler)
         return models if extra is None else models | {extra}
 
-    def forget_loading(self) -> None:
+    def reset_loading(self) -> None:
         """Take no sampler for loading; whoever orders next looks anew."""
         for state in self._states.values():
             state.loading = False
@@ -64,23 +64,23 @@
         """Return a sampler's state."""
         return self._states.setdefault(sampler, SamplerState())
 
-    def take(self, upstreams: Iterable[Upstream]) -> None:
+    def update(self, upstreams: Iterable[Upstream]) -> None:
         """Take in what the samplers registered; forget those that are gone."""
         present = set()
         for upstream in upstreams:
             present.add(upstream.id)
             if upstream.incarnation > self.get(upstream.id).incarnation:
-                self.start_anew(upstream.id, upstream.incarnation)
+                self.reset(upstream.id, upstream.incarnation)
             state = self.get(upstream.id)
             for model, version in upstream.versions.items():
                 self._raise(state, model, version)
         for gone in [each for each in self._states if each not in present]:
-            self.helpers.pop(gone, None)
-            if not self._states[gone].held:
+            self.borrowed.pop(gone, None)
+            if not self._states[gone].in_flight:
                 self._states.pop(gone)
-        self.tell()
+        self.notify()
 
-    def start_anew(self, sampler: UpstreamId, start: int) -> None:
+    def reset(self, sampler: UpstreamId, start: int) -> None:
         """Take in of which start a sampler is; forget an earlier one.
 
         Whoever still works with the former state, an order on its way or a
@@ -91,29 +91,31 @@
         if not state.incarnation:
             state.incarnation = start
             return
-        fresh = SamplerState(held=state.held, incarnation=start)
+        fresh = SamplerState(in_flight=state.in_flight, incarnation=start)
         self._states[sampler] = fresh
-        self.helpers.pop(sampler, None)
+        self.borrowed.pop(sampler, None)
 
-    def note_work(self, model: str, amount: float) -> None:
+    def record_workload(self, model: str, amount: float) -> None:
         """Take in how much a job asks for."""
-        before = self.work.get(model, amount)
-        self.work[model] = before + (amount - before) * _WORK_SHARE
+        before = self.workloads.get(model, amount)
+        self.workloads[model] = before + (amount - before) * _WORKLOAD_SMOOTHING
 
-    def note_version(
+    def record_version(
         self, sampler: UpstreamId, model: str, version: WeightVersion
     ) -> None:
         """Take in a version that an answer named."""
         if self._raise(self.get(sampler), model, version):
-            self.tell()
+            self.notify()
 
-    def note_pace(self, sampler: UpstreamId, seconds: float) -> None:
+    def record_event_interval(
+        self, sampler: UpstreamId, seconds: float
+    ) -> None:
         """Take in how long a sampler took for an event, over some."""
         state = self.get(sampler)
-        share = _PACE_SHARE if state.pace else 1
-        state.pace += (seconds - state.pace) * share
+        share = _INTERVAL_SMOOTHING if state.event_interval else 1
+        state.event_interval += (seconds - state.event_interval) * share
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Call the subscribers."""
         for changed in self._subscribers:
             changed()
--- a/guavagate/service.py
+++ b/guavagate/service.py
@@ -22,7 +22,7 @@
 from guavagate.ports.rewards import RewardClient
 from guavagate.ports.sampler import SamplerClient
 from guavagate.rollouts import (
-    SUCCESSORS,
+    MAX_SUCCESSORS,
     Coordinator,
     Lease,
     NamedVersions,
@@ -250,7 +250,7 @@
 
     def _list_successors(self, service: ServiceId) -> list[InstanceId]:
         ranked = self._ownership.rank_candidates(service)
-        return [each for each in ranked if each != self._me][:SUCCESSORS]
+        return [each for each in ranked if each != self._me][:MAX_SUCCESSORS]
 
     def _count_slots(self, service: ServiceId) -> int:
         described = self._routes.find_service(service)
@@ -259,7 +259,7 @@
     def _wake(self) -> None:
         for held in self._services.values():
             if held.owner.active:
-                held.states.tell()
+                held.states.notify()
 
 
 def _do_nothing() -> None:
--- a/standins/_safeguard_jobs.py
+++ b/standins/_safeguard_jobs.py
@@ -44,7 +44,7 @@
     Safeguard(
         'a silent sampler gets nothing until it answers',
         'guavagate/jobs/_slots.py',
-        'if state.silent or state.avoid_until > until:',
+        'if state.stalled or state.avoid_until > until:',
         'if state.avoid_until > until:',
         'tests/jobs/test_silence.py',
     ),
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -87,10 +87,10 @@
     Safeguard(
         'a successor reporter waits the former one out',
         'guavagate/duties/_reporter.py',
-        '            secure_for_orders(self._lease, self._clock)\n'
+        '            acquire_for_orders(self._lease, self._clock)\n'
         '        if not self._lease.may_order():\n'
         '            return\n',
-        '            self._lease.secure()\n',
+        '            self._lease.acquire_or_renew()\n',
         'tests/duties/test_reporter.py',
     ),
     Safeguard(
--- a/tests/jobs/fleet.py
+++ b/tests/jobs/fleet.py
@@ -86,7 +86,7 @@
             self.states.assigned[make_upstream(sampler).id] = frozenset(
                 (MODEL,)
             )
-        self.states.take(self.upstreams.all())
+        self.states.update(self.upstreams.all())
         self.rewards = FakeRewards(self.clock)
         self.metrics = Metrics()
         self.replicas = TextReplicas(world.bus(name))
--- a/tests/jobs/test_owner.py
+++ b/tests/jobs/test_owner.py
@@ -191,7 +191,7 @@
     """
     owner = fleet.nodes[fleet.owner()]
     for sampler in 'xyz':
-        owner.states.note_version(sampler, 'm0', 2)  # type: ignore[arg-type]
+        owner.states.record_version(sampler, 'm0', 2)  # type: ignore[arg-type]
     owner.samplers.versions = {'y': 2, 'z': 2}  # type: ignore[dict-item]
     fleet.submit(make_job(min_version=2), 'a')
     fleet.clock.advance(1)
--- a/tests/jobs/test_pace.py
+++ b/tests/jobs/test_pace.py
@@ -43,8 +43,10 @@
             for at in _arrive(pace, held_up, rng, seconds):
                 seen = meter.note(at)
                 if seen is not None:
-                    states.note_pace(name, seen)
-    return [states.get(UpstreamId(str(n))).pace for n in range(len(paces))]
+                    states.record_event_interval(name, seen)
+    return [
+        states.get(UpstreamId(str(n))).event_interval for n in range(len(paces))
+    ]
 
 
 def test_samplers_that_are_alike_seem_alike_to_a_busy_owner() -> None:
--- a/tests/jobs/test_silence.py
+++ b/tests/jobs/test_silence.py
@@ -36,7 +36,7 @@
 
 
 def _count_on(node: Node, name: str) -> int:
-    return node.states.get(UpstreamId(name)).held
+    return node.states.get(UpstreamId(name)).in_flight
 
 
 def test_texts_on_a_dark_sampler_go_on_elsewhere_at_once(
@@ -84,7 +84,7 @@
     fleet.submit(make_job(groups=1, size=1), 'a')
     fleet.clock.advance(1)
     running = next(
-        name for name in 'xyz' if node.states.get(UpstreamId(name)).held
+        name for name in 'xyz' if node.states.get(UpstreamId(name)).in_flight
     )
     node.samplers.silent.add(running)
     fleet.clock.advance(1.2)
--- a/tests/jobs/test_slots.py
+++ b/tests/jobs/test_slots.py
@@ -14,7 +14,7 @@
     states = SamplerStates()
     for name in names:
         states.assigned[UpstreamId(name)] = frozenset((MODEL,))
-        states.note_pace(UpstreamId(name), 0.04)
+        states.record_event_interval(UpstreamId(name), 0.04)
     return states
 
 
@@ -41,7 +41,7 @@
 def test_samplers_that_are_gone_for_long_do_not_count() -> None:
     """One is silent, one was ejected for seconds, one refused just now."""
     states = _make_states('wxyz')
-    states.get(UpstreamId('x')).silent = True
+    states.get(UpstreamId('x')).stalled = True
     states.get(UpstreamId('y')).avoid_until = NOW + 4
     states.get(UpstreamId('z')).avoid_until = NOW + 0.1
     assert _share('wxyz', states) == 8
@@ -50,5 +50,5 @@
 def test_a_slow_sampler_counts_for_what_it_makes() -> None:
     """It takes four times as long for an event as the two others."""
     states = _make_states('xyz')
-    states.get(UpstreamId('x')).pace = 0.16
+    states.get(UpstreamId('x')).event_interval = 0.16
     assert _share('xyz', states) == pytest.approx(9)
--- a/tests/jobs/test_texts.py
+++ b/tests/jobs/test_texts.py
@@ -88,7 +88,7 @@
     fleet.clock.advance(0.2)
     for sampler in 'xyz':
         owner.samplers.versions[sampler] = 2  # type: ignore[assignment]
-        owner.states.note_version(sampler, 'm0', 2)  # type: ignore[arg-type]
+        owner.states.record_version(sampler, 'm0', 2)  # type: ignore[arg-type]
     fleet.submit(make_job(min_version=2), 'a')
     fleet.clock.advance(_LATER)
     check_whole(fleet, 'a', 6)
--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -231,10 +231,10 @@
     held = _Setting()
     states = held.states
     name = make_upstream('a').id
-    states.start_anew(name, 100)
+    states.reset(name, 100)
     former = states.get(name)
     former.loading = True
-    states.start_anew(name, 200)
+    states.reset(name, 200)
     fresh = states.get(name)
     fresh.loading = True
     former.loading = False
--- a/tests/rollouts/test_lease.py
+++ b/tests/rollouts/test_lease.py
@@ -40,7 +40,7 @@
 
     def secure(self, lease: Lease) -> None:
         """Secure a lease in virtual time."""
-        task = self.clock.spawn(lease.secure)
+        task = self.clock.spawn(lease.acquire_or_renew)
         self.clock.run_until(task.ready, 30)
         task.get(block=False)
 
@@ -140,7 +140,7 @@
     first, second = held.make('a'), held.make('b')
     held.secure(first)
     held.clock.advance(2)
-    task = held.clock.spawn(first.secure)
+    task = held.clock.spawn(first.acquire_or_renew)
     held.state.lose_next = 1
     before = held.state.revision
     held.clock.run_until(lambda: held.state.revision > before, 1)
@@ -292,7 +292,7 @@
     lease = held.make('a')
     held.secure(lease)
     held.clock.advance(2)
-    tasks = [held.clock.spawn(lease.secure) for _ in range(4)]
+    tasks = [held.clock.spawn(lease.acquire_or_renew) for _ in range(4)]
     held.clock.run_until(lambda: all(each.ready() for each in tasks), 10)
     for task in tasks:
         task.get(block=False)
--- a/tests/rollouts/test_plan.py
+++ b/tests/rollouts/test_plan.py
@@ -1,8 +1,12 @@
 """When samplers load and who helps, under loads of several models."""
 
 from guavagate.models import UpstreamId, WeightVersion
-from guavagate.rollouts import ModelDemand, assign
-from guavagate.rollouts._plan import SamplerView, find_helpers, plan_orders
+from guavagate.rollouts import ModelDemand, assign_samplers
+from guavagate.rollouts._plan import (
+    SamplerView,
+    choose_samplers_to_borrow,
+    plan_orders,
+)
 
 
 def _make_view(
@@ -38,7 +42,7 @@
     """
     samplers = [_make_view(name, {'m': 2}) for name in 'ab']
     demand = _make_demand(
-        newest=3, required=2, waiting=20, named_for=0.1, open_jobs=1
+        newest=3, required=2, waiting=20, seconds_since_named=0.1, open_jobs=1
     )
     assert not plan_orders(samplers, {'m': demand})
     demand.waiting = 0
@@ -48,7 +52,9 @@
 def test_a_load_is_not_put_off_for_ever() -> None:
     """Items wait all the time, as in overload."""
     samplers = [_make_view(name, {'m': 2}) for name in 'abcdef']
-    demand = _make_demand(newest=3, required=2, waiting=20, named_for=3)
+    demand = _make_demand(
+        newest=3, required=2, waiting=20, seconds_since_named=3
+    )
     assert plan_orders(samplers, {'m': demand})
 
 
@@ -84,10 +90,10 @@
         _make_view('b', {'n': 1}, 'n'),
     ]
     demands = {
-        'm': _make_demand(waiting=20, waiting_for=1),
+        'm': _make_demand(waiting=20, waiting_seconds=1),
         'n': _make_demand(),
     }
-    assert find_helpers(samplers, demands) == {'b': 'm'}
+    assert choose_samplers_to_borrow(samplers, demands) == {'b': 'm'}
 
 
 def test_a_burst_that_is_being_handed_out_calls_no_helper() -> None:
@@ -96,24 +102,24 @@
         _make_view('a', {'m': 1}, 'm', free=0),
         _make_view('b', {'n': 1}, 'n'),
     ]
-    demands = {'m': _make_demand(waiting=20, waiting_for=0.1)}
-    assert not find_helpers(samplers, demands)
+    demands = {'m': _make_demand(waiting=20, waiting_seconds=0.1)}
+    assert not choose_samplers_to_borrow(samplers, demands)
 
 
 def test_nobody_helps_while_its_own_items_wait() -> None:
     """All models are short; taking from each other only costs loads."""
     samplers = [_make_view('b', {'n': 1}, 'n')]
     demands = {
-        'm': _make_demand(waiting=20, waiting_for=1),
+        'm': _make_demand(waiting=20, waiting_seconds=1),
         'n': _make_demand(waiting=1),
     }
-    assert not find_helpers(samplers, demands)
+    assert not choose_samplers_to_borrow(samplers, demands)
 
 
 def test_models_share_the_samplers_evenly() -> None:
     """Three trainers, six samplers: two each, and no more loads than that."""
     versions = _make_versions('abcdef')
-    dealt = assign(['m', 'n', 'o'], versions, {})
+    dealt = assign_samplers(['m', 'n', 'o'], versions, {})
     for model in 'mno':
         assert sum(model in models for models in dealt.values()) == 2
 
@@ -121,16 +127,16 @@
 def test_a_lost_sampler_moves_no_other() -> None:
     """What a model holds it keeps, as each move costs a load."""
     versions = _make_versions('abcdef')
-    before = assign(['m', 'n', 'o'], versions, {})
+    before = assign_samplers(['m', 'n', 'o'], versions, {})
     for gone in list(versions):
         left = _make_versions('abcdef'.replace(gone, ''))
-        after = assign(['m', 'n', 'o'], left, before)
+        after = assign_samplers(['m', 'n', 'o'], left, before)
         assert all(after[each] == before[each] for each in left)
 
 
 def test_fewer_samplers_than_models_serve_all() -> None:
     """One sampler is left for two trainers."""
-    dealt = assign(['m', 'n'], {UpstreamId('a'): {}}, {})
+    dealt = assign_samplers(['m', 'n'], {UpstreamId('a'): {}}, {})
     assert dealt == {'a': frozenset(('m', 'n'))}
 
 
@@ -138,18 +144,18 @@
     """One trainer submits half of what the two others do."""
     versions = _make_versions('abcdefghijklmnopqrstuvwx')
     work = {'m': 1200.0, 'n': 2240.0, 'o': 2240.0}
-    dealt = assign(['m', 'n', 'o'], versions, {}, work)
+    dealt = assign_samplers(['m', 'n', 'o'], versions, {}, work)
     counts = [sum(each in held for held in dealt.values()) for each in 'mno']
     assert sum(counts) == 24
     assert counts[0] == 5
     changed = {**work, 'm': 1400.0}
-    assert assign(['m', 'n', 'o'], versions, dealt, changed) == dealt
+    assert assign_samplers(['m', 'n', 'o'], versions, dealt, changed) == dealt
 
 
 def test_in_a_small_fleet_shares_stay_equal() -> None:
     """With two samplers each, one less would be half of a model's capacity."""
     work = {'m': 448.0, 'n': 936.0, 'o': 936.0}
-    dealt = assign(['m', 'n', 'o'], _make_versions('abcdef'), {}, work)
+    dealt = assign_samplers(['m', 'n', 'o'], _make_versions('abcdef'), {}, work)
     counts = [sum(each in held for held in dealt.values()) for each in 'mno']
     assert counts == [2, 2, 2]
 
@@ -162,12 +168,12 @@
     """
     work = {'m': 450.0, 'n': 900.0, 'o': 900.0}
     versions = _make_versions('abcde')
-    before = assign(['m', 'n', 'o'], versions, {})
-    dealt = assign(['m', 'n', 'o'], versions, before, work)
+    before = assign_samplers(['m', 'n', 'o'], versions, {})
+    dealt = assign_samplers(['m', 'n', 'o'], versions, before, work)
     counts = [sum(each in held for held in dealt.values()) for each in 'mno']
     assert counts == [1, 2, 2]
     nearly = {**work, 'm': 1000.0}
-    assert assign(['m', 'n', 'o'], versions, dealt, nearly) == dealt
+    assert assign_samplers(['m', 'n', 'o'], versions, dealt, nearly) == dealt
 
 
 def test_no_load_as_the_next_step_is_about_to_come() -> None:
@@ -178,9 +184,11 @@
     late, and each one after it as well.
     """
     samplers = [_make_view(name, {'m': 2}) for name in 'abcdef']
-    demand = _make_demand(newest=3, named_for=0.1, next_in=-4)
+    demand = _make_demand(
+        newest=3, seconds_since_named=0.1, seconds_to_next_job=-4
+    )
     assert not plan_orders(samplers, {'m': demand})
-    demand.next_in = None
+    demand.seconds_to_next_job = None
     assert not plan_orders(samplers, {'m': demand})
     demand.open_jobs = 1
     assert plan_orders(samplers, {'m': demand})
@@ -189,14 +197,18 @@
 def test_a_load_fits_in_before_a_step_that_is_due_later() -> None:
     """A trainer is ahead of its schedule; the samplers idle meanwhile."""
     samplers = [_make_view(name, {'m': 2}) for name in 'abcdef']
-    demand = _make_demand(newest=3, named_for=0.1, next_in=1.5)
+    demand = _make_demand(
+        newest=3, seconds_since_named=0.1, seconds_to_next_job=1.5
+    )
     assert plan_orders(samplers, {'m': demand})
-    demand.next_in = 0.5
+    demand.seconds_to_next_job = 0.5
     assert not plan_orders(samplers, {'m': demand})
 
 
 def test_a_step_that_does_not_come_is_not_waited_for() -> None:
     """The trainer has stopped; the samplers load all the same."""
     samplers = [_make_view(name, {'m': 2}) for name in 'abcdef']
-    demand = _make_demand(newest=3, named_for=0.8, next_in=-0.7)
+    demand = _make_demand(
+        newest=3, seconds_since_named=0.8, seconds_to_next_job=-0.7
+    )
     assert plan_orders(samplers, {'m': demand})
