--- a/guavagate/duties/__init__.py
+++ b/guavagate/duties/__init__.py
@@ -1,23 +1,23 @@
 """Calls to the platform that one instance makes for all of them."""
 
-from guavagate.duties._book import UsageBook
+from guavagate.duties._cluster_clock import ClusterClock
+from guavagate.duties._counter import UsageCounter
+from guavagate.duties._publisher import UsagePublisher
 from guavagate.duties._reporter import UsageReporter
 from guavagate.duties._scaler import Scaler
-from guavagate.duties._tally import UsageTally
-from guavagate.duties._targets import Fleet, Kind, choose_targets
-from guavagate.duties._teller import UsageTeller
-from guavagate.duties._true_time import TrueTime
-from guavagate.duties._usage import Usage
+from guavagate.duties._targets import CapacityType, Fleet, choose_targets
+from guavagate.duties._totals import UsageTotals
+from guavagate.duties._usage import UsageAccounting
 
 __all__ = (
+    'CapacityType',
+    'ClusterClock',
     'Fleet',
-    'Kind',
     'Scaler',
-    'TrueTime',
-    'Usage',
-    'UsageBook',
+    'UsageAccounting',
+    'UsageCounter',
+    'UsagePublisher',
     'UsageReporter',
-    'UsageTally',
-    'UsageTeller',
+    'UsageTotals',
     'choose_targets',
 )
--- a/guavagate/duties/_true_time.py
+++ b/guavagate/duties/_cluster_clock.py
@@ -13,7 +13,7 @@
 from guavagate.models import InstanceId
 
 
-class TrueTime:
+class ClusterClock:
     """Seconds since 1970, by the clocks of all who tell theirs.
 
     Parameters
@@ -34,11 +34,11 @@
         """Return the time of day."""
         return self._boot() + self._find_offset()
 
-    def note(self, instance: InstanceId, wall: float) -> None:
+    def record(self, instance: InstanceId, wall: float) -> None:
         """Take in what another machine's clock shows just now."""
         self._others[instance] = wall - self._boot()
 
-    def forget(self, alive: set[InstanceId]) -> None:
+    def retain(self, alive: set[InstanceId]) -> None:
         """Forget the clocks of those that are gone."""
         for instance in self._others.keys() - alive:
             self._others.pop(instance)
@@ -47,7 +47,7 @@
         """Go by what the instance that hears all of them has told."""
         self._told = now - self._boot()
 
-    def lead(self) -> None:
+    def stop_following(self) -> None:
         """Go by the clocks heard of here, not by what another one told."""
         self._told = None
 
--- a/guavagate/duties/_tally.py
+++ b/guavagate/duties/_counter.py
@@ -10,7 +10,7 @@
 KEPT: Final = 8
 
 
-class UsageTally:
+class UsageCounter:
     """What this process has counted.
 
     Parameters
@@ -24,14 +24,14 @@
         self._windows: dict[int, Counts] = {}
         self._told: defaultdict[InstanceId, dict[int, int]] = defaultdict(dict)
 
-    def note(self, team: TeamId, at: float) -> None:
+    def record(self, team: TeamId, at: float) -> None:
         """Count a request of a team that began at a moment of true time."""
         counts = self._windows.setdefault(int(at // self.length), {})
         counts[team] = counts.get(team, 0) + 1
         while len(self._windows) > KEPT:
             self._windows.pop(min(self._windows))
 
-    def list_news(self, peer: InstanceId) -> dict[int, Counts]:
+    def list_unconfirmed(self, peer: InstanceId) -> dict[int, Counts]:
         """Return the windows of which a peer has not taken all.
 
         Whole windows as they are now: a repeat adds nothing.
@@ -43,12 +43,12 @@
             if told.get(window) != sum(counts.values())
         }
 
-    def note_taken(self, peer: InstanceId, news: dict[int, Counts]) -> None:
+    def confirm(self, peer: InstanceId, news: dict[int, Counts]) -> None:
         """Take in that a peer has what it was told."""
         for window, counts in news.items():
             self._told[peer][window] = sum(counts.values())
 
-    def forget(self, peers: set[InstanceId]) -> None:
+    def retain(self, peers: set[InstanceId]) -> None:
         """Tell all again to those who are not among these, if they return."""
         for peer in self._told.keys() - peers:
             self._told.pop(peer)
--- a/guavagate/duties/_teller.py
+++ b/guavagate/duties/_publisher.py
@@ -6,9 +6,9 @@
 from typing import Final
 
 from guavagate.clock import Clock
+from guavagate.duties._cluster_clock import ClusterClock
+from guavagate.duties._counter import UsageCounter
 from guavagate.duties._messages import TellUsage, UsageTaken
-from guavagate.duties._tally import UsageTally
-from guavagate.duties._true_time import TrueTime
 from guavagate.exceptions import LinkError
 from guavagate.links import Bus
 from guavagate.models import InstanceId, TeamId
@@ -25,7 +25,7 @@
 PEERS: Final = 2
 
 
-class UsageTeller:
+class UsagePublisher:
     """Counts requests of this instance's callers.
 
     Parameters
@@ -39,15 +39,15 @@
         me: InstanceId,
         clock: Clock,
         bus: Bus,
-        tally: UsageTally,
-        true_time: TrueTime,
+        counter: UsageCounter,
+        cluster_clock: ClusterClock,
         rank: Callable[[], list[InstanceId]],
     ) -> None:
         self._source = f'{me}/{secrets.token_hex(4)}'
         self._clock = clock
         self._bus = bus
-        self._tally = tally
-        self._true_time = true_time
+        self._counter = counter
+        self._cluster_clock = cluster_clock
         self._rank = rank
         self._compared: dict[InstanceId, float] = {}
 
@@ -55,27 +55,27 @@
         """Begin to tell."""
         self._clock.spawn(self._run)
 
-    def note(self, team: TeamId, seconds_ago: float) -> None:
+    def record(self, team: TeamId, seconds_ago: float) -> None:
         """Count a request that an upstream began so many seconds ago."""
         if team:
-            self._tally.note(team, self._true_time.now() - seconds_ago)
+            self._counter.record(team, self._cluster_clock.now() - seconds_ago)
 
     def _run(self) -> None:
         while True:
             self._clock.sleep(TELL_SECONDS)
-            self.tell()
+            self.publish()
 
-    def tell(self) -> None:
+    def publish(self) -> None:
         """Tell what is new to whoever has not taken it yet."""
         peers = self._rank()[:PEERS]
-        self._tally.forget(set(peers))
+        self._counter.retain(set(peers))
         for peer in peers:
-            news = self._tally.list_news(peer)
+            news = self._counter.list_unconfirmed(peer)
             compared = self._compared.get(peer, float('-inf'))
             if news or self._clock.now() - compared >= COMPARE_SECONDS:
-                self._clock.spawn(self._tell, peer, news)
+                self._clock.spawn(self._send, peer, news)
 
-    def _tell(self, peer: InstanceId, news: dict[int, Counts]) -> None:
+    def _send(self, peer: InstanceId, news: dict[int, Counts]) -> None:
         message = TellUsage(
             source=self._source, wall=self._clock.wall(), windows=news
         )
@@ -85,6 +85,6 @@
         except LinkError as error:
             _LOGGER.debug('%s did not take the usage: %s', peer, error)
             return
-        self._tally.note_taken(peer, news)
+        self._counter.confirm(peer, news)
         if taken.now is not None:
-            self._true_time.follow(taken.now)
+            self._cluster_clock.follow(taken.now)
--- a/guavagate/duties/_reporter.py
+++ b/guavagate/duties/_reporter.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from guavagate.clock import Clock, Task
-from guavagate.duties._book import UsageBook
+from guavagate.duties._cluster_clock import ClusterClock
 from guavagate.duties._messages import TellUsage, UsageTaken
-from guavagate.duties._true_time import TrueTime
+from guavagate.duties._totals import UsageTotals
 from guavagate.events import duties as events
 from guavagate.events import write
 from guavagate.exceptions import StoreError
@@ -71,7 +71,7 @@
         store: ObjectStore,
         lease: Lease,
         client: DutyClient,
-        true_time: TrueTime,
+        cluster_clock: ClusterClock,
         length: float,
         is_first: Callable[[], bool],
     ) -> None:
@@ -80,10 +80,10 @@
         self._store = store
         self._lease = lease
         self._client = client
-        self._true_time = true_time
+        self._cluster_clock = cluster_clock
         self._length = length
         self._is_first = is_first
-        self._book = UsageBook()
+        self._totals = UsageTotals()
         self._next: int | None = None
         self._born = 0
         self._open: dict[int, Counts] = {}
@@ -93,15 +93,15 @@
 
     def start(self) -> None:
         """Begin to look whether there is something to report."""
-        self._born = int(self._true_time.now() // self._length)
+        self._born = int(self._cluster_clock.now() // self._length)
         self._task = self._clock.spawn(self._run)
 
     def _on_told(self, sender: InstanceId, message: Message) -> UsageTaken:
         told = expect(message, TellUsage)
         if sender != self._me:  # Its own clock has a vote already.
-            self._true_time.note(sender, told.wall)
-        self._book.take(told.source, told.windows)
-        now = self._true_time.now() if self._is_first() else None
+            self._cluster_clock.record(sender, told.wall)
+        self._totals.update(told.source, told.windows)
+        now = self._cluster_clock.now() if self._is_first() else None
         return UsageTaken(now=now)
 
     def _run(self) -> None:
@@ -110,7 +110,7 @@
             if not self._is_first():
                 self._step_down()
                 continue
-            self._true_time.lead()
+            self._cluster_clock.stop_following()
             try:
                 self._look()
             except (StoreError, NotWrittenError, MaybeWrittenError) as error:
@@ -125,7 +125,7 @@
             self._lease.release()
 
     def _look(self) -> None:
-        closed = self._true_time.now() - CLOSE_SECONDS
+        closed = self._cluster_clock.now() - CLOSE_SECONDS
         over = int(closed // self._length)
         if self._next is None:
             self._next = over - LOOK_BACK
@@ -134,14 +134,14 @@
             self._settle(self._next)
             self._forget(self._next - KEPT)
             self._next += 1
-        self._book.forget_before(over - KEPT)
+        self._totals.discard_before(over - KEPT)
         for window in sorted(self._open):
             self._report(window)
 
     def _settle(self, window: int) -> None:
         """Fix the content of a window, or take the one that is fixed."""
         path = f'{USAGE}/{window}'
-        if window < self._born and not self._book.knows(window):
+        if window < self._born and not self._totals.has_window(window):
             # Before this instance was there to hear of counts; what the
             # former holder has fixed is sent again, and nothing made up.
             stored = self._store.get(path)
@@ -150,7 +150,7 @@
                 return
             self._open[window] = _decode(stored.value)
             return
-        counts = self._book.add_up(window)
+        counts = self._totals.sum_window(window)
         value = msgspec.json.encode(_Window(counts))
         other = create(self._store, self._clock, path, value, CREATE_SECONDS)
         if other is not None:
@@ -197,7 +197,7 @@
             event = events.USAGE_REPORTED
         elif again:
             event = events.USAGE_DELAYED
-        late = self._true_time.now() - (window + 1) * self._length
+        late = self._cluster_clock.now() - (window + 1) * self._length
         write(
             _LOGGER,
             event,
--- a/guavagate/duties/_scaler.py
+++ b/guavagate/duties/_scaler.py
@@ -6,7 +6,12 @@
 from typing import Final
 
 from guavagate.clock import Clock, Task
-from guavagate.duties._targets import Fleet, Kind, Targets, choose_targets
+from guavagate.duties._targets import (
+    CapacityType,
+    Fleet,
+    Targets,
+    choose_targets,
+)
 from guavagate.events import duties as events
 from guavagate.events import write
 from guavagate.exceptions import StoreUnavailableError
@@ -28,7 +33,7 @@
 OVERDUE_SECONDS: Final = 2.0
 
 CountOpen = Callable[[], dict[str, int]]
-_Key = tuple[ZoneId, Kind]
+_Key = tuple[ZoneId, CapacityType]
 
 
 class Scaler:
@@ -147,7 +152,7 @@
         at any moment: what is there just now would have the others taken away.
         Once some were ordered here, those that stand in are among them.
         """
-        if (zone, Kind.REGULAR) not in self._ordered:
+        if (zone, CapacityType.REGULAR) not in self._ordered:
             self._base[zone] = max(self._base.get(zone, 0), regular)
 
     def _is_due(
@@ -159,7 +164,7 @@
     ) -> bool:
         zone, kind = key
         fleet = fleets.get(zone, Fleet())
-        there = fleet.spot if kind is Kind.SPOT else fleet.regular
+        there = fleet.spot if kind is CapacityType.SPOT else fleet.regular
         if self._ordered.get(key, there) != amount:
             return True
         if there >= amount:
@@ -176,7 +181,7 @@
         order = ScaleOrder(
             service=self._service,
             zone=zone,
-            spot=kind is Kind.SPOT,
+            spot=kind is CapacityType.SPOT,
             amount=amount,
         )
         holder = Holder(self._me, self._lease.generation)
@@ -185,7 +190,7 @@
         self._ordered[key] = amount
         self._ordered_at[key] = now
         taken = answer is DutyAnswer.TAKEN
-        if not taken and kind is Kind.SPOT:
+        if not taken and kind is CapacityType.SPOT:
             self._out_until[zone] = now + OUT_SECONDS
         write(
             _LOGGER,
--- a/guavagate/duties/_targets.py
+++ b/guavagate/duties/_targets.py
@@ -20,7 +20,7 @@
 from guavagate.ports.configuration import Scaling
 
 
-class Kind(enum.Enum):
+class CapacityType(enum.Enum):
     """What may happen to an upstream."""
 
     REGULAR = 'regular'
@@ -34,7 +34,7 @@
     spot: int = 0
 
 
-Targets = dict[tuple[ZoneId, Kind], int]
+Targets = dict[tuple[ZoneId, CapacityType], int]
 # Upstreams for each that the burst asks for: some are slow, load or are lost.
 SPARE: Final = 1.1
 
@@ -65,8 +65,10 @@
     targets: Targets = {}
     for zone in zones:
         stand_in = zone in out
-        targets[zone, Kind.REGULAR] = regular[zone] + shares[zone] * stand_in
-        targets[zone, Kind.SPOT] = shares[zone] * (not stand_in)
+        targets[zone, CapacityType.REGULAR] = (
+            regular[zone] + shares[zone] * stand_in
+        )
+        targets[zone, CapacityType.SPOT] = shares[zone] * (not stand_in)
     return targets
 
 
--- a/guavagate/duties/_book.py
+++ b/guavagate/duties/_totals.py
@@ -5,7 +5,7 @@
 from guavagate.ports.duties import Counts
 
 
-class UsageBook:
+class UsageTotals:
     """Running totals by window and by the process that counted.
 
     A total replaces the one before it, so a message that comes twice, or
@@ -16,18 +16,18 @@
     def __init__(self) -> None:
         self._totals: defaultdict[int, dict[str, Counts]] = defaultdict(dict)
 
-    def take(self, source: str, windows: dict[int, Counts]) -> None:
+    def update(self, source: str, windows: dict[int, Counts]) -> None:
         """Take in what a process has counted."""
         for window, counts in windows.items():
             held = self._totals[window].get(source, {})
             if sum(counts.values()) >= sum(held.values()):
                 self._totals[window][source] = counts
 
-    def knows(self, window: int) -> bool:
+    def has_window(self, window: int) -> bool:
         """Return whether anybody told counts of a window."""
         return window in self._totals
 
-    def add_up(self, window: int) -> Counts:
+    def sum_window(self, window: int) -> Counts:
         """Return the counts of a window by team."""
         added: Counts = {}
         for counts in self._totals.get(window, {}).values():
@@ -35,7 +35,7 @@
                 added[team] = added.get(team, 0) + amount
         return added
 
-    def forget_before(self, window: int) -> None:
+    def discard_before(self, window: int) -> None:
         """Forget windows that nobody will ask for."""
         for old in [each for each in self._totals if each < window]:
             self._totals.pop(old)
--- a/guavagate/duties/_usage.py
+++ b/guavagate/duties/_usage.py
@@ -4,10 +4,10 @@
 from typing import Final
 
 from guavagate.clock import Clock
+from guavagate.duties._cluster_clock import ClusterClock
+from guavagate.duties._counter import UsageCounter
+from guavagate.duties._publisher import UsagePublisher
 from guavagate.duties._reporter import LEASE_PATH, UsageReporter
-from guavagate.duties._tally import UsageTally
-from guavagate.duties._teller import UsageTeller
-from guavagate.duties._true_time import TrueTime
 from guavagate.jobs import Ownership
 from guavagate.links import Bus
 from guavagate.models import InstanceId, TeamId
@@ -20,7 +20,7 @@
 _DUTY: Final = 'usage'
 
 
-class Usage:
+class UsageAccounting:
     """One instance's part in it.
 
     Parameters
@@ -54,12 +54,12 @@
         self._ownership = ownership
         self._due = due
         self._counts = counts
-        true_time = TrueTime(clock.wall, boot_clock)
+        cluster_clock = ClusterClock(clock.wall, boot_clock)
         members.subscribe(
-            lambda: true_time.forget({each.id for each in members.alive()})
+            lambda: cluster_clock.retain({each.id for each in members.alive()})
         )
-        self._teller = UsageTeller(
-            me, clock, bus, UsageTally(length), true_time, self._rank
+        self._publisher = UsagePublisher(
+            me, clock, bus, UsageCounter(length), cluster_clock, self._rank
         )
         lease = Lease(
             store,
@@ -77,7 +77,7 @@
             store,
             lease,
             client,
-            true_time,
+            cluster_clock,
             length,
             self._is_first,
         )
@@ -85,14 +85,14 @@
     def start(self) -> None:
         """Begin to count, and to report if that is this instance's duty."""
         if self._due and self._counts:
-            self._teller.start()
+            self._publisher.start()
         if self._due:
             self._reporter.start()
 
-    def note(self, team: TeamId, seconds_ago: float) -> None:
+    def record(self, team: TeamId, seconds_ago: float) -> None:
         """Count a request that an upstream began so many seconds ago."""
         if self._due:
-            self._teller.note(team, seconds_ago)
+            self._publisher.record(team, seconds_ago)
 
     def _rank(self) -> list[InstanceId]:
         return self._ownership.rank_for_duty(_DUTY)
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from guavagate.clock import SystemClock
-from guavagate.duties import Usage
+from guavagate.duties import UsageAccounting
 from guavagate.events import edge as edge_events
 from guavagate.events import write
 from guavagate.exceptions import SettingsError
@@ -255,15 +255,15 @@
                 Forwarder(clock, self._upstreams, attempts),
                 StreamForwarder(clock, self._upstreams, attempts),
                 metrics,
-                self._usage.note,
+                self._usage.record,
             ),
             JobCalls(clock, routes, job_store, reader, metrics, encode_page),
             self._feed.wait_loaded,
         )
 
-    def _make_usage(self) -> Usage:
+    def _make_usage(self) -> UsageAccounting:
         bounds = self._settings.bounds
-        return Usage(
+        return UsageAccounting(
             self._me,
             self._clock,
             self._bus,
--- a/guavagate/rollouts/__init__.py
+++ b/guavagate/rollouts/__init__.py
@@ -25,8 +25,8 @@
     'Renewals',
     'SamplerState',
     'SamplerStates',
+    'acquire_for_orders',
     'assign_samplers',
     'lease_path',
     'list_holders',
-    'acquire_for_orders',
 )
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -95,17 +95,17 @@
     ),
     Safeguard(
         'a total that comes twice adds nothing',
-        'guavagate/duties/_book.py',
+        'guavagate/duties/_totals.py',
         'self._totals[window][source] = counts\n',
         'self._totals[window][f"{source}{len(held)}"] = counts\n',
         'tests/duties/test_counts.py',
     ),
     Safeguard(
         'the time of day is that of most machines',
-        'guavagate/duties/_true_time.py',
+        'guavagate/duties/_cluster_clock.py',
         'return statistics.median([mine, *self._others.values()])',
         'return mine',
-        'tests/duties/test_true_time.py',
+        'tests/duties/test_cluster_clock.py',
     ),
     Safeguard(
         'no upstream is sent away that was there',
--- a/tests/duties/test_true_time.py
+++ b/tests/duties/test_cluster_clock.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from guavagate.duties import TrueTime
+from guavagate.duties import ClusterClock
 from guavagate.models import InstanceId
 
 
@@ -22,9 +22,9 @@
         return 1_700_000_000 + self.boot
 
 
-def _make() -> tuple[_Clocks, TrueTime]:
+def _make() -> tuple[_Clocks, ClusterClock]:
     clocks = _Clocks()
-    return clocks, TrueTime(clocks.read_wall, lambda: clocks.boot)
+    return clocks, ClusterClock(clocks.read_wall, lambda: clocks.boot)
 
 
 def test_a_third_of_the_clocks_jump_and_the_time_stays_true() -> None:
@@ -33,40 +33,40 @@
     By its own clock, 2.4 s off, half of a window's requests would be counted
     in the window beside it.
     """
-    clocks, true_time = _make()
+    clocks, cluster_clock = _make()
     for number in range(30):
         error = -2.4 if number < 10 else 0.01 * (number % 3)
         name = InstanceId(f'i{number}')
-        true_time.note(name, clocks.read_true() + error)
+        cluster_clock.record(name, clocks.read_true() + error)
     clocks.error = -2.4
-    assert true_time.now() == pytest.approx(clocks.read_true(), abs=0.03)
+    assert cluster_clock.now() == pytest.approx(clocks.read_true(), abs=0.03)
 
 
 def test_between_two_looks_the_boot_clock_goes_on() -> None:
     """A jump after the others were heard changes nothing."""
-    clocks, true_time = _make()
+    clocks, cluster_clock = _make()
     for number in range(3):
-        true_time.note(InstanceId(f'i{number}'), clocks.read_true())
+        cluster_clock.record(InstanceId(f'i{number}'), clocks.read_true())
     clocks.boot += 50
     clocks.error = 2.4
-    assert true_time.now() == pytest.approx(clocks.read_true())
+    assert cluster_clock.now() == pytest.approx(clocks.read_true())
 
 
 def test_one_that_counts_goes_by_what_it_is_told() -> None:
     """Its own clock is off; only one that reports goes by its own hearing."""
-    clocks, true_time = _make()
+    clocks, cluster_clock = _make()
     clocks.error = 2.4
-    true_time.follow(clocks.read_true())
+    cluster_clock.follow(clocks.read_true())
     clocks.boot += 10
-    assert true_time.now() == pytest.approx(clocks.read_true())
-    true_time.lead()
-    assert true_time.now() == pytest.approx(clocks.read_wall())
+    assert cluster_clock.now() == pytest.approx(clocks.read_true())
+    cluster_clock.stop_following()
+    assert cluster_clock.now() == pytest.approx(clocks.read_wall())
 
 
 def test_clocks_of_those_that_are_gone_do_not_vote() -> None:
     """A zone with wrong clocks is taken away."""
-    clocks, true_time = _make()
+    clocks, cluster_clock = _make()
     for number in range(5):
-        true_time.note(InstanceId(f'i{number}'), clocks.read_true() + 9)
-    true_time.forget({InstanceId('i0')})
-    assert true_time.now() == pytest.approx(clocks.read_true() + 4.5)
+        cluster_clock.record(InstanceId(f'i{number}'), clocks.read_true() + 9)
+    cluster_clock.retain({InstanceId('i0')})
+    assert cluster_clock.now() == pytest.approx(clocks.read_true() + 4.5)
--- a/tests/duties/test_reporter.py
+++ b/tests/duties/test_reporter.py
@@ -5,10 +5,10 @@
 import pytest
 
 from guavagate.duties import (
-    TrueTime,
+    ClusterClock,
+    UsageCounter,
+    UsagePublisher,
     UsageReporter,
-    UsageTally,
-    UsageTeller,
 )
 from guavagate.measure.fakes import World
 from guavagate.models import InstanceId, TeamId
@@ -67,7 +67,7 @@
         self.world = World()
         self.clock = self.world.clock
         self.platform = _Platform(self.world)
-        self.tellers: dict[str, UsageTeller] = {}
+        self.publishers: dict[str, UsagePublisher] = {}
         for name in names:
             self.world.add(name)
         self.clock.advance(1)
@@ -79,7 +79,7 @@
         me = InstanceId(name)
         host = self.world.hosts[me]
         rank = functools.partial(self._rank, me)
-        true_time = TrueTime(host.clock.wall, self.clock.now)
+        cluster_clock = ClusterClock(host.clock.wall, self.clock.now)
         lease = Lease(
             self.world.store_of(name),
             'duty-leases/usage',
@@ -89,15 +89,15 @@
             lambda: [each for each in rank() if each != me],
             self.clock.now,
         )
-        teller = UsageTeller(
+        publisher = UsagePublisher(
             me,
             host.clock,
             self.world.bus(name),
-            UsageTally(_LENGTH),
-            true_time,
+            UsageCounter(_LENGTH),
+            cluster_clock,
             rank,
         )
-        self.tellers[name] = teller
+        self.publishers[name] = publisher
         UsageReporter(
             me,
             host.clock,
@@ -105,11 +105,11 @@
             self.world.store_of(name),
             lease,
             self.platform,
-            true_time,
+            cluster_clock,
             _LENGTH,
             lambda: rank()[0] == me,
         ).start()
-        teller.start()
+        publisher.start()
 
     def _rank(self, me: InstanceId) -> list[InstanceId]:
         return [each.id for each in self.world.members[me].alive()]
@@ -117,7 +117,7 @@
     def ask(self, *names: str) -> None:
         """Have a request of a team begin at each of these instances."""
         for name in names:
-            self.tellers[name].note(_BLUE, 0)
+            self.publishers[name].record(_BLUE, 0)
 
     def window(self) -> int:
         """Return the window of now."""
--- a/tests/duties/test_targets.py
+++ b/tests/duties/test_targets.py
@@ -1,6 +1,6 @@
 """How many upstreams are ordered where, by what a burst asks for."""
 
-from guavagate.duties import Kind, choose_targets
+from guavagate.duties import CapacityType, choose_targets
 from guavagate.models import ZoneId
 from guavagate.ports.configuration import Scaling
 
@@ -11,28 +11,30 @@
 _BASE = {_A: 8, _B: 8, _C: 8}
 
 
-def _count(targets: dict[tuple[ZoneId, Kind], int], kind: Kind) -> int:
+def _count(
+    targets: dict[tuple[ZoneId, CapacityType], int], kind: CapacityType
+) -> int:
     return sum(amount for key, amount in targets.items() if key[1] is kind)
 
 
 def test_a_burst_that_fits_orders_nothing() -> None:
     """What is there is stated and stays."""
     targets = choose_targets(_SCALING, _BASE, 10)
-    assert _count(targets, Kind.REGULAR) == 24
-    assert _count(targets, Kind.SPOT) == 0
+    assert _count(targets, CapacityType.REGULAR) == 24
+    assert _count(targets, CapacityType.SPOT) == 0
 
 
 def test_a_burst_that_does_not_fit_orders_cheap_ones_in_every_zone() -> None:
     """Steps wait for the last item that found no slot."""
     targets = choose_targets(_SCALING, _BASE, 30)
-    assert _count(targets, Kind.REGULAR) == 24
-    assert min(targets[zone, Kind.SPOT] for zone in _BASE) > 0
+    assert _count(targets, CapacityType.REGULAR) == 24
+    assert min(targets[zone, CapacityType.SPOT] for zone in _BASE) > 0
 
 
 def test_the_largest_zones_spot_goes_and_the_burst_still_fits() -> None:
     """A reclaim takes all of one zone's at once."""
     targets = choose_targets(_SCALING, _BASE, 30)
-    spots = [targets[zone, Kind.SPOT] for zone in _BASE]
+    spots = [targets[zone, CapacityType.SPOT] for zone in _BASE]
     assert 24 + sum(spots) - max(spots) >= 30
 
 
@@ -40,34 +42,37 @@
     """The bound is of both kinds together."""
     targets = choose_targets(_SCALING, _BASE, 500)
     for zone in _BASE:
-        both = targets[zone, Kind.REGULAR] + targets[zone, Kind.SPOT]
+        both = (
+            targets[zone, CapacityType.REGULAR]
+            + targets[zone, CapacityType.SPOT]
+        )
         assert both == 16
 
 
 def test_where_none_are_to_be_had_regular_ones_stand_in() -> None:
     """The zone answers 409 for some seconds after a reclaim."""
     targets = choose_targets(_SCALING, _BASE, 500, {_B})
-    assert targets[_B, Kind.SPOT] == 0
-    assert targets[_B, Kind.REGULAR] == 16
-    assert targets[_A, Kind.SPOT] == 8
+    assert targets[_B, CapacityType.SPOT] == 0
+    assert targets[_B, CapacityType.REGULAR] == 16
+    assert targets[_A, CapacityType.SPOT] == 8
 
 
 def test_none_are_to_be_had_anywhere() -> None:
     """The burst gets regular ones in every zone."""
     targets = choose_targets(_SCALING, _BASE, 500, set(_BASE))
-    assert _count(targets, Kind.SPOT) == 0
-    assert _count(targets, Kind.REGULAR) == 48
+    assert _count(targets, CapacityType.SPOT) == 0
+    assert _count(targets, CapacityType.REGULAR) == 48
 
 
 def test_what_was_there_is_kept_within_the_bounds() -> None:
     """A sheet whose bounds are narrower than what runs."""
     narrow = Scaling(least=2, most=6)
     targets = choose_targets(narrow, {_A: 8, _B: 0}, 100)
-    assert targets[_A, Kind.REGULAR] == 6
-    assert targets[_B, Kind.REGULAR] >= 2
+    assert targets[_A, CapacityType.REGULAR] == 6
+    assert targets[_B, CapacityType.REGULAR] >= 2
 
 
 def test_a_single_zone_holds_all() -> None:
     """There is no other zone to spread over."""
     targets = choose_targets(_SCALING, {_A: 4}, 10)
-    assert targets[_A, Kind.SPOT] == 7
+    assert targets[_A, CapacityType.SPOT] == 7
--- a/tests/duties/test_usage.py
+++ b/tests/duties/test_usage.py
@@ -1,6 +1,6 @@
 """One instance's part in usage, put together as a process does."""
 
-from guavagate.duties import Usage
+from guavagate.duties import UsageAccounting
 from guavagate.jobs import Ownership
 from guavagate.measure.fakes import World
 from guavagate.models import InstanceId, TeamId
@@ -31,12 +31,12 @@
 
 def _start(
     world: World, name: str, platform: _Platform, *, due: bool = True
-) -> Usage:
+) -> UsageAccounting:
     me = InstanceId(name)
     members = world.members[me]
     ownership = Ownership(members, me)
     ownership.ready = True
-    usage = Usage(
+    usage = UsageAccounting(
         me,
         world.hosts[me].clock,
         world.bus(name),
@@ -55,7 +55,9 @@
     return usage
 
 
-def _make(*, due: bool = True) -> tuple[World, _Platform, list[Usage]]:
+def _make(
+    *, due: bool = True
+) -> tuple[World, _Platform, list[UsageAccounting]]:
     world, platform = World(), _Platform()
     for name in 'abc':
         world.add(name)
@@ -69,7 +71,7 @@
     world, platform, parts = _make()
     world.clock.advance(2 * _LENGTH)
     for usage in parts:
-        usage.note(_BLUE, 0)
+        usage.record(_BLUE, 0)
     world.clock.advance(2 * _LENGTH)
     total = sum(counts.get(_BLUE, 0) for counts in platform.windows.values())
     assert total == 3
@@ -80,7 +82,7 @@
     world, platform, parts = _make(due=False)
     world.store.calls.clear()
     for usage in parts:
-        usage.note(_BLUE, 0)
+        usage.record(_BLUE, 0)
     world.clock.advance(4 * _LENGTH)
     assert not platform.windows
     assert not world.store.calls
@@ -89,10 +91,10 @@
 def test_clocks_of_instances_that_are_gone_do_not_vote() -> None:
     """Two of three instances had wrong clocks, and are lost for good."""
     world, _, parts = _make()
-    clock = parts[0]._reporter._true_time
+    clock = parts[0]._reporter._cluster_clock
     wrong = world.clock.wall() + 50
     for name in 'bc':
-        clock.note(InstanceId(name), wrong)
+        clock.record(InstanceId(name), wrong)
     assert abs(clock.now() - wrong) < 1
     for name in 'bc':
         world.kill(name)
