--- a/guavagate/routing/__init__.py
+++ b/guavagate/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which upstream of its service."""
+"""Selects the route of a request and an upstream of its service."""
 
 from guavagate.routing._choice import Load, choose_upstream
 from guavagate.routing._routes import RouteTable, pick_service
--- a/guavagate/routing/_choice.py
+++ b/guavagate/routing/_choice.py
@@ -1,9 +1,10 @@
-"""Which upstream gets a request: the least loaded, the near one if equal.
+"""Selects the least loaded upstream, preferring the same zone.
 
-Load pattern: a few instances share an upstream's slots and each sees only its
-own requests at once; the upstream's own report, which came with an earlier
-answer, covers the others for a while. Without it two instances fill the same
-upstream; without the own count a burst between two reports goes to one.
+Load pattern: a few instances share an upstream's slots, and each instance
+immediately sees only its own requests. The load that the upstream reported with
+an earlier response covers the other instances' requests for a while. Without
+the report, two instances fill the same upstream; without the instance's own
+count, a burst between two reports goes to a single upstream.
 """
 
 import random
@@ -14,37 +15,39 @@
 
 from guavagate.ports.upstreams import Upstream
 
-# A report says what was true at an answer; it is a third of a usual gap
-# between two answers old before it misleads more than it tells.
-REPORT_SECONDS: Final = 0.5
-# Work may wait longer than the way to another zone takes: a slot that is
-# free elsewhere beats a queue of one here, but not an equally free one.
-FAR_COST: Final = 0.2
-# An upstream whose last requests failed counts as this much fuller for each.
+# A report describes the load at the time of a response. Up to a third of the
+# usual gap between two responses, it is more helpful than misleading.
+REPORT_MAX_AGE_SECONDS: Final = 0.5
+# Costs are added to the used fraction of an upstream's slots. Queueing may take
+# longer than the round trip to another zone, so a free slot in another zone
+# beats a queue of one in this zone, but not an equally free upstream.
+REMOTE_ZONE_COST: Final = 0.2
+# Cost of each consecutive failed request.
 FAILURE_COST: Final = 1.0
-# A new connection takes a round trip before the request, work on both sides,
-# and one of the few that an upstream accepts from all instances together. With
-# ninety instances before four upstreams, each instance would open one to each
-# of them for a request now and then. Two requests in progress on six slots
-# outweigh it, so a burst still spreads; it is more than `FAR_COST`, as the
-# round trip to another zone is no more than the one that it saves.
-CONNECT_COST: Final = 0.3
+# A new connection costs a round trip before the request, work on both sides,
+# and one of the few connections that an upstream accepts from all instances
+# together. With ninety instances and four upstreams, each instance would open a
+# connection to every upstream for occasional requests. Two requests in flight
+# on six slots outweigh the cost, so a burst still spreads. It exceeds
+# `REMOTE_ZONE_COST`, because the round trip to another zone is no longer than
+# the connection setup that it saves.
+NEW_CONNECTION_COST: Final = 0.3
 
 
 IsConnected: TypeAlias = Callable[[str], bool]
 
 
 def has_no_connection(address: str) -> bool:
-    """Take no connection for kept."""
+    """Report every address as not connected."""
     return False
 
 
 class Load(msgspec.Struct):
-    """What one instance knows of an upstream's load; times in seconds.
+    """One instance's view of an upstream's load; times in seconds.
 
-    `callers` is how many places others' requests were last seen to take,
-    `silences` how many requests in a row got nothing in all the time that
-    their callers allowed.
+    `foreground_slots` is the smoothed number of slots that other requests use,
+    `timeouts` the number of consecutive requests that received nothing within
+    the time that their callers allowed.
     """
 
     in_flight: int = 0
@@ -65,15 +68,15 @@
     rng: random.Random,
     is_connected: IsConnected = has_no_connection,
 ) -> Upstream | None:
-    """Return the upstream for one more request, or nothing to choose from.
+    """Return the upstream for one more request, or None if there is none.
 
-    Ejected ones are taken only when all others are ejected too: one that may
-    be bad is better than none.
+    Ejected upstreams are used only when all upstreams are ejected: a possibly
+    faulty upstream is better than none.
 
     Parameters
     ----------
     is_connected
-        Whether an idle connection to an address is kept here.
+        Returns whether this instance has an idle connection to an address.
     """
     if not upstreams:
         return None
@@ -86,16 +89,16 @@
         usable or upstreams,
         key=lambda each: (
             score(each, loads[each.id], zone, now)
-            + (0 if is_connected(each.address) else CONNECT_COST),
+            + (0 if is_connected(each.address) else NEW_CONNECTION_COST),
             rng.random(),
         ),
     )
 
 
 def score(upstream: Upstream, load: Load, zone: str, now: float) -> float:
-    """Return how full an upstream seems; lower is better."""
-    fresh = now - load.reported_at < REPORT_SECONDS
+    """Return the estimated cost of using an upstream; lower is better."""
+    fresh = now - load.reported_at < REPORT_MAX_AGE_SECONDS
     busy = max(load.in_flight, load.reported_busy if fresh else 0)
     slots = max(upstream.slots, 1)
-    far = 0 if upstream.zone == zone else FAR_COST
-    return busy / slots + far + load.failures * FAILURE_COST
+    zone_cost = 0 if upstream.zone == zone else REMOTE_ZONE_COST
+    return busy / slots + zone_cost + load.failures * FAILURE_COST
--- a/guavagate/routing/_routes.py
+++ b/guavagate/routing/_routes.py
@@ -1,4 +1,4 @@
-"""The configuration in force: routes by host and longest prefix."""
+"""The active configuration, with routes by host and longest prefix."""
 
 import logging
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class RouteTable:
-    """Holds the newest configuration seen; it never goes back."""
+    """Holds the newest configuration; never returns to an older one."""
 
     def __init__(self) -> None:
         self.configuration: Configuration | None = None
@@ -30,24 +30,24 @@
         self._services: dict[ServiceId, Service] = {}
         self._subscribers: list[Callable[[], None]] = []
 
-    def subscribe(self, changed: Callable[[], None]) -> None:
-        """Call back, without blocking, after each change."""
-        self._subscribers.append(changed)
+    def subscribe(self, callback: Callable[[], None]) -> None:
+        """Call `callback`, which must not block, after each change."""
+        self._subscribers.append(callback)
 
     def apply(self, configuration: Configuration) -> bool:
-        """Put a configuration in force; an older one is refused.
+        """Activate a configuration unless it is outdated; return whether.
 
-        A lagging copy of the store, or a peer that was cut off, may offer
-        what was in force before: callers would see a change undone.
+        A lagging replica of the store, or a peer that was partitioned, may
+        offer an earlier configuration: callers would see a change undone.
         """
-        held = self.configuration
-        if held is not None and configuration.version <= held.version:
+        current = self.configuration
+        if current is not None and configuration.version <= current.version:
             return False
         by_host: dict[str, list[Route]] = {}
         for route in configuration.routes:
             by_host.setdefault(route.host, []).append(route)
         for routes in by_host.values():
-            routes.sort(key=_measure_prefix, reverse=True)
+            routes.sort(key=_get_prefix_length, reverse=True)
         self._by_host = by_host
         self._services = {each.id: each for each in configuration.services}
         self.keys = KeyRing(configuration.teams)
@@ -56,15 +56,15 @@
             _LOGGER,
             events.CONFIGURATION_IN_FORCE,
             version=configuration.version,
-            before=None if held is None else held.version,
+            before=None if current is None else current.version,
             routes=len(configuration.routes),
         )
-        for changed in self._subscribers:
-            changed()
+        for callback in self._subscribers:
+            callback()
         return True
 
     def find(self, host: str, target: str) -> Route | None:
-        """Return the route of a request, or nothing."""
+        """Return the route of a request, or None if no route matches."""
         path = target.partition('?')[0]
         name = host.rpartition(':')[0] if ':' in host else host
         for route in self._by_host.get(name.lower(), ()):
@@ -73,11 +73,11 @@
         return None
 
     def find_service(self, service: ServiceId) -> Service | None:
-        """Return a service's description, or nothing."""
+        """Return a service's configuration, or None if there is none."""
         return self._services.get(service)
 
     def routes(self) -> tuple[Route, ...]:
-        """Return all routes in force."""
+        """Return all active routes."""
         if self.configuration is None:
             return ()
         return self.configuration.routes
@@ -87,7 +87,7 @@
         return frozenset(self._by_host)
 
     def job_services(self) -> list[ServiceId]:
-        """Return the services that jobs may go to."""
+        """Return the services of all job routes."""
         services = (
             share.service
             for route in self.routes()
@@ -97,12 +97,12 @@
         return list(dict.fromkeys(services))
 
 
-def _measure_prefix(route: Route) -> int:
+def _get_prefix_length(route: Route) -> int:
     return len(route.prefix)
 
 
 def pick_service(route: Route, request_id: str) -> ServiceId:
-    """Return the service of a split route, the same for one request id."""
+    """Return the service of a split route, always the same for a request id."""
     total = sum(share.weight for share in route.shares)
     point = xxhash.xxh64_intdigest(request_id.encode()) % max(total, 1)
     for share in route.shares:
--- a/guavagate/routing/_upstreams.py
+++ b/guavagate/routing/_upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams in use, with what this instance knows of each."""
+"""The registered upstreams and this instance's view of their load."""
 
 import logging
 import random
@@ -21,23 +21,25 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Two failures in a row are no accident at the usual rate of lost answers (a
-# few in a hundred); one alone only makes others preferred.
-EJECT_FAILURES: Final = 2
+# At the usual rate of lost responses (a few percent), two consecutive failures
+# are unlikely to be chance; a single one only makes other upstreams preferred.
+EJECT_AFTER_FAILURES: Final = 2
+# Doubles with each further failure, up to the maximum.
 EJECT_SECONDS: Final = 1.0
-EJECT_LONGEST: Final = 4.0
-LATENCY_SHARE: Final = 0.2
+EJECT_MAX_SECONDS: Final = 4.0
+LATENCY_SMOOTHING: Final = 0.2
 
 
 class UpstreamTable:
-    """Upstreams by service; leaving ones get no new work.
+    """Upstreams by service; those that are leaving get no new work.
 
     Parameters
     ----------
     zone
-        Where this instance runs; near upstreams are preferred.
+        The zone of this instance, whose upstreams are preferred.
     is_connected
-        Whether an idle connection to an address is kept; those are preferred.
+        Returns whether this instance has an idle connection to an address;
+        upstreams at such addresses are preferred.
     """
 
     def __init__(
@@ -56,28 +58,31 @@
         self._incarnations: dict[UpstreamId, int] = {}
         self._subscribers: list[Callable[[], None]] = []
         self._on_restart: list[Callable[[Upstream], None]] = []
-        self._on_left: list[Callable[[str], None]] = []
+        self._on_address_released: list[Callable[[str], None]] = []
 
-    def subscribe(self, changed: Callable[[], None]) -> None:
-        """Call back, without blocking, after each change."""
-        self._subscribers.append(changed)
+    def subscribe(self, callback: Callable[[], None]) -> None:
+        """Call `callback`, which must not block, after each change."""
+        self._subscribers.append(callback)
 
-    def subscribe_restarts(self, restarted: Callable[[Upstream], None]) -> None:
-        """Call back, without blocking, when an upstream has started again."""
-        self._on_restart.append(restarted)
+    def subscribe_restarts(self, callback: Callable[[Upstream], None]) -> None:
+        """Call `callback`, which must not block, when an upstream restarts."""
+        self._on_restart.append(callback)
 
-    def subscribe_address_released(self, left: Callable[[str], None]) -> None:
-        """Call back, without blocking, with an address that one has left.
+    def subscribe_address_released(
+        self, callback: Callable[[str], None]
+    ) -> None:
+        """Call `callback`, which must not block, with each released address.
 
-        Another upstream may be there soon; connections to it are not kept.
+        Another upstream may soon use the address, so pooled connections to it
+        must be closed.
         """
-        self._on_left.append(left)
+        self._on_address_released.append(callback)
 
     def put(self, upstream: Upstream) -> None:
-        """Take in what an upstream registered."""
-        held = self._all.get(upstream.id)
+        """Record an upstream's registration."""
+        previous = self._all.get(upstream.id)
         self._all[upstream.id] = upstream
-        if held is None or held.leaving != upstream.leaving:
+        if previous is None or previous.leaving != upstream.leaving:
             write(
                 _LOGGER,
                 events.UPSTREAM_LEAVING
@@ -87,18 +92,19 @@
                 service=upstream.service,
                 address=upstream.address,
             )
-        if held is not None and held.address != upstream.address:
-            self._tell_left(held)
-        self._note_start(upstream)
-        self._tell()
-
-    def _note_start(self, upstream: Upstream) -> None:
-        """Forget what is known of an upstream that has started again.
-
-        Its load, failures and connections were the former start's. A
-        registration of the former start may come late, so only a later start
-        counts as a new one; where the upstream's clock was set back, its
-        reports tell, which are asked for and can not be so old.
+        if previous is not None and previous.address != upstream.address:
+            self._notify_address_released(previous)
+        self._detect_restart(upstream)
+        self._notify()
+
+    def _detect_restart(self, upstream: Upstream) -> None:
+        """Discard the load of an upstream that has restarted.
+
+        Its load, failures and connections belong to its previous incarnation. A
+        registration of the previous incarnation may arrive late, so only a
+        higher incarnation counts as a restart. Where the upstream's clock was
+        set back, its reports reveal the restart: they are requested, and can
+        not be that old.
         """
         before = self._incarnations.get(upstream.id, 0)
         self._incarnations[upstream.id] = max(before, upstream.incarnation)
@@ -112,20 +118,20 @@
             incarnation=upstream.incarnation,
             before=before,
         )
-        for restarted in self._on_restart:
-            restarted(upstream)
+        for callback in self._on_restart:
+            callback(upstream)
 
     def remove(self, upstream: UpstreamId) -> None:
-        """Take an upstream out of use."""
-        gone = self._all.pop(upstream, None)
+        """Remove an upstream."""
+        removed = self._all.pop(upstream, None)
         self._loads.pop(upstream, None)
-        if gone is not None:
+        if removed is not None:
             write(_LOGGER, events.UPSTREAM_GONE, upstream=upstream)
-            self._tell_left(gone)
-            self._tell()
+            self._notify_address_released(removed)
+            self._notify()
 
     def get(self, upstream: UpstreamId) -> Upstream | None:
-        """Return an upstream that is registered, or nothing."""
+        """Return an upstream, or None if it is not registered."""
         return self._all.get(upstream)
 
     def all(self) -> list[Upstream]:
@@ -133,7 +139,7 @@
         return list(self._all.values())
 
     def serving(self, service: ServiceId) -> list[Upstream]:
-        """Return what may be given work of a service."""
+        """Return the upstreams of a service that accept new work."""
         return [
             each
             for each in self._all.values()
@@ -143,13 +149,13 @@
     def choose(
         self, service: ServiceId, tried: set[UpstreamId]
     ) -> Upstream | None:
-        """Return where one more request goes, among those not tried.
+        """Return the upstream for one more request, among those not tried.
 
-        Nothing while the whole service is dark and each of its upstreams is
-        being asked already.
+        Returns None while the whole service is unavailable and each of its
+        upstreams already has a request in flight.
         """
-        askable = list_eligible(self.serving(service), self._loads)
-        candidates = [each for each in askable if each.id not in tried]
+        eligible = list_eligible(self.serving(service), self._loads)
+        candidates = [each for each in eligible if each.id not in tried]
         return choose_upstream(
             candidates,
             self._loads,
@@ -160,11 +166,11 @@
         )
 
     def load(self, upstream: UpstreamId) -> Load:
-        """Return what is known of an upstream's load."""
+        """Return this instance's view of an upstream's load."""
         return self._loads.setdefault(upstream, Load())
 
     def record_report(self, upstream: UpstreamId, busy: int) -> None:
-        """Take in the load that came with an answer."""
+        """Record the load that an upstream reported with a response."""
         load = self.load(upstream)
         load.reported_busy = busy
         load.reported_at = self._clock.now()
@@ -173,25 +179,25 @@
         )
 
     def record_success(self, upstream: UpstreamId, seconds: float) -> None:
-        """Note an answer, whatever it says."""
+        """Record a response, whatever its status."""
         load = self.load(upstream)
         load.failures = 0
         load.timeouts = 0
-        share = LATENCY_SHARE if load.latency else 1
-        load.latency += (seconds - load.latency) * share
+        weight = LATENCY_SMOOTHING if load.latency else 1
+        load.latency += (seconds - load.latency) * weight
 
     def record_timeout(self, upstream: UpstreamId) -> None:
-        """Note that a request got nothing in all the time that it had."""
+        """Record that a request received nothing within its timeout."""
         self.load(upstream).timeouts += 1
 
     def record_failure(self, upstream: UpstreamId) -> None:
-        """Note that a request broke off or got no answer."""
+        """Record that a request was cut off or got no response."""
         load = self.load(upstream)
         load.failures += 1
-        if load.failures < EJECT_FAILURES:
+        if load.failures < EJECT_AFTER_FAILURES:
             return
-        doubled = EJECT_SECONDS * 2 ** (load.failures - EJECT_FAILURES)
-        seconds = min(doubled, EJECT_LONGEST)
+        backoff = EJECT_SECONDS * 2 ** (load.failures - EJECT_AFTER_FAILURES)
+        seconds = min(backoff, EJECT_MAX_SECONDS)
         load.ejected_until = self._clock.now() + seconds
         write(
             _LOGGER,
@@ -201,10 +207,10 @@
             seconds=seconds,
         )
 
-    def _tell_left(self, upstream: Upstream) -> None:
-        for left in self._on_left:
-            left(upstream.address)
+    def _notify_address_released(self, upstream: Upstream) -> None:
+        for callback in self._on_address_released:
+            callback(upstream.address)
 
-    def _tell(self) -> None:
-        for changed in self._subscribers:
-            changed()
+    def _notify(self) -> None:
+        for callback in self._subscribers:
+            callback()
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -226,7 +226,7 @@
     Safeguard(
         'a configuration never goes back',
         'guavagate/routing/_routes.py',
-        'configuration.version <= held.version',
+        'configuration.version <= current.version',
         'configuration.version < 0',
         'tests/routing/test_routes.py',
     ),
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -1,4 +1,4 @@
-"""Where a request goes when upstreams are equal, near, far or connected."""
+"""Selection by zone, existing connections, load and failures."""
 
 import random
 from collections import Counter
@@ -13,7 +13,7 @@
 
 
 def _make_table(connected: set[str]) -> UpstreamTable:
-    """Return four upstreams of six slots, two of them near."""
+    """Return four upstreams of six slots, two of them in the same zone."""
     table = UpstreamTable(
         PausedClock(), ZoneId('z1'), random.Random(1), connected.__contains__
     )
@@ -30,41 +30,45 @@
     return table
 
 
-def _ask(table: UpstreamTable, requests: int, *, hold: bool) -> Counter[str]:
+def _choose_repeatedly(
+    table: UpstreamTable, requests: int, *, in_flight: bool
+) -> Counter[str]:
     """Return how many requests each upstream got."""
-    given: Counter[str] = Counter()
+    counts: Counter[str] = Counter()
     for _ in range(requests):
         chosen = table.choose(_DESK, set())
         assert chosen is not None
-        given[chosen.id] += 1
-        table.load(chosen.id).in_flight += int(hold)
-    return given
+        counts[chosen.id] += 1
+        table.load(chosen.id).in_flight += int(in_flight)
+    return counts
 
 
-def test_a_request_now_and_then_stays_on_the_connection_that_is_kept() -> None:
-    """Each of many instances asks seldom, and one upstream at a time.
+def test_occasional_requests_reuse_the_idle_connection() -> None:
+    """Each of many instances sends few requests, one at a time.
 
-    Without the preference it opens a connection to each upstream in turn, and
-    has them idle until the upstream closes them.
+    Without the preference, an instance opens a connection to each upstream in
+    turn and leaves them idle until the upstream closes them.
     """
-    assert _ask(_make_table({'10.0.0.1:1'}), 20, hold=False) == {'u1': 20}
+    assert _choose_repeatedly(
+        _make_table({'10.0.0.1:1'}), 20, in_flight=False
+    ) == {'u1': 20}
 
 
-def test_a_near_one_is_taken_when_none_is_connected() -> None:
-    """Of upstreams that are equally free the way decides."""
-    given = _ask(_make_table(set()), 20, hold=False)
-    assert set(given) == {'u0', 'u3'}
+def test_the_same_zone_is_preferred_without_connections() -> None:
+    """The zone decides between upstreams that are equally free."""
+    counts = _choose_repeatedly(_make_table(set()), 20, in_flight=False)
+    assert set(counts) == {'u0', 'u3'}
 
 
-def test_a_burst_spreads_although_one_is_connected() -> None:
+def test_a_burst_spreads_despite_an_idle_connection() -> None:
     """Twelve requests at once must not queue behind one connection."""
-    given = _ask(_make_table({'10.0.0.1:1'}), 12, hold=True)
-    assert len(given) == 4
-    assert max(given.values()) <= 5
+    counts = _choose_repeatedly(_make_table({'10.0.0.1:1'}), 12, in_flight=True)
+    assert len(counts) == 4
+    assert max(counts.values()) <= 5
 
 
-def test_one_that_fails_is_left_although_it_is_connected() -> None:
-    """A sampler that drops requests keeps its connections all the same."""
+def test_a_failing_upstream_is_avoided_despite_its_connection() -> None:
+    """A sampler that drops requests still keeps its connections open."""
     table = _make_table({'10.0.0.1:1'})
     table.record_failure(UpstreamId('u1'))
-    assert 'u1' not in _ask(table, 10, hold=False)
+    assert 'u1' not in _choose_repeatedly(table, 10, in_flight=False)
--- a/tests/routing/test_outage.py
+++ b/tests/routing/test_outage.py
@@ -1,4 +1,4 @@
-"""A service of which no upstream answers, and the way back."""
+"""A service whose upstreams all time out, and its recovery."""
 
 from guavagate.clock import PausedClock
 from guavagate.models import ServiceId, UpstreamId, ZoneId
@@ -9,18 +9,18 @@
 _NAMES = tuple(UpstreamId(name) for name in 'abc')
 
 
-def _make(silences: int) -> UpstreamTable:
-    """Return upstreams that have been silent so often."""
+def _make_table(timeouts: int) -> UpstreamTable:
+    """Return upstreams with this many consecutive timeouts."""
     table = UpstreamTable(PausedClock(), ZoneId('z'))
     for name in _NAMES:
         table.put(make_upstream(name))
-        for _ in range(silences):
+        for _ in range(timeouts):
             table.record_timeout(name)
     return table
 
 
-def _burst(table: UpstreamTable, requests: int) -> list[UpstreamId | None]:
-    """Return where requests go that all come before any answer."""
+def _send_burst(table: UpstreamTable, requests: int) -> list[UpstreamId | None]:
+    """Return the upstreams of requests that arrive before any response."""
     chosen = []
     for _ in range(requests):
         upstream = table.choose(_SERVICE, set())
@@ -30,36 +30,36 @@
     return chosen
 
 
-def test_a_dark_service_is_asked_by_one_request_each() -> None:
-    """A hundred callers come; three find out, the others are told at once."""
-    chosen = _burst(_make(silences=2), 100)
+def test_an_unavailable_service_gets_one_request_per_upstream() -> None:
+    """Of a hundred requests, three probe and the others fail at once."""
+    chosen = _send_burst(_make_table(timeouts=2), 100)
     assert {each for each in chosen if each is not None} == set(_NAMES)
     assert chosen.count(None) == 97
 
 
-def test_lost_answers_make_no_service_dark() -> None:
-    """Each upstream has lost one answer, as a few in a hundred are."""
-    assert None not in _burst(_make(silences=1), 12)
+def test_single_lost_responses_leave_the_service_available() -> None:
+    """Each upstream has lost one response, as happens to a few percent."""
+    assert None not in _send_burst(_make_table(timeouts=1), 12)
 
 
-def test_one_that_answers_keeps_the_service_open() -> None:
-    """The others are out of use as before; nobody is refused for them."""
-    table = _make(silences=5)
+def test_one_responding_upstream_keeps_the_service_available() -> None:
+    """The other upstreams still time out, but no request is rejected."""
+    table = _make_table(timeouts=5)
     table.record_success(_NAMES[0], 0.02)
-    assert None not in _burst(table, 12)
+    assert None not in _send_burst(table, 12)
 
 
-def test_the_first_answer_ends_it() -> None:
-    """The requests that find out go on all the time."""
-    table = _make(silences=3)
+def test_the_first_response_restores_the_service() -> None:
+    """Probes continue during the outage, so recovery is noticed."""
+    table = _make_table(timeouts=3)
     first = table.choose(_SERVICE, set())
     assert first is not None
     table.record_success(first.id, 0.02)
-    assert None not in _burst(table, 6)
+    assert None not in _send_burst(table, 6)
 
 
-def test_a_new_upstream_is_not_dark() -> None:
-    """Those that hang are replaced one after the other."""
-    table = _make(silences=4)
+def test_a_new_upstream_restores_the_service() -> None:
+    """Hanging upstreams are replaced one after another."""
+    table = _make_table(timeouts=4)
     table.put(make_upstream('d'))
-    assert None not in _burst(table, 6)
+    assert None not in _send_burst(table, 6)
--- a/tests/routing/test_restarts.py
+++ b/tests/routing/test_restarts.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under their id."""
+"""Upstreams that restart with the same id."""
 
 import msgspec
 
@@ -9,43 +9,45 @@
 from tests.routing.test_routes import make_upstream
 
 
-class _Setting:
-    """One upstream, and who is told of its restarts."""
+class _Setup:
+    """A table with one upstream and a record of its restarts."""
 
     def __init__(self) -> None:
         self.table = UpstreamTable(PausedClock(), ZoneId('z'))
-        self.told: list[int] = []
-        self.table.subscribe_restarts(self._note)
+        self.restarts: list[int] = []
+        self.table.subscribe_restarts(self._record_restart)
 
-    def _note(self, upstream: Upstream) -> None:
-        self.told.append(upstream.incarnation)
+    def _record_restart(self, upstream: Upstream) -> None:
+        self.restarts.append(upstream.incarnation)
 
-    def put(self, number: int) -> None:
-        """Take in a registration."""
+    def put(self, incarnation: int) -> None:
+        """Register the upstream with an incarnation."""
         upstream: Upstream = make_upstream('a', 'z')
-        self.table.put(msgspec.structs.replace(upstream, incarnation=number))
+        self.table.put(
+            msgspec.structs.replace(upstream, incarnation=incarnation)
+        )
 
 
-def test_an_upstream_that_starts_again_is_not_judged_by_before() -> None:
-    """It was ejected and full when it crashed; its new start is idle."""
-    held = _Setting()
-    held.put(100)
-    load = held.table.load(UpstreamId('a'))
+def test_a_restart_discards_the_previous_load_and_failures() -> None:
+    """The upstream was ejected and full when it crashed, and is now idle."""
+    setup = _Setup()
+    setup.put(100)
+    load = setup.table.load(UpstreamId('a'))
     load.in_flight = 5
-    held.table.record_failure(UpstreamId('a'))
-    held.table.record_failure(UpstreamId('a'))
-    held.put(200)
-    fresh = held.table.load(UpstreamId('a'))
+    setup.table.record_failure(UpstreamId('a'))
+    setup.table.record_failure(UpstreamId('a'))
+    setup.put(200)
+    fresh = setup.table.load(UpstreamId('a'))
     assert (fresh.in_flight, fresh.failures, fresh.ejected_until) == (0, 0, 0)
-    assert held.told == [200]
+    assert setup.restarts == [200]
 
 
-def test_a_late_registration_of_the_former_start_is_no_restart() -> None:
-    """It comes after the new start's; then the new start registers again.
+def test_a_late_registration_of_an_old_incarnation_is_no_restart() -> None:
+    """It arrives after the new incarnation's, which then registers again.
 
-    Taken for restarts, each would cut the runs of the new start.
+    Treating each of them as a restart would abort the new incarnation's runs.
     """
-    held = _Setting()
+    setup = _Setup()
     for incarnation in (100, 200, 100, 200, 0, 200):
-        held.put(incarnation)
-    assert held.told == [200]
+        setup.put(incarnation)
+    assert setup.restarts == [200]
--- a/tests/routing/test_routes.py
+++ b/tests/routing/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and prefix; which upstream gets a request."""
+"""Routes by host and prefix, and the upstream that gets a request."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 
 def make_route(prefix: str, **fields: object) -> Route:
-    """Return a route of one host."""
+    """Return a route of the host a.example."""
     values: dict = {
         'name': prefix,
         'host': 'a.example',
@@ -36,7 +36,7 @@
 
 
 def make_upstream(name: str, zone: str = 'z', **fields: object) -> Upstream:
-    """Return an upstream of the service."""
+    """Return an upstream of the service s."""
     return Upstream(
         id=UpstreamId(name),
         service=ServiceId('s'),
@@ -52,7 +52,7 @@
 
 
 def test_the_longest_prefix_of_the_host_wins() -> None:
-    """Prefixes end with a slash, so none matches the middle of a name."""
+    """Prefixes end with a slash, so none matches part of a path segment."""
     table = RouteTable()
     table.apply(_configure(1, make_route('/a/'), make_route('/a/b/')))
     found = table.find('A.example:80', '/a/b/c?d=/x/')
@@ -62,16 +62,16 @@
     assert table.find('b.example', '/a/') is None
 
 
-def test_a_configuration_never_goes_back() -> None:
-    """A lagging copy offers what was in force before."""
+def test_an_older_configuration_is_rejected() -> None:
+    """A lagging replica offers an earlier configuration."""
     table = RouteTable()
     assert table.apply(_configure(7, make_route('/new/')))
     assert not table.apply(_configure(4, make_route('/old/')))
     assert table.find('a.example', '/new/') is not None
 
 
-def test_a_split_route_keeps_its_weights() -> None:
-    """Nine in ten go to the first service; a repeat goes the same way."""
+def test_a_split_route_follows_its_weights() -> None:
+    """Nine in ten go to the first service; a retry goes to the same one."""
     shares = (
         ServiceShare(ServiceId('s'), 90),
         ServiceShare(ServiceId('t'), 10),
@@ -83,7 +83,7 @@
 
 
 def test_the_least_loaded_upstream_is_chosen() -> None:
-    """One holds three requests of ours, the other none."""
+    """One upstream has three requests in flight, the other none."""
     loads = {'a': Load(in_flight=3), 'b': Load()}
     upstreams = [make_upstream('a'), make_upstream('b')]
     chosen = choose_upstream(upstreams, loads, 'z', 0, random.Random(1))
@@ -91,18 +91,18 @@
     assert chosen.id == 'b'
 
 
-def test_near_goes_first_until_it_is_busier() -> None:
-    """An equally free upstream of the own zone saves the way."""
-    near, far = make_upstream('a'), make_upstream('b', 'y')
+def test_the_same_zone_is_preferred_until_it_is_busier() -> None:
+    """An equally free upstream of the same zone is closer."""
+    local, remote = make_upstream('a'), make_upstream('b', 'y')
     loads = {'a': Load(), 'b': Load()}
     rng = random.Random(1)
-    assert choose_upstream([far, near], loads, 'z', 0, rng) is near
+    assert choose_upstream([remote, local], loads, 'z', 0, rng) is local
     loads['a'].in_flight = 1
-    assert choose_upstream([far, near], loads, 'z', 0, rng) is far
+    assert choose_upstream([remote, local], loads, 'z', 0, rng) is remote
 
 
-def test_what_others_send_counts_while_the_report_is_fresh() -> None:
-    """An answer told that the upstream is full; our own count is nothing."""
+def test_a_recent_report_counts_the_requests_of_other_instances() -> None:
+    """The upstream reported that it is full, with none of our requests."""
     loads = {'a': Load(reported_busy=4, reported_at=10), 'b': Load(in_flight=1)}
     upstreams = [make_upstream('a'), make_upstream('b')]
     rng = random.Random(1)
@@ -113,8 +113,8 @@
     assert (early.id, late.id) == ('b', 'a')
 
 
-def test_a_failing_upstream_is_out_for_a_while_and_returns() -> None:
-    """Two failures in a row take it out; with all out, some is still tried."""
+def test_a_failing_upstream_is_ejected_temporarily() -> None:
+    """Two failures in a row eject it; with no other, it is still used."""
     clock = PausedClock()
     table = UpstreamTable(clock, ZoneId('z'), random.Random(1))
     table.put(make_upstream('a'))
@@ -134,7 +134,7 @@
 
 
 def test_a_leaving_upstream_gets_no_new_work() -> None:
-    """It registered that it drains; it still answers what it has."""
+    """It registered that it is draining, and completes its requests."""
     table = UpstreamTable(PausedClock(), ZoneId('z'))
     table.put(make_upstream('a'))
     table.put(make_upstream('a', leaving=True))
