--- a/guavagate/rollouts/__init__.py
+++ b/guavagate/rollouts/__init__.py
@@ -1,7 +1,7 @@
-"""Versions of the weights: who orders samplers, and which serve what."""
+"""Rolls out weight versions to samplers and assigns samplers to models."""
 
 from guavagate.rollouts._assign import assign_samplers
-from guavagate.rollouts._coordinator import Coordinator, NamedVersions
+from guavagate.rollouts._coordinator import Coordinator, PublishedVersions
 from guavagate.rollouts._lease import (
     Lease,
     LeaseHeldError,
@@ -21,7 +21,7 @@
     'LeaseHeldError',
     'LeaseRecord',
     'ModelDemand',
-    'NamedVersions',
+    'PublishedVersions',
     'Renewals',
     'SamplerState',
     'SamplerStates',
--- a/guavagate/rollouts/_assign.py
+++ b/guavagate/rollouts/_assign.py
@@ -1,12 +1,12 @@
-"""Which samplers serve which model; needs no network.
+"""Assigns samplers to models; uses no network.
 
-Load pattern: three trainers share six samplers, and each names a version
+Load pattern: three trainers share six samplers, and each publishes a version
 every few seconds. If every sampler served every model, each version would be
-loaded six times; loads cost time and are priced. So each model gets an equal
-share of the samplers and only those load its versions. Where there are several
-samplers to a model, the shares follow the work that its trainer submits: equal
-ones leave some idle while the largest steps come late. With few, what is left
-over goes to those that submit most.
+loaded six times; loads cost time and money. Therefore each model gets an equal
+share of the samplers, and only those load its versions. With several samplers
+per model, the shares are proportional to the trainers' workloads: with equal
+shares, some samplers are idle while the largest steps are late. With few
+samplers per model, the remainder goes to the largest workloads.
 """
 
 from collections.abc import Mapping, Sequence
@@ -14,13 +14,16 @@
 
 from guavagate.models import UpstreamId, WeightVersion
 
-# With fewer samplers to a model, one more or less is half of its capacity, and
-# a model left with one has none while that one is gone.
-SHARED_BY_WORK: Final = 4
-# Shares that are off by one are left alone: moving a sampler costs a load.
-KEPT_DIFFERENCE: Final = 1
-# Nor is an odd sampler moved to a trainer that submits little more.
-KEPT_RATIO: Final = 1.3
+# Samplers per model from which shares are proportional. With fewer, one sampler
+# is half of a model's capacity, and a model with a single sampler has none
+# while that one is down.
+PROPORTIONAL_MIN_SAMPLERS: Final = 4
+# Quotas that are off by this many samplers are kept, because moving a sampler
+# costs a load.
+QUOTA_TOLERANCE: Final = 1
+# The odd sampler moves only to a trainer whose workload is larger by this
+# factor.
+MOVE_WORKLOAD_RATIO: Final = 1.3
 
 Versions = Mapping[UpstreamId, Mapping[str, WeightVersion]]
 Assignment = dict[UpstreamId, frozenset[str]]
@@ -29,20 +32,20 @@
 def assign_samplers(
     models: Sequence[str],
     versions: Versions,
-    before: Mapping[UpstreamId, frozenset[str]],
-    work: Mapping[str, float] | None = None,
+    previous: Mapping[UpstreamId, frozenset[str]],
+    workloads: Mapping[str, float] | None = None,
 ) -> Assignment:
     """Return the models that each sampler serves.
 
     Parameters
     ----------
     versions
-        What each usable sampler has now, by model. A sampler that has a
-        model's newest version saves a load.
-    before
-        The last assignment; kept where the shares allow it.
-    work
-        What each model's trainer submits, against the others.
+        The versions that each usable sampler has loaded, by model. A sampler
+        that has a model's newest version saves a load.
+    previous
+        The last assignment; kept where the quotas allow it.
+    workloads
+        The relative amount of work that each model's trainer submits.
     """
     samplers = sorted(versions)
     if not models or not samplers:
@@ -51,12 +54,14 @@
         return {sampler: frozenset(models) for sampler in samplers}
     left = set(samplers)
     result: Assignment = {}
-    held_now = {model: _count(model, before, left) for model in models}
-    ranked = _rank(models, held_now, work or {})
-    for model, quota in _share(ranked, len(samplers), work or {}, held_now):
+    counts = {model: _count_assigned(model, previous, left) for model in models}
+    ranked = _rank_models(models, counts, workloads or {})
+    for model, quota in _compute_quotas(
+        ranked, len(samplers), workloads or {}, counts
+    ):
         ordered = sorted(
-            (model not in before.get(each, ()), -held.get(model, 0), each)
-            for each, held in versions.items()
+            (model not in previous.get(each, ()), -loaded.get(model, 0), each)
+            for each, loaded in versions.items()
             if each in left
         )
         chosen = [each[2] for each in ordered[:quota]]
@@ -65,59 +70,62 @@
     return result
 
 
-def _count(
+def _count_assigned(
     model: str,
-    before: Mapping[UpstreamId, frozenset[str]],
+    previous: Mapping[UpstreamId, frozenset[str]],
     samplers: set[UpstreamId],
 ) -> int:
-    return sum(model in before.get(each, ()) for each in samplers)
+    return sum(model in previous.get(each, ()) for each in samplers)
 
 
-def _rank(
+def _rank_models(
     models: Sequence[str],
-    held: Mapping[str, int],
-    work: Mapping[str, float],
+    counts: Mapping[str, int],
+    workloads: Mapping[str, float],
 ) -> list[str]:
-    """Return the models, the one that an odd sampler is for first.
+    """Return the models in the order in which they get odd samplers.
 
-    Whoever holds most keeps it, as moving it would cost a load, unless another
-    trainer submits so much more that its steps would be late for want of it.
+    A model that already has an extra sampler keeps it, because moving it costs
+    a load, unless another trainer's workload is so much larger that its steps
+    would be late without it.
     """
-    most = max(held.values(), default=0)
-    least = min(held.values(), default=0)
+    most = max(counts.values(), default=0)
+    least = min(counts.values(), default=0)
 
     def weigh(model: str) -> float:
-        keeps = most > least and held[model] == most
-        return work.get(model, 0) * (KEPT_RATIO if keeps else 1)
+        keeps = most > least and counts[model] == most
+        return workloads.get(model, 0) * (MOVE_WORKLOAD_RATIO if keeps else 1)
 
-    return sorted(models, key=lambda each: (-weigh(each), -held[each], each))
+    return sorted(models, key=lambda each: (-weigh(each), -counts[each], each))
 
 
-def _share(
+def _compute_quotas(
     models: list[str],
     samplers: int,
-    work: Mapping[str, float],
-    held: Mapping[str, int],
+    workloads: Mapping[str, float],
+    counts: Mapping[str, int],
 ) -> list[tuple[str, int]]:
-    """Return how many samplers each model gets."""
-    total = sum(work.get(model, 0) for model in models)
-    by_work = samplers >= SHARED_BY_WORK * len(models)
-    if not by_work or any(not work.get(model) for model in models):
-        least, more = divmod(samplers, len(models))
+    """Return the number of samplers of each model."""
+    total = sum(workloads.get(model, 0) for model in models)
+    proportional = samplers >= PROPORTIONAL_MIN_SAMPLERS * len(models)
+    if not proportional or any(not workloads.get(model) for model in models):
+        base, remainder = divmod(samplers, len(models))
         return [
-            (model, least + (1 if number < more else 0))
+            (model, base + (1 if number < remainder else 0))
             for number, model in enumerate(models)
         ]
-    quotas = _round({each: samplers * work[each] / total for each in models})
-    near = all(
-        abs(quotas[each] - held[each]) <= KEPT_DIFFERENCE for each in models
+    quotas = _round_shares(
+        {each: samplers * workloads[each] / total for each in models}
     )
-    kept = sum(held.values()) == samplers and near
-    return [(each, held[each] if kept else quotas[each]) for each in models]
+    close = all(
+        abs(quotas[each] - counts[each]) <= QUOTA_TOLERANCE for each in models
+    )
+    kept = sum(counts.values()) == samplers and close
+    return [(each, counts[each] if kept else quotas[each]) for each in models]
 
 
-def _round(shares: Mapping[str, float]) -> dict[str, int]:
-    """Return whole shares of the same sum, at least one each."""
+def _round_shares(shares: Mapping[str, float]) -> dict[str, int]:
+    """Return integer quotas with the same sum, at least one each."""
     quotas = {each: max(int(share), 1) for each, share in shares.items()}
     rest = round(sum(shares.values())) - sum(quotas.values())
     ordered = sorted(shares, key=lambda each: int(shares[each]) - shares[each])
--- a/guavagate/rollouts/_coordinator.py
+++ b/guavagate/rollouts/_coordinator.py
@@ -1,4 +1,4 @@
-"""Brings a service's samplers to the versions that trainers name."""
+"""Loads the versions that trainers publish into a service's samplers."""
 
 import logging
 from collections.abc import Callable
@@ -36,39 +36,39 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Nothing is decided by this pace alone; changes wake the coordinator.
-IDLE_SECONDS: Final = 0.5
-# A load takes about this long; asking earlier finds nothing new.
-LOAD_SECONDS: Final = 0.95
-REPORT_SECONDS: Final = 0.3
-# An order that got no answer may be carried out as late as this.
-LATE_SECONDS: Final = 3.0
+# Only a fallback: changes wake the coordinator.
+CHECK_INTERVAL_SECONDS: Final = 0.5
+# A load takes about this long, so an earlier report shows nothing new.
+FIRST_REPORT_SECONDS: Final = 0.95
+REPORT_INTERVAL_SECONDS: Final = 0.3
+# A sampler may execute an order without a response as late as this.
+ORDER_TIMEOUT_SECONDS: Final = 3.0
 RETRY_SECONDS: Final = 0.5
-# A sampler that is gone for good stays registered for a few seconds.
-MOST_DOUBLINGS: Final = 3
+# A sampler that is permanently lost stays registered for a few seconds.
+MAX_DOUBLINGS: Final = 3
 
 
-class NamedVersions:
-    """The newest version of each model that its trainer has named."""
+class PublishedVersions:
+    """The newest version of each model that its trainer has published."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self.newest: dict[str, WeightVersion] = {}
-        self.named_at: dict[str, float] = {}
-        self.changed: Callable[[], None] = _ignore
+        self.published_at: dict[str, float] = {}
+        self.on_change: Callable[[], None] = _do_nothing
 
     def put(self, model: str, version: WeightVersion) -> None:
-        """Take a version; an older one than before is left out."""
+        """Record a version; one that is not newer is ignored."""
         if version <= self.newest.get(model, 0):
             return
         self.newest[model] = version
-        self.named_at[model] = self._clock.now()
+        self.published_at[model] = self._clock.now()
         write(_LOGGER, events.VERSION_NAMED, model=model, version=version)
-        self.changed()
+        self.on_change()
 
 
 class Coordinator:
-    """Orders the samplers of one service while this instance owns it."""
+    """Sends load orders to a service's samplers while this instance owns it."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         lease: Lease,
         routes: RouteTable,
         upstreams: UpstreamTable,
-        named: NamedVersions,
+        published: PublishedVersions,
         states: SamplerStates,
         client: SamplerClient,
         demands: Callable[[], dict[str, ModelDemand]],
@@ -90,7 +90,7 @@
         self._lease = lease
         self._routes = routes
         self._upstreams = upstreams
-        self._named = named
+        self._published = published
         self._states = states
         self._client = client
         self._demands = demands
@@ -100,12 +100,12 @@
         self._orders: list[Task] = []
 
     def start(self) -> None:
-        """Begin to order."""
+        """Start sending orders."""
         if self._task is None:
             self._task = self._clock.spawn(self._run)
 
     def stop(self) -> None:
-        """Send no more orders."""
+        """Stop sending orders and release the lease."""
         if self._task is None:
             return
         self._task.kill(block=False)
@@ -117,22 +117,22 @@
         self._lease.release()
 
     def wake(self) -> None:
-        """Look again soon."""
+        """Check for new orders soon."""
         self._wake.set()
 
     def _run(self) -> None:
         while True:
             try:
-                self._look()
+                self._check()
             except LeaseHeldError:
                 self._clock.sleep(RETRY_SECONDS)
             except StoreUnavailableError as error:
-                _LOGGER.debug('no orders now: %s', error)
+                _LOGGER.debug('cannot send orders: %s', error)
                 self._clock.sleep(RETRY_SECONDS)
             self._wake.clear()
-            wait_for(self._clock, self._wake, IDLE_SECONDS)
+            wait_for(self._clock, self._wake, CHECK_INTERVAL_SECONDS)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         serving = self._upstreams.serving(self._service)
         self._states.update(serving)
         self._assign(serving)
@@ -149,13 +149,13 @@
             self._orders = [each for each in self._orders if not each.dead]
             self._orders.append(
                 self._clock.spawn(
-                    self._order, upstream, order.model, order.version
+                    self._execute_order, upstream, order.model, order.version
                 )
             )
 
     def _assign(self, serving: list[Upstream]) -> None:
-        described = self._routes.find_service(self._service)
-        models = () if described is None else described.models
+        configured = self._routes.find_service(self._service)
+        models = () if configured is None else configured.models
         versions = {
             each.id: self._states.get(each.id).versions for each in serving
         }
@@ -164,44 +164,46 @@
         )
         if assigned != self._states.assigned:
             self._states.assigned = assigned
-            shown = {each: sorted(held) for each, held in assigned.items()}
+            sorted_models = {
+                each: sorted(models) for each, models in assigned.items()
+            }
             write(
                 _LOGGER,
                 events.ASSIGNED,
                 service=self._service,
-                samplers=shown,
+                samplers=sorted_models,
             )
             self._states.notify()
 
     def _plan(self, serving: list[Upstream]) -> list[PlannedOrder]:
-        """Return the orders to send now, and let idle samplers help."""
-        demands = self._ask_demands()
-        views = [self._view(each) for each in serving]
+        """Return the orders to send now, after borrowing idle samplers."""
+        demands = self._collect_demands()
+        views = [self._make_view(each) for each in serving]
         usable = [
             each
             for each in views
             if self._states.get(each.id).avoid_until <= self._clock.now()
         ]
-        self._set_helpers(usable, demands)
-        # One that refuses connections would else be ordered over and over.
+        self._update_borrowed(usable, demands)
+        # Otherwise a sampler that refuses connections would get endless orders.
         now = self._clock.now()
         views = [
-            self._view(each)
+            self._make_view(each)
             for each in serving
             if self._states.get(each.id).order_after <= now
         ]
         return plan_orders(views, demands)
 
-    def _ask_demands(self) -> dict[str, ModelDemand]:
+    def _collect_demands(self) -> dict[str, ModelDemand]:
         demands = self._demands()
         now = self._clock.now()
-        for model, newest in self._named.newest.items():
+        for model, newest in self._published.newest.items():
             demand = demands.setdefault(model, ModelDemand())
             demand.newest = newest
-            demand.seconds_since_named = now - self._named.named_at[model]
+            demand.version_age = now - self._published.published_at[model]
         return demands
 
-    def _view(self, upstream: Upstream) -> SamplerView:
+    def _make_view(self, upstream: Upstream) -> SamplerView:
         state = self._states.get(upstream.id)
         slots = upstream.slots or self._count_slots()
         return SamplerView(
@@ -209,32 +211,32 @@
             versions=state.versions,
             models=self._states.get_models(upstream.id),
             loading=state.loading,
-            held=state.in_flight,
+            in_flight=state.in_flight,
             free=max(slots - state.in_flight, 0),
         )
 
-    def _set_helpers(
+    def _update_borrowed(
         self, usable: list[SamplerView], demands: dict[str, ModelDemand]
     ) -> None:
-        """Add helpers; those whose model has nothing waiting are let go."""
-        helpers = self._states.borrowed
-        for sampler, model in list(helpers.items()):
+        """Borrow samplers; return those whose model has no items waiting."""
+        borrowed = self._states.borrowed
+        for sampler, model in list(borrowed.items()):
             if model not in demands or not demands[model].waiting:
-                helpers.pop(sampler)
+                borrowed.pop(sampler)
         for sampler, model in choose_samplers_to_borrow(
             usable, demands
         ).items():
-            helpers[sampler] = model
+            borrowed[sampler] = model
             write(_LOGGER, events.HELPS, sampler=sampler, model=model)
 
-    def _order(
+    def _execute_order(
         self, upstream: Upstream, model: str, version: WeightVersion
     ) -> None:
         began = self._clock.now()
         state = self._states.get(upstream.id)
         try:
             if self._send(upstream, model, version):
-                self._await_loaded(upstream, model, version)
+                self._wait_until_loaded(upstream, model, version)
                 state.failed_orders = 0
         except (UpstreamError, OrderRefusedError) as error:
             write(
@@ -245,15 +247,15 @@
                 version=version,
                 problem=str(error),
             )
-            self._look_at(upstream)
+            self._handle_failed_order(upstream)
         finally:
             self._end_order(upstream, state, began)
 
     def _end_order(
         self, upstream: Upstream, state: SamplerState, began: float
     ) -> None:
-        # Of a sampler that has started again meanwhile this is the former
-        # state: the new one may be loading by a later order.
+        # If the sampler has restarted in the meantime, this is the state of its
+        # previous incarnation; the new one may be loading by a later order.
         state.loading = False
         write(
             _LOGGER,
@@ -268,10 +270,10 @@
     def _send(
         self, upstream: Upstream, model: str, version: WeightVersion
     ) -> bool:
-        """Send one order; return whether the sampler now carries it out."""
+        """Send one order; return whether the sampler now executes it."""
         state = self._states.get(upstream.id)
         if state.orders_taken is None:
-            self._report(upstream)
+            self._fetch_report(upstream)
         if not self._lease.may_order() or state.orders_taken is None:
             return False
         order = VersionOrder(
@@ -280,11 +282,11 @@
             holder=self._me,
             generation=self._lease.generation,
             orders_taken=state.orders_taken,
-            keep_running=self._may_mix(),
+            keep_running=self._may_mix_versions(),
         )
-        taken, state.orders_taken = state.orders_taken, None
+        before, state.orders_taken = state.orders_taken, None
         already = self._client.order(upstream, order)
-        state.orders_taken = taken if already else taken + 1
+        state.orders_taken = before if already else before + 1
         if already:
             self._states.record_version(upstream.id, model, version)
         write(
@@ -298,8 +300,8 @@
         )
         return not already
 
-    def _may_mix(self) -> bool:
-        """Return whether a text may be made by two versions."""
+    def _may_mix_versions(self) -> bool:
+        """Return whether two versions may generate parts of the same text."""
         return not any(
             route.single_version
             for route in self._routes.routes()
@@ -307,64 +309,64 @@
             if share.service == self._service
         )
 
-    def _await_loaded(
+    def _wait_until_loaded(
         self, upstream: Upstream, model: str, version: WeightVersion
     ) -> None:
-        """Wait until the sampler has the version, or the order seems lost."""
+        """Wait until the sampler has the version or the order timed out."""
         state = self._states.get(upstream.id)
-        until = self._clock.now() + LATE_SECONDS
-        self._clock.sleep(LOAD_SECONDS)
+        until = self._clock.now() + ORDER_TIMEOUT_SECONDS
+        self._clock.sleep(FIRST_REPORT_SECONDS)
         while self._clock.now() < until:
             if self._states.get(upstream.id) is not state:
-                return  # It has started again; the order is gone.
+                return  # The sampler has restarted and lost the order.
             if state.versions.get(model, 0) >= version:
                 return
-            if self._report(upstream):
+            if self._fetch_report(upstream):
                 return
-            self._clock.sleep(REPORT_SECONDS)
+            self._clock.sleep(REPORT_INTERVAL_SECONDS)
 
-    def _report(self, upstream: Upstream) -> bool:
-        """Ask a sampler for its state; return whether it carries no order."""
+    def _fetch_report(self, upstream: Upstream) -> bool:
+        """Update a sampler's state; return whether it executes no order."""
         before = self._states.get(upstream.id)
         report = self._client.report(upstream)
-        self._note_start(upstream, before, report.incarnation)
+        self._check_incarnation(upstream, before, report.incarnation)
         state = self._states.get(upstream.id)
         state.orders_taken = report.orders_taken
         for model, version in report.versions.items():
             self._states.record_version(upstream.id, model, version)
         return not report.busy
 
-    def _note_start(
+    def _check_incarnation(
         self, upstream: Upstream, before: SamplerState, incarnation: int
     ) -> None:
-        """Take in of which start a report is.
+        """Detect a restart from the incarnation in a report.
 
-        One that was asked for before a new start was noted may be the former
-        start's. Else it is the sampler's own word of now, also where its
-        clock was set back and the new start seems to be the older one.
+        A report that was requested before a restart was detected may come from
+        the previous incarnation. Any other report is current, even if the
+        sampler's clock was set back and the new incarnation is the lower one.
         """
         state = self._states.get(upstream.id)
         if not incarnation or incarnation == state.incarnation:
             return
         if state is not before and incarnation < state.incarnation:
             raise UpstreamError(
-                f'{upstream.id} reported of a former start',
-                'nothing; it is asked again',
+                f'{upstream.id} sent a report of a previous incarnation',
+                'no action needed; the report is requested again',
             )
         self._states.reset(upstream.id, incarnation)
 
-    def _look_at(self, upstream: Upstream) -> None:
-        """Learn what became of an order that failed."""
+    def _handle_failed_order(self, upstream: Upstream) -> None:
+        """Delay further orders after a failed one and fetch the state."""
         state = self._states.get(upstream.id)
-        pause = RETRY_SECONDS * 2 ** min(state.failed_orders, MOST_DOUBLINGS)
-        # It may well serve items; only orders are put off.
+        pause = RETRY_SECONDS * 2 ** min(state.failed_orders, MAX_DOUBLINGS)
+        # The sampler may still serve items; only orders are delayed.
         state.order_after = self._clock.now() + pause
         state.failed_orders += 1
         try:
-            self._report(upstream)
+            self._fetch_report(upstream)
         except UpstreamError as error:
-            _LOGGER.debug('no report: %s', error)
+            _LOGGER.debug('no report from the sampler: %s', error)
 
 
-def _ignore() -> None:
+def _do_nothing() -> None:
     """Do nothing."""
--- a/guavagate/rollouts/_lease.py
+++ b/guavagate/rollouts/_lease.py
@@ -1,15 +1,16 @@
-"""The right to act for all: one holder of each lease, by the store.
-
-The owner of a service orders its samplers, and how many of them there are,
-under one lease; whoever reports usage holds another one.
-
-Samplers may not check fencing numbers, so two holders must never order
-within one lease time of each other. A holder renews with a conditional write
-right before it orders and then may order for `VALID_SECONDS`. A successor
-takes the object over with the next generation, which makes every later
-renewal of the former holder fail, and then waits out what that one may still
-send. Time is counted by the boot clock: it goes on while a process or machine
-is suspended, as the lease does for everyone else.
+"""Leases in the object store; each allows one instance at a time to act.
+
+The job owner of a service loads versions into its samplers and scales them
+under one lease; the instance that reports usage holds another one.
+
+Samplers may not check fencing tokens, so two holders must never send orders
+within one lease time of each other. A holder renews the lease with a
+conditional write right before it sends orders, and may then send them for
+`VALID_SECONDS`. A successor takes the lease over with the next generation,
+which makes every later renewal of the previous holder fail, and then waits
+until no order of that holder can still arrive. Time is measured by the boot
+clock: it continues while a process or machine is suspended, as the lease does
+for all other instances.
 """
 
 import logging
@@ -33,20 +34,20 @@
 _LOGGER: Final = logging.getLogger(__name__)
 _UNREADABLE: Final = UnreadableObjects()
 
-# How long orders may be sent after a renewal was sent. Long enough for a
-# batch of orders at a slow store, short as a successor has to wait it out.
+# How long a holder may send orders after it began a renewal: long enough for a
+# batch of orders with a slow store, but short, because successors wait for it.
 VALID_SECONDS: Final = 0.5
-# An order that is on its way when the renewal lapses arrives by then.
-TRAVEL_SECONDS: Final = 0.3
+# An order in transit when the renewal expires arrives within this time.
+ORDER_TRANSIT_SECONDS: Final = 0.3
 LEASES: Final = 'leases'
 _NEW: Final = Revision(0)
 
 
 class LeaseRecord(msgspec.Struct, frozen=True):
-    """What the store holds of a lease.
+    """The stored record of a lease.
 
-    `ordered` is written before the first order of a generation: without it,
-    its holder has certainly ordered nothing.
+    `ordered` is set before the first order of a generation: while it is not
+    set, the holder has certainly sent no order.
     """
 
     holder: InstanceId
@@ -60,18 +61,18 @@
 
 
 class Lease:
-    """One instance's side of a lease; several of its tasks may share it.
+    """One instance's handle of a lease; its tasks may share it.
 
     Parameters
     ----------
     path
-        Of the lease's object in the store.
+        The path of the lease's object in the store.
     lease_seconds
-        The time within which no two holders may order.
+        The time within which no two holders may send orders.
     renewals
-        What former holders told, and who is told of this one's renewals.
+        Announces this holder's renewals and records those of other holders.
     list_successors
-        Returns who may come after this holder.
+        Returns the instances that may take the lease over from this one.
     """
 
     def __init__(
@@ -101,96 +102,103 @@
 
     @property
     def held(self) -> bool:
-        """Return whether the lease was taken and not lost since."""
+        """Return whether this instance took the lease and has not lost it."""
         return self._revision is not None
 
     def may_order(self) -> bool:
-        """Return whether an order may be sent at this moment."""
+        """Return whether an order may be sent now."""
         now = self._now()
         return self.held and self._first_order_at <= now < self._valid_until
 
     def wait_seconds(self) -> float:
-        """Return how long a fresh holder still has to wait."""
+        """Return how long a new holder still has to wait."""
         return max(self._first_order_at - self._now(), 0)
 
     def acquire_or_renew(self) -> None:
-        """Hold the lease, renewed just now.
+        """Take the lease, or renew it if this instance holds it.
 
         Raises
         ------
         LeaseHeldError
-            Another instance took it since; take it again only when the
-            membership says that this one coordinates.
+            Another instance has taken the lease; take it again only when the
+            membership selects this instance as the coordinator.
         StoreUnavailableError
-            The store gives no answer; no order may be sent.
+            The store does not respond; no order may be sent.
         """
-        asked = self._now()
+        began = self._now()
         with self._lock:
-            if self.may_order() and self._renewed_at > asked:
-                return  # Another task has renewed it meanwhile.
+            if self.may_order() and self._renewed_at > began:
+                return  # Another task has renewed it in the meantime.
             if self._revision is None:
                 self._acquire()
             elif self._now() >= self._first_order_at:
                 self._renew(self._revision)
 
     def _renew(self, revision: Revision) -> None:
-        asked = self._now()
-        # The content differs at each renewal: a write that changes nothing
-        # would keep its revision, and a later holder's would not be noticed.
+        began = self._now()
+        # The content differs at each renewal: a write without a change would
+        # keep the revision, and a later holder's write would go unnoticed.
         self._nonce = secrets.token_hex(8)
         record = LeaseRecord(
             self._me, self.generation, self._nonce, ordered=True
         )
-        # Told before it is written: a holder that is killed by then has still
-        # told, and what it may order counts from here in any case.
-        self._tell(record)
+        # Announced before it is written, so that a holder that is killed during
+        # the write has announced it. Its validity counts from here anyway.
+        self._announce(record)
         try:
             self._revision = self._put(record, revision)
         except StoreConflictError as conflict:
-            self._revision = self._settle(conflict.current, record)
-        self._valid_until = asked + VALID_SECONDS
-        self._renewed_at = asked
+            self._revision = self._reconcile(conflict.current, record)
+        self._valid_until = began + VALID_SECONDS
+        self._renewed_at = began
 
     def release(self) -> None:
-        """Stop ordering; the object stays for the successor's generation."""
+        """Stop using the lease; its record stays for the next generation."""
         self._revision = None
         self._valid_until = 0
 
-    def _tell(self, record: LeaseRecord) -> None:
-        self._renewals.tell(self._describe(record), self._list_successors())
+    def _announce(self, record: LeaseRecord) -> None:
+        self._renewals.send(self._make_renewal(record), self._list_successors())
 
-    def _describe(self, record: LeaseRecord) -> LeaseRenewed:
+    def _make_renewal(self, record: LeaseRecord) -> LeaseRenewed:
         return LeaseRenewed(
             path=self._path, generation=record.generation, nonce=record.nonce
         )
 
-    def _find_wait(self, held: LeaseRecord | None) -> float:
-        """Return how long to wait before the first order; seconds.
+    def _compute_wait(self, previous: LeaseRecord | None) -> float:
+        """Return how many seconds to wait before the first order.
 
-        The newest renewal may have been heard of: no later one allowed an
-        order, or its nonce would be there. A lease that was taken over
-        while its holder waited itself, by one that then ordered nothing, need
-        not be waited out anew: what it waited for was the holder before both.
+        If the stored renewal was received here, the wait counts from its
+        arrival: no later renewal allowed an order, or its nonce would be
+        stored. If another instance took the lease over while this one was
+        waiting, and then sent no order, the wait need not start again: it was
+        for the holder before both.
         """
-        full = self._lease_seconds + VALID_SECONDS + TRAVEL_SECONDS
-        if held is None:
+        full = self._lease_seconds + VALID_SECONDS + ORDER_TRANSIT_SECONDS
+        if previous is None:
             return 0
-        if held.holder == self._me and held.ordered:
-            return 0  # This machine had waited already when it ordered.
-        mine = self.generation
-        if mine and not held.ordered and held.generation in {mine, mine + 1}:
+        if previous.holder == self._me and previous.ordered:
+            return 0  # This instance had already waited when it sent orders.
+        own = self.generation
+        if (
+            own
+            and not previous.ordered
+            and previous.generation in {own, own + 1}
+        ):
             return min(max(self._first_order_at - self._now(), 0), full)
-        heard_at = self._renewals.find(self._describe(held))
-        if heard_at is not None:
-            return min(max(heard_at + full - self._now(), 0), full)
+        received_at = self._renewals.find_received_at(
+            self._make_renewal(previous)
+        )
+        if received_at is not None:
+            return min(max(received_at + full - self._now(), 0), full)
         return full
 
     def _acquire(self) -> None:
-        asked = self._now()
+        began = self._now()
         current = self._store.get(self._path)
-        held = None if current is None else _decode(current)
-        generation = 1 if held is None else held.generation + 1
-        wait = self._find_wait(held)
+        previous = None if current is None else _decode(current)
+        generation = 1 if previous is None else previous.generation + 1
+        wait = self._compute_wait(previous)
         self._nonce = secrets.token_hex(8)
         record = LeaseRecord(
             self._me, generation, self._nonce, ordered=not wait
@@ -199,27 +207,27 @@
         try:
             revision = self._put(record, expected)
         except StoreConflictError as conflict:
-            revision = self._settle(conflict.current, record)
+            revision = self._reconcile(conflict.current, record)
         self._revision = revision
         self.generation = generation
         self._first_order_at = self._now() + wait
-        # While it waits the record says that nothing is ordered, and stays
-        # true: orders need the renewal that comes after the wait.
-        self._valid_until = float(0) if wait else asked + VALID_SECONDS
-        # Told once it is written: the holder before may have ordered until
-        # then, and whoever comes next counts from here.
-        self._tell(record)
+        # During the wait the record states that nothing was ordered. This stays
+        # true, because orders need the renewal that follows the wait.
+        self._valid_until = float(0) if wait else began + VALID_SECONDS
+        # Announced after the write: the previous holder may have sent orders
+        # until then, and the next holder counts from here.
+        self._announce(record)
         write(
             _LOGGER,
             events.LEASE_TAKEN,
             path=self._path,
             generation=generation,
-            former=None if held is None else held.holder,
+            former=None if previous is None else previous.holder,
             wait=round(wait, 2),
         )
 
     def _put(self, record: LeaseRecord, expected: Revision) -> Revision:
-        """Write; read back when the answer was lost."""
+        """Write a record; read it back when the response was lost."""
         value = msgspec.json.encode(record)
         try:
             return self._store.put(self._path, value, expected)
@@ -231,10 +239,10 @@
                 return current.version
             raise
 
-    def _settle(
+    def _reconcile(
         self, current: StoredObject | None, record: LeaseRecord
     ) -> Revision:
-        """Tell our own write whose answer was lost from another holder's."""
+        """Determine after a conflict whether the stored record is this one."""
         found = current or self._store.get(self._path)
         if found is not None and _decode(found) == record:
             return found.version
@@ -251,12 +259,12 @@
 
 
 def lease_path(service: ServiceId) -> str:
-    """Return where the lease for orders to a service's samplers is kept."""
+    """Return the store path of the lease for a service's samplers."""
     return f'{LEASES}/{service}'
 
 
 def acquire_for_orders(lease: Lease, clock: Clock) -> None:
-    """Hold a lease, and wait out what its former holder may still send."""
+    """Take or renew a lease, and wait until its holder may send orders."""
     lease.acquire_or_renew()
     wait = lease.wait_seconds()
     if wait:
@@ -265,10 +273,10 @@
 
 
 def _decode(stored: StoredObject) -> LeaseRecord:
-    """Return a record; one that can not be read is some other holder's.
+    """Return a record; an unreadable one counts as another holder's.
 
-    Its generation is not known, but each took a write of its own, so there
-    were never more of them than the store's revision counts.
+    Its generation is unknown, but each generation took at least one write, so
+    it can not exceed the store's revision.
     """
     try:
         return msgspec.json.decode(stored.value, type=LeaseRecord)
@@ -278,7 +286,7 @@
 
 
 def list_holders(store: ObjectStore) -> dict[ServiceId, InstanceId]:
-    """Return who held each lease last."""
+    """Return the last holder of each service's lease."""
     stored, _ = store.list_under(LEASES)
     holders = {
         ServiceId(each.path.partition('/')[2]): _decode(each).holder
--- a/guavagate/rollouts/_plan.py
+++ b/guavagate/rollouts/_plan.py
@@ -1,13 +1,13 @@
-"""When which sampler is ordered to a version; needs no network.
-
-Load pattern: a trainer names a version and at once submits its next step,
-which may still be made by the version before. A sampler that loads starts
-nothing for a second, and with two samplers to a model, loading both at once
-delays the whole step by that. So a sampler that can serve what is asked for
-goes on starting items, and loads when none of its model waits; one that can't
-serve it loads at once. Between two steps it loads if it will be done before
-the next one is due; else it waits for that step, starts its items, and loads
-while they run.
+"""Plans which samplers load a new version, and when; uses no network.
+
+Load pattern: a trainer publishes a version and immediately submits its next
+step, which may still use the previous version. A sampler that loads starts no
+items for a second, and with two samplers per model, loading both at once delays
+the whole step by that time. Therefore a sampler that can serve the open jobs
+continues to start items, and loads when no item of its model waits; one that
+can not serve them loads at once. Between two steps, a sampler loads if it will
+finish before the next step is due; otherwise it waits for that step, starts its
+items, and loads while they run.
 """
 
 from collections.abc import Mapping, Sequence
@@ -17,19 +17,19 @@
 
 from guavagate.models import UpstreamId, WeightVersion
 
-# A load is put off no longer than this, or the next step would find none of
-# the samplers fresh enough.
-PUT_OFF_SECONDS: Final = 2.5
-# What a load takes.
+# A load is deferred no longer than this; otherwise no sampler would have a
+# recent enough version for the next step.
+MAX_DEFERRAL_SECONDS: Final = 2.5
+# The duration of a load.
 LOAD_SECONDS: Final = 1.0
-# A step that was due and has not come by then comes much later.
+# A step that is overdue by more than this is expected to come much later.
 OVERDUE_SECONDS: Final = 0.6
-# Samplers that load at once: the others go on serving, and the weight store
-# is shared by those that load.
-LOADING_SHARE: Final = 3
-# Items that wait for so long are more than a burst that is being handed out.
-HELP_AFTER_SECONDS: Final = 0.6
-HELP_WAITING: Final = 4
+# One in this many samplers may load at the same time: the others continue to
+# serve, and concurrent loads share the weight store.
+SAMPLERS_PER_LOAD: Final = 3
+# Items that wait longer are more than a burst that is still being dispatched.
+BORROW_AFTER_SECONDS: Final = 0.6
+BORROW_MIN_WAITING: Final = 4
 
 
 class ModelDemand(msgspec.Struct):
@@ -37,33 +37,33 @@
 
     `required` is the oldest version that all open jobs accept, `waiting`
     counts items without a slot, `waiting_seconds` is how long some of them have
-    waited, `seconds_since_named` how long ago the trainer named the newest
-    version, and `seconds_to_next_job` the expected time to its next job, if
-    known.
+    waited, `version_age` how long ago the trainer published the newest version,
+    `open_jobs` counts the jobs in progress, and `seconds_to_next_job` is the
+    expected time to the next job, if known.
     """
 
     newest: WeightVersion = WeightVersion(0)
     required: WeightVersion = WeightVersion(0)
     waiting: int = 0
     waiting_seconds: float = 0
-    seconds_since_named: float = 0
+    version_age: float = 0
     open_jobs: int = 0
     seconds_to_next_job: float | None = None
 
 
 class SamplerView(msgspec.Struct):
-    """A sampler that may be ordered; `free` counts its slots."""
+    """A sampler's state for planning; `free` is its number of free slots."""
 
     id: UpstreamId
     versions: Mapping[str, WeightVersion]
     models: frozenset[str]
     loading: bool = False
-    held: int = 0
+    in_flight: int = 0
     free: int = 0
 
 
 class PlannedOrder(msgspec.Struct, frozen=True):
-    """An order to send now."""
+    """An order to load a version."""
 
     sampler: UpstreamId
     model: str
@@ -75,99 +75,104 @@
 ) -> list[PlannedOrder]:
     """Return the orders to send now, the most urgent first."""
     urgent: list[tuple[int, PlannedOrder]] = []
-    calm: list[tuple[int, PlannedOrder]] = []
+    deferrable: list[tuple[int, PlannedOrder]] = []
     for model, demand in demands.items():
         group = [each for each in samplers if model in each.models]
-        behind = [
+        outdated = [
             each
             for each in group
             if not each.loading and each.versions.get(model, 0) < demand.newest
         ]
-        must = [
+        must_load = [
             each
-            for each in behind
+            for each in outdated
             if each.versions.get(model, 0) < demand.required
         ]
-        may = [each for each in behind if each not in must]
-        urgent += [_order(each, model, demand) for each in must]
-        if not must and may and _is_calm(demand):
+        may_load = [each for each in outdated if each not in must_load]
+        urgent += [_make_order(each, model, demand) for each in must_load]
+        if not must_load and may_load and _may_load_now(demand):
             serving = sum(not each.loading for each in group)
-            most = serving - 1 if len(group) > 1 else 1
-            may.sort(key=_count_held)
-            calm += [_order(each, model, demand) for each in may[:most]]
-    allowed = max(len(samplers) // LOADING_SHARE, 1)
+            limit = serving - 1 if len(group) > 1 else 1
+            may_load.sort(key=_get_in_flight)
+            deferrable += [
+                _make_order(each, model, demand) for each in may_load[:limit]
+            ]
+    allowed = max(len(samplers) // SAMPLERS_PER_LOAD, 1)
     allowed -= sum(each.loading for each in samplers)
-    ordered = [*sorted(urgent, key=_rank), *sorted(calm, key=_rank)]
-    return _pick(ordered, allowed)
+    ordered = [
+        *sorted(urgent, key=_sort_key),
+        *sorted(deferrable, key=_sort_key),
+    ]
+    return _select_orders(ordered, allowed)
 
 
 def choose_samplers_to_borrow(
     samplers: Sequence[SamplerView], demands: Mapping[str, ModelDemand]
 ) -> dict[UpstreamId, str]:
-    """Return idle samplers that help with a model they do not serve.
+    """Return idle samplers to borrow, with the model that each will serve too.
 
     Load pattern: a model has lost a sampler, or one of its two is slow, while
-    the samplers of other models idle between their steps. A load costs less
-    than a step that comes too late.
+    the samplers of other models are idle between their steps. A load costs less
+    than a late step.
     """
-    needy = [
+    short = [
         model
         for model, demand in demands.items()
-        if demand.waiting >= HELP_WAITING
-        and demand.waiting_seconds > HELP_AFTER_SECONDS
+        if demand.waiting >= BORROW_MIN_WAITING
+        and demand.waiting_seconds > BORROW_AFTER_SECONDS
     ]
-    needy.sort(key=lambda model: -demands[model].waiting)
-    helpers: dict[UpstreamId, str] = {}
-    for sampler in sorted(samplers, key=_count_held):
-        own = any(
+    short.sort(key=lambda model: -demands[model].waiting)
+    borrowed: dict[UpstreamId, str] = {}
+    for sampler in sorted(samplers, key=_get_in_flight):
+        own_waiting = any(
             demands[model].waiting
             for model in sampler.models
             if model in demands
         )
-        if own or sampler.loading or sampler.free < HELP_WAITING:
+        if own_waiting or sampler.loading or sampler.free < BORROW_MIN_WAITING:
             continue
-        for model in needy:
+        for model in short:
             if model not in sampler.models:
-                helpers[sampler.id] = model
-                needy.remove(model)
+                borrowed[sampler.id] = model
+                short.remove(model)
                 break
-    return helpers
+    return borrowed
 
 
-def _is_calm(demand: ModelDemand) -> bool:
-    """Return whether a load now holds nothing up."""
-    if demand.seconds_since_named > PUT_OFF_SECONDS:
+def _may_load_now(demand: ModelDemand) -> bool:
+    """Return whether a load now delays no item."""
+    if demand.version_age > MAX_DEFERRAL_SECONDS:
         return True
     if demand.waiting:
         return False
     if demand.open_jobs:
         return True
-    # A trainer that is behind its schedule submits as it names the version.
-    next_in = -demand.seconds_since_named
+    # A trainer that is behind schedule submits when it publishes the version.
+    seconds_to_next = -demand.version_age
     if demand.seconds_to_next_job is not None:
-        next_in = max(demand.seconds_to_next_job, next_in)
-    return not -OVERDUE_SECONDS < next_in < LOAD_SECONDS
+        seconds_to_next = max(demand.seconds_to_next_job, seconds_to_next)
+    return not -OVERDUE_SECONDS < seconds_to_next < LOAD_SECONDS
 
 
-def _order(
+def _make_order(
     sampler: SamplerView, model: str, demand: ModelDemand
 ) -> tuple[int, PlannedOrder]:
     order = PlannedOrder(sampler.id, model, demand.newest)
-    return sampler.held, order
+    return sampler.in_flight, order
 
 
-def _rank(entry: tuple[int, PlannedOrder]) -> tuple[int, str]:
+def _sort_key(entry: tuple[int, PlannedOrder]) -> tuple[int, str]:
     return entry[0], entry[1].sampler
 
 
-def _count_held(sampler: SamplerView) -> int:
-    return sampler.held
+def _get_in_flight(sampler: SamplerView) -> int:
+    return sampler.in_flight
 
 
-def _pick(
+def _select_orders(
     ordered: Sequence[tuple[int, PlannedOrder]], allowed: int
 ) -> list[PlannedOrder]:
-    """Return the first orders, one for each sampler."""
+    """Return the first orders, at most one per sampler."""
     chosen: dict[UpstreamId, PlannedOrder] = {}
     for _, order in ordered:
         if len(chosen) < allowed:
--- a/guavagate/rollouts/_renewals.py
+++ b/guavagate/rollouts/_renewals.py
@@ -1,9 +1,10 @@
-"""Renewals of leases as their holders tell them to who may come after them.
+"""Announces lease renewals to the possible successors of a holder.
 
-A successor has to wait until the former holder's last order is a lease time
-old. From the store it learns who held the lease, not when that one renewed it,
-so it would wait the whole time, and samplers would stay on old weights for four
-seconds. One that heard of the newest renewal counts from there.
+A successor has to wait until the previous holder's last order is a lease time
+old. The store tells it who held the lease, but not when the holder renewed it,
+so the successor would wait for the full lease time, and samplers would keep old
+weights for four seconds. A successor that received the newest renewal counts
+from the time at which it arrived.
 """
 
 from collections.abc import Callable
@@ -13,12 +14,13 @@
 from guavagate.models import InstanceId
 from guavagate.util.boot_clock import read_boot_clock
 
-# Who is told of each renewal: two that fail at once leave one that has heard.
+# How many instances receive each renewal: with three, one remains when two
+# fail at the same time.
 MAX_SUCCESSORS: Final = 3
 
 
 class LeaseRenewed(Message, frozen=True, kw_only=True):
-    """A holder's renewal, by what it writes to the store."""
+    """A lease renewal, identified by the record written to the store."""
 
     path: str
     generation: int
@@ -26,12 +28,12 @@
 
 
 class Renewals:
-    """What was heard of leases, and when, by the boot clock.
+    """Sends lease renewals, and records received ones with their arrival time.
 
     Parameters
     ----------
     boot_clock
-        Goes on while this machine is suspended.
+        A clock that continues while this machine is suspended.
     """
 
     def __init__(
@@ -39,23 +41,23 @@
     ) -> None:
         self._bus = bus
         self._now = boot_clock
-        self._heard: dict[str, tuple[LeaseRenewed, float]] = {}
+        self._received: dict[str, tuple[LeaseRenewed, float]] = {}
         bus.register(LeaseRenewed, self._on_renewed)
 
-    def tell(self, renewed: LeaseRenewed, peers: list[InstanceId]) -> None:
-        """Tell who may come after this holder of a renewal."""
+    def send(self, renewed: LeaseRenewed, peers: list[InstanceId]) -> None:
+        """Send a renewal to the possible successors of this holder."""
         for peer in peers:
             self._bus.send(peer, renewed)
 
-    def find(self, newest: LeaseRenewed) -> float | None:
-        """Return when a renewal was heard of that is the store's newest.
+    def find_received_at(self, newest: LeaseRenewed) -> float | None:
+        """Return when the store's newest renewal arrived here, or None.
 
-        A renewal that was not heard of leaves another nonce in the store, and
-        what was heard before says nothing about its orders.
+        A missed renewal leaves another nonce in the store, and the renewals
+        received before it tell nothing about the orders that it allowed.
         """
-        heard, at = self._heard.get(newest.path, (None, 0))
-        return at if heard == newest else None
+        received, at = self._received.get(newest.path, (None, 0))
+        return at if received == newest else None
 
     def _on_renewed(self, _: InstanceId, message: Message) -> None:
         renewed = expect(message, LeaseRenewed)
-        self._heard[renewed.path] = (renewed, self._now())
+        self._received[renewed.path] = (renewed, self._now())
--- a/guavagate/rollouts/_states.py
+++ b/guavagate/rollouts/_states.py
@@ -1,4 +1,4 @@
-"""What the coordinating instance knows of each sampler."""
+"""The coordinator's view of each sampler."""
 
 from collections.abc import Callable, Iterable
 
@@ -12,11 +12,11 @@
 
 
 class SamplerState(msgspec.Struct):
-    """One sampler; `pace` in seconds an event, 0 when not known yet.
+    """One sampler; `event_interval` in seconds per event, 0 while unknown.
 
-    `orders_taken` is nothing until the sampler was asked for it; a `silent`
-    one gets no items until it answers again. All of this is about the start
-    that `incarnation` names, 0 where it is not told.
+    `orders_taken` is None until the sampler has reported it. A `stalled`
+    sampler gets no items until it responds again. The state belongs to one
+    `incarnation`, which is 0 if the sampler does not report it.
     """
 
     versions: dict[str, WeightVersion] = {}
@@ -33,29 +33,29 @@
 
 
 class SamplerStates:
-    """States by sampler; versions never go back while a sampler lives."""
+    """States by sampler; versions only increase during an incarnation."""
 
     def __init__(self) -> None:
         self._states: dict[UpstreamId, SamplerState] = {}
         self.assigned: dict[UpstreamId, frozenset[str]] = {}
-        # Idle samplers that serve one more model while its items wait.
+        # Idle samplers that serve an additional model while its items wait.
         self.borrowed: dict[UpstreamId, str] = {}
-        # What each model's trainer submits in a job, by its recent ones.
+        # The work in a job of each model, smoothed over its recent jobs.
         self.workloads: dict[str, float] = {}
         self._subscribers: list[Callable[[], None]] = []
 
-    def subscribe(self, changed: Callable[[], None]) -> None:
-        """Call back, without blocking, after each change that frees work."""
-        self._subscribers.append(changed)
+    def subscribe(self, callback: Callable[[], None]) -> None:
+        """Call `callback`, which must not block, when items may start."""
+        self._subscribers.append(callback)
 
     def get_models(self, sampler: UpstreamId) -> frozenset[str]:
-        """Return the models that a sampler is given items of."""
+        """Return the models whose items a sampler gets."""
         models = self.assigned.get(sampler, frozenset())
-        extra = self.borrowed.get(sampler)
-        return models if extra is None else models | {extra}
+        borrower = self.borrowed.get(sampler)
+        return models if borrower is None else models | {borrower}
 
     def reset_loading(self) -> None:
-        """Take no sampler for loading; whoever orders next looks anew."""
+        """Mark no sampler as loading; the next order fetches a new report."""
         for state in self._states.values():
             state.loading = False
             state.orders_taken = None
@@ -65,7 +65,7 @@
         return self._states.setdefault(sampler, SamplerState())
 
     def update(self, upstreams: Iterable[Upstream]) -> None:
-        """Take in what the samplers registered; forget those that are gone."""
+        """Apply the samplers' registrations; remove those that are gone."""
         present = set()
         for upstream in upstreams:
             present.add(upstream.id)
@@ -73,54 +73,54 @@
                 self.reset(upstream.id, upstream.incarnation)
             state = self.get(upstream.id)
             for model, version in upstream.versions.items():
-                self._raise(state, model, version)
+                self._raise_version(state, model, version)
         for gone in [each for each in self._states if each not in present]:
             self.borrowed.pop(gone, None)
             if not self._states[gone].in_flight:
                 self._states.pop(gone)
         self.notify()
 
-    def reset(self, sampler: UpstreamId, start: int) -> None:
-        """Take in of which start a sampler is; forget an earlier one.
+    def reset(self, sampler: UpstreamId, incarnation: int) -> None:
+        """Set a sampler's incarnation; discard the state of a previous one.
 
-        Whoever still works with the former state, an order on its way or a
-        stream that ends late, changes nothing of the new one. Only the slots
-        that are held here stay: each is freed as its run ends.
+        Tasks that still use the previous state, such as an order in transit or
+        a stream that ends late, do not affect the new one. Only the count of
+        runs in flight stays, because each run decrements it when it ends.
         """
         state = self.get(sampler)
         if not state.incarnation:
-            state.incarnation = start
+            state.incarnation = incarnation
             return
-        fresh = SamplerState(in_flight=state.in_flight, incarnation=start)
+        fresh = SamplerState(in_flight=state.in_flight, incarnation=incarnation)
         self._states[sampler] = fresh
         self.borrowed.pop(sampler, None)
 
     def record_workload(self, model: str, amount: float) -> None:
-        """Take in how much a job asks for."""
+        """Record the amount of work in a job."""
         before = self.workloads.get(model, amount)
         self.workloads[model] = before + (amount - before) * _WORKLOAD_SMOOTHING
 
     def record_version(
         self, sampler: UpstreamId, model: str, version: WeightVersion
     ) -> None:
-        """Take in a version that an answer named."""
-        if self._raise(self.get(sampler), model, version):
+        """Record a version that a sampler reported."""
+        if self._raise_version(self.get(sampler), model, version):
             self.notify()
 
     def record_event_interval(
         self, sampler: UpstreamId, seconds: float
     ) -> None:
-        """Take in how long a sampler took for an event, over some."""
+        """Record a sampler's average time per event."""
         state = self.get(sampler)
-        share = _INTERVAL_SMOOTHING if state.event_interval else 1
-        state.event_interval += (seconds - state.event_interval) * share
+        weight = _INTERVAL_SMOOTHING if state.event_interval else 1
+        state.event_interval += (seconds - state.event_interval) * weight
 
     def notify(self) -> None:
         """Call the subscribers."""
-        for changed in self._subscribers:
-            changed()
+        for callback in self._subscribers:
+            callback()
 
-    def _raise(
+    def _raise_version(
         self, state: SamplerState, model: str, version: WeightVersion
     ) -> bool:
         if state.versions.get(model, 0) >= version:
--- a/guavagate/service.py
+++ b/guavagate/service.py
@@ -25,7 +25,7 @@
     MAX_SUCCESSORS,
     Coordinator,
     Lease,
-    NamedVersions,
+    PublishedVersions,
     Renewals,
     SamplerStates,
     lease_path,
@@ -103,8 +103,8 @@
         self._lease_seconds = lease_seconds
         self._metrics = metrics
         self._retention = retention
-        self._named = NamedVersions(clock)
-        self._named.changed = self._wake
+        self._published = PublishedVersions(clock)
+        self._published.on_change = self._wake
         self._services: dict[ServiceId, _Service] = {}
         self._leaving = False
         self._start_versions: Callable[[], None] = _do_nothing
@@ -120,7 +120,7 @@
 
     def name_version(self, model: str, version: WeightVersion) -> None:
         """Take in a version that a trainer has named."""
-        self._named.put(model, version)
+        self._published.put(model, version)
 
     def find(self, service: ServiceId) -> JobOwner | None:
         """Return the owner of a service's jobs, if it is at work here."""
@@ -219,7 +219,7 @@
             lease,
             self._routes,
             self._upstreams,
-            self._named,
+            self._published,
             states,
             self._client,
             owner.collect_demands,
--- a/standins/_safeguard_jobs.py
+++ b/standins/_safeguard_jobs.py
@@ -84,10 +84,10 @@
         'tests/feeds/test_feed.py',
     ),
     Safeguard(
-        'an odd sampler goes to whoever submits most',
+        'the odd sampler goes to the largest workload',
         'guavagate/rollouts/_assign.py',
-        'key=lambda each: (-weigh(each), -held[each], each)',
-        'key=lambda each: (-held[each], each)',
+        'key=lambda each: (-weigh(each), -counts[each], each)',
+        'key=lambda each: (-counts[each], each)',
         'tests/rollouts/test_plan.py',
     ),
 )
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -115,7 +115,7 @@
         'tests/duties/test_scaler.py',
     ),
     Safeguard(
-        'tasks that share a lease renew it in turn',
+        'tasks that share a lease renew it one at a time',
         'guavagate/rollouts/_lease.py',
         '        with self._lock:\n',
         '        if True:\n',
--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Orders to samplers, with answers lost and sampler state unknown."""
+"""Load orders while responses are lost and samplers fail or restart."""
 
 from guavagate.measure.fakes import MemoryStore, World
 from guavagate.models import InstanceId, WeightVersion, ZoneId
@@ -12,7 +12,7 @@
 from guavagate.rollouts import (
     Coordinator,
     Lease,
-    NamedVersions,
+    PublishedVersions,
     Renewals,
     SamplerStates,
     lease_path,
@@ -39,8 +39,8 @@
     return Configuration(version=version, routes=(route,), services=(service,))
 
 
-class _Setting:
-    """One coordinator before six samplers."""
+class _Setup:
+    """One coordinator with six samplers."""
 
     def __init__(self, *, single_version: bool = False) -> None:
         world = World()
@@ -52,7 +52,7 @@
         self.upstreams = UpstreamTable(self.clock, ZoneId('zone-0'))
         for name in 'abcdef':
             self.upstreams.put(make_upstream(name))
-        self.named = NamedVersions(self.clock)
+        self.published = PublishedVersions(self.clock)
         self.states = SamplerStates()
         self.samplers = FakeSamplers(self.clock)
         self.lease = Lease(
@@ -71,7 +71,7 @@
             self.lease,
             routes,
             self.upstreams,
-            self.named,
+            self.published,
             self.states,
             self.samplers,
             dict,
@@ -79,165 +79,165 @@
         )
         self.coordinator.start()
 
-    def name(self, version: int) -> None:
-        """Name a version of the model."""
-        self.named.put(MODEL, WeightVersion(version))
+    def publish(self, version: int) -> None:
+        """Publish a version of the model."""
+        self.published.put(MODEL, WeightVersion(version))
         self.coordinator.wake()
 
 
-def test_a_named_version_reaches_all_samplers_a_few_at_a_time() -> None:
-    """Six samplers load two at a time, with one generation for all.
+def test_a_published_version_reaches_all_samplers_in_batches() -> None:
+    """Six samplers load two at a time, all under one generation.
 
-    None before a step that comes with the version had time to start.
+    None loads before a step that comes with the version has had time to start.
     """
-    held = _Setting()
-    held.name(2)
-    held.clock.advance(0.5)
-    assert not held.samplers.orders
-    held.clock.advance(0.7)
-    assert len(held.samplers.orders) == 2
-    held.clock.advance(6)
-    assert set(held.samplers.versions) == set('abcdef')
-    assert {order.generation for _, _, order in held.samplers.orders} == {1}
-
-
-def test_an_order_without_an_answer_is_not_sent_blindly_again() -> None:
-    """The sampler took the order or will take it late.
-
-    Its count of orders is asked for before another one is sent, so the late
-    one is refused by the sampler itself.
+    setup = _Setup()
+    setup.publish(2)
+    setup.clock.advance(0.5)
+    assert not setup.samplers.orders
+    setup.clock.advance(0.7)
+    assert len(setup.samplers.orders) == 2
+    setup.clock.advance(6)
+    assert set(setup.samplers.versions) == set('abcdef')
+    assert {order.generation for _, _, order in setup.samplers.orders} == {1}
+
+
+def test_an_order_without_a_response_is_not_blindly_repeated() -> None:
+    """The sampler has accepted the order, or will receive it late.
+
+    The coordinator requests the sampler's order count before it sends another
+    order, so that the sampler itself refuses the late one.
     """
-    held = _Setting()
-    held.samplers.silent_orders = 2
-    held.name(2)
-    held.clock.advance(10)
-    assert set(held.samplers.versions) == set('abcdef')
-    for _, sampler, order in held.samplers.orders[-4:]:
-        assert order.orders_taken <= held.samplers.orders_taken[sampler]
+    setup = _Setup()
+    setup.samplers.silent_orders = 2
+    setup.publish(2)
+    setup.clock.advance(10)
+    assert set(setup.samplers.versions) == set('abcdef')
+    for _, sampler, order in setup.samplers.orders[-4:]:
+        assert order.orders_taken <= setup.samplers.orders_taken[sampler]
 
 
-def test_an_older_name_that_comes_late_changes_nothing() -> None:
-    """A list read after a lost watch holds what is known already."""
-    held = _Setting()
-    held.name(3)
-    held.clock.advance(8)
-    held.name(2)
-    held.clock.advance(8)
-    assert set(held.samplers.versions.values()) == {3}
+def test_a_late_older_version_is_ignored() -> None:
+    """A list that is read after a lost watch contains known versions."""
+    setup = _Setup()
+    setup.publish(3)
+    setup.clock.advance(8)
+    setup.publish(2)
+    setup.clock.advance(8)
+    assert set(setup.samplers.versions.values()) == {3}
 
 
-def test_runs_end_before_a_load_where_texts_have_one_version() -> None:
-    """A route asks for texts made by a single version."""
-    held = _Setting(single_version=True)
-    held.name(2)
-    held.clock.advance(1)
-    assert not any(each.keep_running for _, _, each in held.samplers.orders)
+def test_runs_end_before_a_load_on_single_version_routes() -> None:
+    """A route requires that a single version generates each text."""
+    setup = _Setup(single_version=True)
+    setup.publish(2)
+    setup.clock.advance(1)
+    assert not any(each.keep_running for _, _, each in setup.samplers.orders)
 
 
 def test_after_stepping_down_nothing_is_ordered() -> None:
-    """Another instance coordinates now."""
-    held = _Setting()
-    held.name(2)
-    held.clock.advance(0.5)
-    held.coordinator.stop()
-    sent = len(held.samplers.orders)
-    held.clock.advance(5)
-    assert len(held.samplers.orders) == sent
-    assert not held.lease.may_order()
-
-
-def test_a_dead_sampler_is_not_ordered_over_and_over() -> None:
-    """It is registered for some seconds more and refuses connections.
-
-    Each order that fails costs a connection and a renewal of the lease; the
-    others are brought to the version meanwhile.
+    """Another instance is the coordinator now."""
+    setup = _Setup()
+    setup.publish(2)
+    setup.clock.advance(0.5)
+    setup.coordinator.stop()
+    sent = len(setup.samplers.orders)
+    setup.clock.advance(5)
+    assert len(setup.samplers.orders) == sent
+    assert not setup.lease.may_order()
+
+
+def test_a_dead_sampler_does_not_get_endless_orders() -> None:
+    """It stays registered for some seconds and refuses connections.
+
+    Each failed order costs a connection attempt and a renewal of the lease;
+    meanwhile the other samplers must still load the version.
     """
-    held = _Setting()
-    held.samplers.down.add('a')
-    held.name(2)
-    held.clock.advance(6)
-    assert set(held.samplers.versions) == set('bcdef')
-    assert held.samplers.reports['a'] < 15
+    setup = _Setup()
+    setup.samplers.down.add('a')
+    setup.publish(2)
+    setup.clock.advance(6)
+    assert set(setup.samplers.versions) == set('bcdef')
+    assert setup.samplers.reports['a'] < 15
 
 
-def test_each_order_names_how_many_were_taken_before() -> None:
-    """An order that comes late meets another count, and is refused.
+def test_each_order_carries_the_count_of_accepted_orders() -> None:
+    """A late order has an outdated count, and the sampler refuses it.
 
-    Without the right count the second version's orders would be refused too.
+    With a wrong count, the orders for the second version would be refused too.
     """
-    held = _Setting()
-    held.name(2)
-    held.clock.advance(8)
-    held.name(3)
-    held.clock.advance(8)
-    assert set(held.samplers.versions.values()) == {3}
-    sent = [order.orders_taken for _, _, order in held.samplers.orders]
+    setup = _Setup()
+    setup.publish(2)
+    setup.clock.advance(8)
+    setup.publish(3)
+    setup.clock.advance(8)
+    assert set(setup.samplers.versions.values()) == {3}
+    sent = [order.orders_taken for _, _, order in setup.samplers.orders]
     assert sorted(sent) == [0] * 6 + [1] * 6
 
 
-def test_a_sampler_that_starts_again_is_ordered_anew() -> None:
-    """It had taken orders, crashed in a load and started under its id.
+def test_a_restarted_sampler_gets_its_orders_again() -> None:
+    """It accepted orders, crashed during a load and restarted with its id.
 
-    It counts orders from the start, so the number that was held would have
-    every order refused; what it was loading, it has not loaded.
+    Its order count starts at zero again, so it would refuse every order with
+    the previous count; the version that it was loading is not loaded.
     """
-    held = _Setting()
-    held.samplers.incarnation = dict.fromkeys('abcdef', 100)
-    held.name(2)
-    held.clock.advance(12)
-    assert held.samplers.versions['a'] == 2
-    before = len(held.samplers.orders)
-    held.samplers.orders_taken['a'] = 0
-    held.samplers.incarnation['a'] = 200
-    held.samplers.versions['a'] = WeightVersion(1)
+    setup = _Setup()
+    setup.samplers.incarnation = dict.fromkeys('abcdef', 100)
+    setup.publish(2)
+    setup.clock.advance(12)
+    assert setup.samplers.versions['a'] == 2
+    before = len(setup.samplers.orders)
+    setup.samplers.orders_taken['a'] = 0
+    setup.samplers.incarnation['a'] = 200
+    setup.samplers.versions['a'] = WeightVersion(1)
     upstream = make_upstream('a', incarnation=200)
-    held.upstreams.put(upstream)
-    held.clock.advance(1)
-    held.name(3)
-    held.clock.advance(12)
-    assert held.samplers.versions['a'] == 3
+    setup.upstreams.put(upstream)
+    setup.clock.advance(1)
+    setup.publish(3)
+    setup.clock.advance(12)
+    assert setup.samplers.versions['a'] == 3
     again = [
         (order.version, order.orders_taken)
-        for _, name, order in held.samplers.orders[before:]
+        for _, name, order in setup.samplers.orders[before:]
         if name == 'a'
     ]
     assert again == [(2, 0), (3, 1)]
 
 
-def test_a_sampler_whose_clock_was_set_back_is_believed() -> None:
-    """Its new start seems older than the former one by what it says.
+def test_a_restart_with_a_clock_set_back_is_detected() -> None:
+    """The new incarnation of the sampler is lower than the previous one.
 
-    A registration of the former start may come late, so that alone proves
-    nothing; a report that was asked for after it is the sampler's own word.
+    A registration of the previous incarnation may arrive late, so it alone
+    proves nothing; a report that was requested afterwards is current.
     """
-    held = _Setting()
-    held.samplers.incarnation = dict.fromkeys('abcdef', 500)
-    held.name(2)
-    held.clock.advance(12)
-    held.samplers.orders_taken['a'] = 0
-    held.samplers.incarnation['a'] = 100
-    held.name(3)
-    held.clock.advance(12)
-    assert held.samplers.versions['a'] == 3
-    assert held.states.get(make_upstream('a').id).incarnation == 100
-
-
-def test_an_answer_of_a_former_start_changes_nothing() -> None:
-    """An order was on its way when the sampler crashed and started again.
-
-    Its answer comes late, after the new start was seen to load; taken for the
-    new start's, a second order would be sent into that load.
+    setup = _Setup()
+    setup.samplers.incarnation = dict.fromkeys('abcdef', 500)
+    setup.publish(2)
+    setup.clock.advance(12)
+    setup.samplers.orders_taken['a'] = 0
+    setup.samplers.incarnation['a'] = 100
+    setup.publish(3)
+    setup.clock.advance(12)
+    assert setup.samplers.versions['a'] == 3
+    assert setup.states.get(make_upstream('a').id).incarnation == 100
+
+
+def test_a_response_of_a_previous_incarnation_is_ignored() -> None:
+    """An order was in transit when the sampler crashed and restarted.
+
+    Its response arrives while the new incarnation loads. Applied to the new
+    incarnation, it would cause a second order during that load.
     """
-    held = _Setting()
-    states = held.states
+    setup = _Setup()
+    states = setup.states
     name = make_upstream('a').id
     states.reset(name, 100)
-    former = states.get(name)
-    former.loading = True
+    previous = states.get(name)
+    previous.loading = True
     states.reset(name, 200)
-    fresh = states.get(name)
-    fresh.loading = True
-    former.loading = False
-    former.orders_taken = 7
-    assert fresh.loading
-    assert fresh.orders_taken is None
+    current = states.get(name)
+    current.loading = True
+    previous.loading = False
+    previous.orders_taken = 7
+    assert current.loading
+    assert current.orders_taken is None
--- a/tests/rollouts/test_plan.py
+++ b/tests/rollouts/test_plan.py
@@ -1,4 +1,4 @@
-"""When samplers load and who helps, under loads of several models."""
+"""When samplers load, which are borrowed, and how models share them."""
 
 from guavagate.models import UpstreamId, WeightVersion
 from guavagate.rollouts import ModelDemand, assign_samplers
@@ -34,32 +34,34 @@
     return {UpstreamId(name): {} for name in names}
 
 
-def test_no_load_while_items_wait_that_can_be_served() -> None:
-    """A version is named as the next step arrives, which accepts the former.
+def test_no_load_while_waiting_items_can_be_served() -> None:
+    """A version is published as the next step, which accepts the old, arrives.
 
-    Both samplers of the model can serve it; loading now would hold the step
-    up by a second.
+    Both samplers of the model can serve it; loading now would delay the step
+    by a second.
     """
     samplers = [_make_view(name, {'m': 2}) for name in 'ab']
     demand = _make_demand(
-        newest=3, required=2, waiting=20, seconds_since_named=0.1, open_jobs=1
+        newest=3,
+        required=2,
+        waiting=20,
+        version_age=0.1,
+        open_jobs=1,
     )
     assert not plan_orders(samplers, {'m': demand})
     demand.waiting = 0
     assert len(plan_orders(samplers, {'m': demand})) == 1
 
 
-def test_a_load_is_not_put_off_for_ever() -> None:
-    """Items wait all the time, as in overload."""
+def test_a_load_is_not_deferred_forever() -> None:
+    """Items wait all the time, as in an overload."""
     samplers = [_make_view(name, {'m': 2}) for name in 'abcdef']
-    demand = _make_demand(
-        newest=3, required=2, waiting=20, seconds_since_named=3
-    )
+    demand = _make_demand(newest=3, required=2, waiting=20, version_age=3)
     assert plan_orders(samplers, {'m': demand})
 
 
-def test_samplers_that_can_serve_nothing_load_at_once() -> None:
-    """The open step accepts only newer versions than any sampler has."""
+def test_samplers_without_an_accepted_version_load_at_once() -> None:
+    """The open step accepts only versions newer than any sampler has."""
     samplers = [_make_view(name, {'m': 1}) for name in 'abcdef']
     demand = _make_demand(newest=3, required=2, waiting=20)
     planned = plan_orders(samplers, {'m': demand})
@@ -67,8 +69,8 @@
     assert {each.version for each in planned} == {3}
 
 
-def test_only_a_third_loads_at_once() -> None:
-    """The others go on serving, and the weight store is shared."""
+def test_only_a_third_loads_at_the_same_time() -> None:
+    """The others continue to serve, and loads share the weight store."""
     samplers = [_make_view(name, {'m': 1}) for name in 'abcdef']
     samplers[0].loading = True
     samplers[1].loading = True
@@ -76,15 +78,15 @@
 
 
 def test_one_of_two_keeps_serving() -> None:
-    """A model with two samplers never has both loading by choice."""
+    """A model with two samplers never has both loading unless it must."""
     samplers = [_make_view('a', {'m': 1}, loading=True)]
     samplers += [_make_view('b', {'m': 1})]
     samplers += [_make_view(name, {'n': 1}, 'n') for name in 'cdef']
     assert not plan_orders(samplers, {'m': _make_demand(newest=2)})
 
 
-def test_an_idle_sampler_helps_a_model_that_falls_behind() -> None:
-    """One model has lost a sampler and its items wait; another idles."""
+def test_an_idle_sampler_is_borrowed_for_a_short_model() -> None:
+    """One model lost a sampler and its items wait; another model is idle."""
     samplers = [
         _make_view('a', {'m': 1}, 'm', free=0),
         _make_view('b', {'n': 1}, 'n'),
@@ -96,8 +98,8 @@
     assert choose_samplers_to_borrow(samplers, demands) == {'b': 'm'}
 
 
-def test_a_burst_that_is_being_handed_out_calls_no_helper() -> None:
-    """A step has just arrived; its items wait for a moment only."""
+def test_a_burst_that_is_being_dispatched_borrows_no_sampler() -> None:
+    """A step has just arrived; its items wait only for a moment."""
     samplers = [
         _make_view('a', {'m': 1}, 'm', free=0),
         _make_view('b', {'n': 1}, 'n'),
@@ -106,8 +108,8 @@
     assert not choose_samplers_to_borrow(samplers, demands)
 
 
-def test_nobody_helps_while_its_own_items_wait() -> None:
-    """All models are short; taking from each other only costs loads."""
+def test_no_sampler_is_borrowed_while_its_own_items_wait() -> None:
+    """All models lack samplers; borrowing from each other only costs loads."""
     samplers = [_make_view('b', {'n': 1}, 'n')]
     demands = {
         'm': _make_demand(waiting=20, waiting_seconds=1),
@@ -117,15 +119,15 @@
 
 
 def test_models_share_the_samplers_evenly() -> None:
-    """Three trainers, six samplers: two each, and no more loads than that."""
+    """Three trainers with six samplers get two each, to limit the loads."""
     versions = _make_versions('abcdef')
-    dealt = assign_samplers(['m', 'n', 'o'], versions, {})
+    assigned = assign_samplers(['m', 'n', 'o'], versions, {})
     for model in 'mno':
-        assert sum(model in models for models in dealt.values()) == 2
+        assert sum(model in models for models in assigned.values()) == 2
 
 
 def test_a_lost_sampler_moves_no_other() -> None:
-    """What a model holds it keeps, as each move costs a load."""
+    """Each model keeps its other samplers, because a move costs a load."""
     versions = _make_versions('abcdef')
     before = assign_samplers(['m', 'n', 'o'], versions, {})
     for gone in list(versions):
@@ -136,57 +138,68 @@
 
 def test_fewer_samplers_than_models_serve_all() -> None:
     """One sampler is left for two trainers."""
-    dealt = assign_samplers(['m', 'n'], {UpstreamId('a'): {}}, {})
-    assert dealt == {'a': frozenset(('m', 'n'))}
+    assigned = assign_samplers(['m', 'n'], {UpstreamId('a'): {}}, {})
+    assert assigned == {'a': frozenset(('m', 'n'))}
 
 
-def test_in_a_large_fleet_shares_follow_the_work() -> None:
-    """One trainer submits half of what the two others do."""
+def test_in_a_large_fleet_shares_follow_the_workloads() -> None:
+    """One trainer submits half of what each of the two others submits."""
     versions = _make_versions('abcdefghijklmnopqrstuvwx')
     work = {'m': 1200.0, 'n': 2240.0, 'o': 2240.0}
-    dealt = assign_samplers(['m', 'n', 'o'], versions, {}, work)
-    counts = [sum(each in held for held in dealt.values()) for each in 'mno']
+    assigned = assign_samplers(['m', 'n', 'o'], versions, {}, work)
+    counts = [
+        sum(each in models for models in assigned.values()) for each in 'mno'
+    ]
     assert sum(counts) == 24
     assert counts[0] == 5
     changed = {**work, 'm': 1400.0}
-    assert assign_samplers(['m', 'n', 'o'], versions, dealt, changed) == dealt
+    assert (
+        assign_samplers(['m', 'n', 'o'], versions, assigned, changed)
+        == assigned
+    )
 
 
 def test_in_a_small_fleet_shares_stay_equal() -> None:
     """With two samplers each, one less would be half of a model's capacity."""
     work = {'m': 448.0, 'n': 936.0, 'o': 936.0}
-    dealt = assign_samplers(['m', 'n', 'o'], _make_versions('abcdef'), {}, work)
-    counts = [sum(each in held for held in dealt.values()) for each in 'mno']
+    assigned = assign_samplers(
+        ['m', 'n', 'o'], _make_versions('abcdef'), {}, work
+    )
+    counts = [
+        sum(each in models for models in assigned.values()) for each in 'mno'
+    ]
     assert counts == [2, 2, 2]
 
 
-def test_an_odd_sampler_is_for_the_trainer_that_submits_most() -> None:
-    """Five samplers, three trainers; one submits half of what others do.
+def test_the_odd_sampler_goes_to_the_largest_workload() -> None:
+    """Three trainers share five samplers; one submits half as much.
 
-    With two samplers for the small one, a large one has a single sampler and
-    none of its steps is in time.
+    If the small one had two samplers, a large one would have a single sampler
+    and all of its steps would be late.
     """
     work = {'m': 450.0, 'n': 900.0, 'o': 900.0}
     versions = _make_versions('abcde')
     before = assign_samplers(['m', 'n', 'o'], versions, {})
-    dealt = assign_samplers(['m', 'n', 'o'], versions, before, work)
-    counts = [sum(each in held for held in dealt.values()) for each in 'mno']
+    assigned = assign_samplers(['m', 'n', 'o'], versions, before, work)
+    counts = [
+        sum(each in models for models in assigned.values()) for each in 'mno'
+    ]
     assert counts == [1, 2, 2]
     nearly = {**work, 'm': 1000.0}
-    assert assign_samplers(['m', 'n', 'o'], versions, dealt, nearly) == dealt
+    assert (
+        assign_samplers(['m', 'n', 'o'], versions, assigned, nearly) == assigned
+    )
 
 
-def test_no_load_as_the_next_step_is_about_to_come() -> None:
-    """A trainer is behind its schedule: it names a version and submits.
+def test_no_load_when_the_next_step_is_imminent() -> None:
+    """A trainer is behind schedule: it publishes a version and submits.
 
-    The version is heard of a tenth of a second before the step. Were the
-    samplers to load then, as no item waits, the step would start a second
-    late, and each one after it as well.
+    The version arrives a tenth of a second before the step. If the samplers
+    loaded then, because no item waits, this step and each later one would
+    start a second late.
     """
     samplers = [_make_view(name, {'m': 2}) for name in 'abcdef']
-    demand = _make_demand(
-        newest=3, seconds_since_named=0.1, seconds_to_next_job=-4
-    )
+    demand = _make_demand(newest=3, version_age=0.1, seconds_to_next_job=-4)
     assert not plan_orders(samplers, {'m': demand})
     demand.seconds_to_next_job = None
     assert not plan_orders(samplers, {'m': demand})
@@ -195,20 +208,16 @@
 
 
 def test_a_load_fits_in_before_a_step_that_is_due_later() -> None:
-    """A trainer is ahead of its schedule; the samplers idle meanwhile."""
+    """A trainer is ahead of schedule; the samplers are idle meanwhile."""
     samplers = [_make_view(name, {'m': 2}) for name in 'abcdef']
-    demand = _make_demand(
-        newest=3, seconds_since_named=0.1, seconds_to_next_job=1.5
-    )
+    demand = _make_demand(newest=3, version_age=0.1, seconds_to_next_job=1.5)
     assert plan_orders(samplers, {'m': demand})
     demand.seconds_to_next_job = 0.5
     assert not plan_orders(samplers, {'m': demand})
 
 
-def test_a_step_that_does_not_come_is_not_waited_for() -> None:
-    """The trainer has stopped; the samplers load all the same."""
+def test_a_step_that_does_not_come_does_not_defer_loads() -> None:
+    """The trainer has stopped; the samplers load nevertheless."""
     samplers = [_make_view(name, {'m': 2}) for name in 'abcdef']
-    demand = _make_demand(
-        newest=3, seconds_since_named=0.8, seconds_to_next_job=-0.7
-    )
+    demand = _make_demand(newest=3, version_age=0.8, seconds_to_next_job=-0.7)
     assert plan_orders(samplers, {'m': demand})
