--- a/guavagate/duties/__init__.py
+++ b/guavagate/duties/__init__.py
@@ -1,4 +1,4 @@
-"""Calls to the platform that one instance makes for all of them."""
+"""Calls to the platform that one instance makes on behalf of all."""
 
 from guavagate.duties._cluster_clock import ClusterClock
 from guavagate.duties._counter import UsageCounter
--- a/guavagate/duties/_cluster_clock.py
+++ b/guavagate/duties/_cluster_clock.py
@@ -1,10 +1,11 @@
-"""The time of day that most machines agree on; no network.
-
-Failure pattern: the time of day jumps by seconds on a third of the machines,
-the one that reports usage among them. By its own clock it would close windows
-too early, and requests would be counted in the wrong ones. Each instance that
-tells its counts also tells its time of day. Their median is right while most
-of them are, and between two of them the boot clock goes on, which never jumps.
+"""A wall clock that most instances agree on; uses no network.
+
+Failure pattern: the wall clock jumps by seconds on a third of the machines,
+including the one that reports usage. By its own clock, that instance would
+close windows too early, and requests would be counted in the wrong windows.
+Therefore each instance sends its wall clock time along with its counts. The
+median is correct while most of the clocks are, and between two messages the
+boot clock, which never jumps, advances it.
 """
 
 import statistics
@@ -14,12 +15,12 @@
 
 
 class ClusterClock:
-    """Seconds since 1970, by the clocks of all who tell theirs.
+    """Seconds since 1970, as the median of the known wall clocks.
 
     Parameters
     ----------
     wall, boot
-        This machine's time of day and its boot clock.
+        This machine's wall clock and boot clock.
     """
 
     def __init__(
@@ -28,31 +29,31 @@
         self._wall = wall
         self._boot = boot
         self._others: dict[InstanceId, float] = {}
-        self._told: float | None = None
+        self._reporter_offset: float | None = None
 
     def now(self) -> float:
-        """Return the time of day."""
+        """Return the cluster time."""
         return self._boot() + self._find_offset()
 
     def record(self, instance: InstanceId, wall: float) -> None:
-        """Take in what another machine's clock shows just now."""
+        """Record the current wall clock time of another instance."""
         self._others[instance] = wall - self._boot()
 
     def retain(self, alive: set[InstanceId]) -> None:
-        """Forget the clocks of those that are gone."""
+        """Discard the clocks of instances that are not alive."""
         for instance in self._others.keys() - alive:
             self._others.pop(instance)
 
     def follow(self, now: float) -> None:
-        """Go by what the instance that hears all of them has told."""
-        self._told = now - self._boot()
+        """Use the time that the reporter, which knows all clocks, has sent."""
+        self._reporter_offset = now - self._boot()
 
     def stop_following(self) -> None:
-        """Go by the clocks heard of here, not by what another one told."""
-        self._told = None
+        """Use the median of the clocks known here, not the reporter's time."""
+        self._reporter_offset = None
 
     def _find_offset(self) -> float:
-        if self._told is not None:
-            return self._told
-        mine = self._wall() - self._boot()
-        return statistics.median([mine, *self._others.values()])
+        if self._reporter_offset is not None:
+            return self._reporter_offset
+        own = self._wall() - self._boot()
+        return statistics.median([own, *self._others.values()])
--- a/guavagate/duties/_messages.py
+++ b/guavagate/duties/_messages.py
@@ -1,11 +1,11 @@
-"""What entries tell of usage."""
+"""The messages that carry usage counts to the reporter."""
 
 from guavagate.links import Message
 from guavagate.ports.duties import Counts
 
 
 class TellUsage(Message, frozen=True, kw_only=True):
-    """A process's running totals by window, and its time of day."""
+    """A process's running totals by window, and its wall clock time."""
 
     source: str
     wall: float
@@ -13,6 +13,6 @@
 
 
 class UsageTaken(Message, frozen=True, kw_only=True):
-    """They were taken in; `now` is the true time, from one that reports."""
+    """Confirms totals; `now` is the cluster time if the sender reports."""
 
     now: float | None = None
--- a/guavagate/duties/_publisher.py
+++ b/guavagate/duties/_publisher.py
@@ -1,4 +1,4 @@
-"""Tells what is counted here to those that report, or would next."""
+"""Sends this instance's usage counts to the reporter and its successor."""
 
 import logging
 import secrets
@@ -16,22 +16,22 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# What an instance has counted and not told is lost with it.
-TELL_SECONDS: Final = 0.25
-# Also when there is nothing to tell: clocks are compared.
-COMPARE_SECONDS: Final = 8.0
-ASK_SECONDS: Final = 0.6
-# The instance that reports, and the one that would if it were lost.
-PEERS: Final = 2
+# Counts that an instance has not sent are lost with it.
+PUBLISH_INTERVAL_SECONDS: Final = 0.25
+# A message is sent this often even without new counts, to compare clocks.
+CLOCK_INTERVAL_SECONDS: Final = 8.0
+TIMEOUT_SECONDS: Final = 0.6
+# The reporter, and the instance that replaces it if it is lost.
+PEER_COUNT: Final = 2
 
 
 class UsagePublisher:
-    """Counts requests of this instance's callers.
+    """Counts the requests of this instance's callers and sends the totals.
 
     Parameters
     ----------
     rank
-        Returns who may report, the one that does first.
+        Returns the possible reporters, the current one first.
     """
 
     def __init__(
@@ -49,42 +49,44 @@
         self._counter = counter
         self._cluster_clock = cluster_clock
         self._rank = rank
-        self._compared: dict[InstanceId, float] = {}
+        self._sent_at: dict[InstanceId, float] = {}
 
     def start(self) -> None:
-        """Begin to tell."""
+        """Start sending totals."""
         self._clock.spawn(self._run)
 
     def record(self, team: TeamId, seconds_ago: float) -> None:
-        """Count a request that an upstream began so many seconds ago."""
+        """Count a request that an upstream started `seconds_ago`."""
         if team:
             self._counter.record(team, self._cluster_clock.now() - seconds_ago)
 
     def _run(self) -> None:
         while True:
-            self._clock.sleep(TELL_SECONDS)
+            self._clock.sleep(PUBLISH_INTERVAL_SECONDS)
             self.publish()
 
     def publish(self) -> None:
-        """Tell what is new to whoever has not taken it yet."""
-        peers = self._rank()[:PEERS]
+        """Send each peer the totals that it has not confirmed."""
+        peers = self._rank()[:PEER_COUNT]
         self._counter.retain(set(peers))
         for peer in peers:
-            news = self._counter.list_unconfirmed(peer)
-            compared = self._compared.get(peer, float('-inf'))
-            if news or self._clock.now() - compared >= COMPARE_SECONDS:
-                self._clock.spawn(self._send, peer, news)
+            windows = self._counter.list_unconfirmed(peer)
+            sent_at = self._sent_at.get(peer, float('-inf'))
+            if windows or self._clock.now() - sent_at >= CLOCK_INTERVAL_SECONDS:
+                self._clock.spawn(self._send, peer, windows)
 
-    def _send(self, peer: InstanceId, news: dict[int, Counts]) -> None:
+    def _send(self, peer: InstanceId, windows: dict[int, Counts]) -> None:
         message = TellUsage(
-            source=self._source, wall=self._clock.wall(), windows=news
+            source=self._source, wall=self._clock.wall(), windows=windows
         )
-        self._compared[peer] = self._clock.now()
+        self._sent_at[peer] = self._clock.now()
         try:
-            taken = self._bus.request(peer, message, UsageTaken, ASK_SECONDS)
+            reply = self._bus.request(
+                peer, message, UsageTaken, TIMEOUT_SECONDS
+            )
         except LinkError as error:
-            _LOGGER.debug('%s did not take the usage: %s', peer, error)
+            _LOGGER.debug('%s did not confirm usage: %s', peer, error)
             return
-        self._counter.confirm(peer, news)
-        if taken.now is not None:
-            self._cluster_clock.follow(taken.now)
+        self._counter.confirm(peer, windows)
+        if reply.now is not None:
+            self._cluster_clock.follow(reply.now)
--- a/guavagate/duties/_reporter.py
+++ b/guavagate/duties/_reporter.py
@@ -1,4 +1,4 @@
-"""Reports usage: each window once, with one content, whoever reports."""
+"""Reports usage windows with unique content, whichever instance reports."""
 
 import logging
 from collections.abc import Callable
@@ -26,41 +26,42 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-USAGE: Final = 'usage-windows'
+WINDOWS_FOLDER: Final = 'usage-windows'
 LEASE_PATH: Final = 'duty-leases/usage'
-LOOK_SECONDS: Final = 0.25
-# A request that began in a window is counted when it ends, and told a moment
-# later.
-CLOSE_SECONDS: Final = 2.0
-CREATE_SECONDS: Final = 1.5
-# Of windows that are over; a new holder looks at these for what the former one
-# did not report.
-LOOK_BACK: Final = 3
-# In windows; by then nobody reports them any more.
-KEPT: Final = 40
-# Tries that a report gets, one in each look; half a minute at least.
-MOST_TRIES: Final = 120
+CHECK_INTERVAL_SECONDS: Final = 0.25
+# A request is counted in the window in which it began, but only when it ends,
+# and its count arrives a moment later.
+CLOSE_DELAY_SECONDS: Final = 2.0
+CREATE_TIMEOUT_SECONDS: Final = 1.5
+# A new reporter checks this many past windows for missing reports of its
+# predecessor.
+CATCH_UP_WINDOWS: Final = 3
+# No instance reports a window that is older than this.
+RETAINED_WINDOWS: Final = 40
+# Attempts to send a report, one per check; they take at least half a minute.
+MAX_ATTEMPTS: Final = 120
 
 
 class _Window(msgspec.Struct):
-    """The content of a window, from the store."""
+    """The stored content of a window."""
 
     counts: Counts
 
 
 class UsageReporter:
-    """Hears what all have counted; reports it while it is the first in rank.
+    """Collects the counts of all instances; reports them while selected.
 
-    What is sent is first created in the store under the window's number. Who
-    finds another content there sends that one, so that all reports of a window
-    are equal, whoever sent them and whoever has heard of more meanwhile.
+    The content of a report is first created in the store under the window's
+    number. A reporter that finds another content there sends that one, so that
+    all reports of a window are equal, whichever instance sends them and
+    whichever counts arrive later.
 
     Parameters
     ----------
     length
-        Of a window, in seconds.
-    is_first
-        Returns whether this instance is the one to report.
+        The length of a window in seconds.
+    is_reporter
+        Returns whether this instance is the one that reports.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         client: DutyClient,
         cluster_clock: ClusterClock,
         length: float,
-        is_first: Callable[[], bool],
+        is_reporter: Callable[[], bool],
     ) -> None:
         self._me = me
         self._clock = clock
@@ -82,98 +83,100 @@
         self._client = client
         self._cluster_clock = cluster_clock
         self._length = length
-        self._is_first = is_first
+        self._is_reporter = is_reporter
         self._totals = UsageTotals()
         self._next: int | None = None
-        self._born = 0
-        self._open: dict[int, Counts] = {}
-        self._tries: dict[int, int] = {}
+        self._first_window = 0
+        self._unreported: dict[int, Counts] = {}
+        self._attempts: dict[int, int] = {}
         self._task: Task | None = None
-        bus.register(TellUsage, self._on_told)
+        bus.register(TellUsage, self._on_usage)
 
     def start(self) -> None:
-        """Begin to look whether there is something to report."""
-        self._born = int(self._cluster_clock.now() // self._length)
+        """Start checking for windows to report."""
+        self._first_window = int(self._cluster_clock.now() // self._length)
         self._task = self._clock.spawn(self._run)
 
-    def _on_told(self, sender: InstanceId, message: Message) -> UsageTaken:
-        told = expect(message, TellUsage)
-        if sender != self._me:  # Its own clock has a vote already.
-            self._cluster_clock.record(sender, told.wall)
-        self._totals.update(told.source, told.windows)
-        now = self._cluster_clock.now() if self._is_first() else None
+    def _on_usage(self, sender: InstanceId, message: Message) -> UsageTaken:
+        usage = expect(message, TellUsage)
+        if sender != self._me:  # The own clock is in the median anyway.
+            self._cluster_clock.record(sender, usage.wall)
+        self._totals.update(usage.source, usage.windows)
+        now = self._cluster_clock.now() if self._is_reporter() else None
         return UsageTaken(now=now)
 
     def _run(self) -> None:
         while True:
-            self._clock.sleep(LOOK_SECONDS)
-            if not self._is_first():
+            self._clock.sleep(CHECK_INTERVAL_SECONDS)
+            if not self._is_reporter():
                 self._step_down()
                 continue
             self._cluster_clock.stop_following()
             try:
-                self._look()
+                self._check()
             except (StoreError, NotWrittenError, MaybeWrittenError) as error:
-                _LOGGER.debug('usage waits for the store: %s', error)
+                _LOGGER.debug('cannot report usage: %s', error)
             except LeaseHeldError:
                 _LOGGER.debug('another instance reports usage')
 
     def _step_down(self) -> None:
         if self._next is not None:
             self._next = None
-            self._open.clear()
+            self._unreported.clear()
             self._lease.release()
 
-    def _look(self) -> None:
-        closed = self._cluster_clock.now() - CLOSE_SECONDS
-        over = int(closed // self._length)
+    def _check(self) -> None:
+        closed_until = self._cluster_clock.now() - CLOSE_DELAY_SECONDS
+        end = int(closed_until // self._length)
         if self._next is None:
-            self._next = over - LOOK_BACK
+            self._next = end - CATCH_UP_WINDOWS
             write(_LOGGER, events.REPORTER, reporter=self._me, first=self._next)
-        while self._next < over:
-            self._settle(self._next)
-            self._forget(self._next - KEPT)
+        while self._next < end:
+            self._close_window(self._next)
+            self._delete_window(self._next - RETAINED_WINDOWS)
             self._next += 1
-        self._totals.discard_before(over - KEPT)
-        for window in sorted(self._open):
+        self._totals.discard_before(end - RETAINED_WINDOWS)
+        for window in sorted(self._unreported):
             self._report(window)
 
-    def _settle(self, window: int) -> None:
-        """Fix the content of a window, or take the one that is fixed."""
-        path = f'{USAGE}/{window}'
-        if window < self._born and not self._totals.has_window(window):
-            # Before this instance was there to hear of counts; what the
-            # former holder has fixed is sent again, and nothing made up.
+    def _close_window(self, window: int) -> None:
+        """Store the content of a window, or load it if it is stored already."""
+        path = f'{WINDOWS_FOLDER}/{window}'
+        if window < self._first_window and not self._totals.has_window(window):
+            # The window began before this instance could receive counts. Only
+            # content that a previous reporter stored may be sent.
             stored = self._store.get(path)
             if stored is None:
-                self._tell_unknown(window)
+                self._log_unknown(window)
                 return
-            self._open[window] = _decode(stored.value)
+            self._unreported[window] = _decode(stored.value)
             return
         counts = self._totals.sum_window(window)
         value = msgspec.json.encode(_Window(counts))
-        other = create(self._store, self._clock, path, value, CREATE_SECONDS)
-        if other is not None:
-            counts = _decode(other.value)
-        self._open[window] = counts
+        existing = create(
+            self._store, self._clock, path, value, CREATE_TIMEOUT_SECONDS
+        )
+        if existing is not None:
+            counts = _decode(existing.value)
+        self._unreported[window] = counts
         write(
             _LOGGER,
             events.USAGE_CLOSED,
             window=window,
             requests=sum(counts.values()),
             teams=len(counts),
-            found=other is not None,
+            found=existing is not None,
         )
 
-    def _forget(self, window: int) -> None:
-        """Remove a window's record; nobody reports it any more."""
-        if window >= self._born:
-            self._store.delete(f'{USAGE}/{window}', None)
+    def _delete_window(self, window: int) -> None:
+        """Delete a window's record, which no instance needs any more."""
+        if window >= self._first_window:
+            self._store.delete(f'{WINDOWS_FOLDER}/{window}', None)
 
-    def _tell_unknown(self, window: int) -> None:
-        """Note a window that nobody counted, once some were reported at all."""
-        before = self._store.get(f'{USAGE}/{window - 1}')
-        if before is not None:
+    def _log_unknown(self, window: int) -> None:
+        """Log a window without counts if the window before it was reported."""
+        previous = self._store.get(f'{WINDOWS_FOLDER}/{window - 1}')
+        if previous is not None:
             write(_LOGGER, events.USAGE_UNKNOWN, window=window)
 
     def _report(self, window: int) -> None:
@@ -182,20 +185,22 @@
         if not self._lease.may_order():
             return
         holder = Holder(self._me, self._lease.generation)
-        counts = self._open[window]
+        counts = self._unreported[window]
         answer = self._client.report_usage(holder, window, counts)
-        tries = self._tries.get(window, 0) + 1
-        self._tries[window] = tries
-        self._note(window, answer, tries)
+        attempts = self._attempts.get(window, 0) + 1
+        self._attempts[window] = attempts
+        self._record_answer(window, answer, attempts)
 
-    def _note(self, window: int, answer: DutyAnswer, tries: int) -> None:
-        again = answer is DutyAnswer.UNKNOWN and tries < MOST_TRIES
-        if again and tries > 1:
+    def _record_answer(
+        self, window: int, answer: DutyAnswer, attempts: int
+    ) -> None:
+        retry = answer is DutyAnswer.UNKNOWN and attempts < MAX_ATTEMPTS
+        if retry and attempts > 1:
             return
         event = events.USAGE_REFUSED
         if answer is DutyAnswer.TAKEN:
             event = events.USAGE_REPORTED
-        elif again:
+        elif retry:
             event = events.USAGE_DELAYED
         late = self._cluster_clock.now() - (window + 1) * self._length
         write(
@@ -206,9 +211,9 @@
             after=round(late, 2),
             answer=answer.value,
         )
-        if not again:
-            self._open.pop(window)
-            self._tries.pop(window)
+        if not retry:
+            self._unreported.pop(window)
+            self._attempts.pop(window)
 
 
 def _decode(value: bytes) -> Counts:
--- a/guavagate/duties/_scaler.py
+++ b/guavagate/duties/_scaler.py
@@ -1,4 +1,4 @@
-"""Orders a service's upstreams, as its owner, under the service's lease."""
+"""Scales a service's upstreams from its job owner, under its lease."""
 
 import logging
 from collections import deque
@@ -23,13 +23,14 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-LOOK_SECONDS: Final = 0.5
-# What was asked for counts for so long: some steps, so that a trainer that
-# stops, or is slow once, does not have upstreams come and go.
+CHECK_INTERVAL_SECONDS: Final = 0.5
+# Peaks count for this long, which covers some steps, so that upstreams do not
+# come and go when a trainer stops or is slow once.
 PEAK_SECONDS: Final = 30.0
-# How long regular ones stand in where none that may be reclaimed were had.
-OUT_SECONDS: Final = 20.0
-# Beyond the boot of what was ordered; then the order seems lost.
+# How long regular upstreams replace spot ones in a zone that had none.
+SPOT_UNAVAILABLE_SECONDS: Final = 20.0
+# An order counts as lost when its upstreams are later than their boot time by
+# this.
 OVERDUE_SECONDS: Final = 2.0
 
 CountOpen = Callable[[], dict[str, int]]
@@ -37,14 +38,14 @@
 
 
 class Scaler:
-    """Brings a service's upstreams to the number that its steps ask for.
+    """Adjusts the number of a service's upstreams to the demand of its steps.
 
     Parameters
     ----------
     count_open
-        Returns the items by model that are not done.
+        Returns the number of unfinished items by model.
     count_slots
-        Returns the slots of an upstream.
+        Returns the number of slots of an upstream.
     """
 
     def __init__(
@@ -69,59 +70,65 @@
         self._count_open = count_open
         self._count_slots = count_slots
         self._peaks: dict[str, deque[tuple[float, int]]] = {}
-        self._base: dict[ZoneId, int] = {}
+        self._baseline: dict[ZoneId, int] = {}
         self._ordered: Targets = {}
         self._ordered_at: dict[_Key, float] = {}
-        self._out_until: dict[ZoneId, float] = {}
-        self._began_at = float(0)
+        self._spot_unavailable_until: dict[ZoneId, float] = {}
+        self._started_at = float(0)
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Begin to order."""
+        """Start scaling."""
         if self._task is None:
-            self._began_at = self._clock.now()
+            self._started_at = self._clock.now()
             self._task = self._clock.spawn(self._run)
 
     def stop(self) -> None:
-        """Order nothing more; what is there stays."""
+        """Stop scaling; existing upstreams stay."""
         if self._task is None:
             return
         self._task.kill(block=False)
         self._task = None
-        self._base.clear()
+        self._baseline.clear()
         self._ordered.clear()
         self._ordered_at.clear()
 
     def _run(self) -> None:
         while True:
-            self._clock.sleep(LOOK_SECONDS)
+            self._clock.sleep(CHECK_INTERVAL_SECONDS)
             try:
-                self._look()
+                self._check()
             except (LeaseHeldError, StoreUnavailableError) as error:
-                _LOGGER.debug('no upstreams are ordered now: %s', error)
+                _LOGGER.debug('cannot order upstreams: %s', error)
 
-    def _look(self) -> None:
-        described = self._routes.find_service(self._service)
-        if described is None or described.scaling is None:
+    def _check(self) -> None:
+        configured = self._routes.find_service(self._service)
+        if configured is None or configured.scaling is None:
             return
         now = self._clock.now()
-        wanted = self._measure_wanted()
-        fleets = self._count_fleets(described.scaling)
-        if now - self._began_at < PEAK_SECONDS:
-            # Nothing is known of the bursts yet. One that finds too few slots
-            # is late, and its trainer's next ones with it; some idle ones for
-            # half a minute cost less.
-            wanted = max(wanted, described.scaling.most * len(fleets))
-        out = [zone for zone, end in self._out_until.items() if end > now]
-        targets = choose_targets(described.scaling, self._base, wanted, out)
+        demand = self._compute_demand()
+        fleets = self._count_fleets(configured.scaling)
+        if now - self._started_at < PEAK_SECONDS:
+            # The bursts are still unknown. One that gets too few slots is late,
+            # and delays the next steps of its trainer; idle upstreams for half
+            # a minute cost less.
+            demand = max(demand, configured.scaling.most * len(fleets))
+        spot_unavailable = [
+            zone
+            for zone, end in self._spot_unavailable_until.items()
+            if end > now
+        ]
+        targets = choose_targets(
+            configured.scaling, self._baseline, demand, spot_unavailable
+        )
         for key, amount in targets.items():
-            if self._is_due(key, amount, fleets, described.scaling):
-                self._order(key, amount)
+            if self._is_due(key, amount, fleets, configured.scaling):
+                self._send_order(key, amount)
 
-    def _measure_wanted(self) -> float:
+    def _compute_demand(self) -> float:
         """Return how many upstreams the largest recent bursts would fill.
 
-        Of each model by itself, as each has upstreams of its own.
+        Adds up the peaks of the models, because each has its own upstreams.
         """
         now = self._clock.now()
         for model, amount in self._count_open().items():
@@ -129,9 +136,9 @@
             while peaks and peaks[-1][1] <= amount:
                 peaks.pop()
             peaks.append((now, amount))
-        for seen in self._peaks.values():
-            while seen and now - seen[0][0] > PEAK_SECONDS:
-                seen.popleft()
+        for recent in self._peaks.values():
+            while recent and now - recent[0][0] > PEAK_SECONDS:
+                recent.popleft()
         items = sum(each[0][1] for each in self._peaks.values() if each)
         return items / max(self._count_slots(), 1)
 
@@ -142,18 +149,19 @@
             fleet.spot += upstream.spot
             fleet.regular += not upstream.spot
         for zone, fleet in fleets.items():
-            self._note_base(zone, fleet.regular)
+            self._update_baseline(zone, fleet.regular)
         return fleets
 
-    def _note_base(self, zone: ZoneId, regular: int) -> None:
-        """Take the most that were there for what is to stay.
+    def _update_baseline(self, zone: ZoneId, regular: int) -> None:
+        """Raise a zone's baseline to the largest number of regular upstreams.
 
-        Registrations come one by one as an instance starts, and some are away
-        at any moment: what is there just now would have the others taken away.
-        Once some were ordered here, those that stand in are among them.
+        Registrations arrive one by one while an instance starts, and some
+        upstreams are away at any moment: with the current number as baseline,
+        the platform would remove the others. After the first order for a zone,
+        the number may include regular upstreams that replace spot ones.
         """
         if (zone, CapacityType.REGULAR) not in self._ordered:
-            self._base[zone] = max(self._base.get(zone, 0), regular)
+            self._baseline[zone] = max(self._baseline.get(zone, 0), regular)
 
     def _is_due(
         self,
@@ -164,15 +172,17 @@
     ) -> bool:
         zone, kind = key
         fleet = fleets.get(zone, Fleet())
-        there = fleet.spot if kind is CapacityType.SPOT else fleet.regular
-        if self._ordered.get(key, there) != amount:
+        current = fleet.spot if kind is CapacityType.SPOT else fleet.regular
+        if self._ordered.get(key, current) != amount:
             return True
-        if there >= amount:
+        if current >= amount:
             return False
-        since = self._clock.now() - self._ordered_at.get(key, self._began_at)
-        return since > scaling.boot + OVERDUE_SECONDS
+        elapsed = self._clock.now() - self._ordered_at.get(
+            key, self._started_at
+        )
+        return elapsed > scaling.boot + OVERDUE_SECONDS
 
-    def _order(self, key: _Key, amount: int) -> None:
+    def _send_order(self, key: _Key, amount: int) -> None:
         if not self._lease.may_order():
             acquire_for_orders(self._lease, self._clock)
         if not self._lease.may_order():
@@ -189,12 +199,12 @@
         now = self._clock.now()
         self._ordered[key] = amount
         self._ordered_at[key] = now
-        taken = answer is DutyAnswer.TAKEN
-        if not taken and kind is CapacityType.SPOT:
-            self._out_until[zone] = now + OUT_SECONDS
+        accepted = answer is DutyAnswer.TAKEN
+        if not accepted and kind is CapacityType.SPOT:
+            self._spot_unavailable_until[zone] = now + SPOT_UNAVAILABLE_SECONDS
         write(
             _LOGGER,
-            events.SCALE_ORDERED if taken else events.SCALE_FAILED,
+            events.SCALE_ORDERED if accepted else events.SCALE_FAILED,
             service=self._service,
             zone=zone,
             kind=kind.value,
--- a/guavagate/duties/_targets.py
+++ b/guavagate/duties/_targets.py
@@ -1,12 +1,12 @@
-"""How many upstreams of a service to order where; needs no network.
-
-Load pattern: each of a few trainers submits hundreds of items at one moment and
-waits for the longest of them. Items that find no slot begin when the first ones
-end, so the last long text begins seconds late and the whole step with it. What
-counts is the slots at the moment of the burst, not their mean use. Upstreams
-that may be reclaimed cost a fraction, and go zone by zone at seconds of notice:
-they are spread so that what is left after the loss of any one zone's still
-holds the burst.
+"""Computes the number of upstreams per zone; uses no network.
+
+Load pattern: each of a few trainers submits hundreds of items at once and waits
+for the longest of them. Items without a slot start when the first ones end, so
+the last long text starts seconds late and delays the whole step. What matters
+is therefore the number of slots at the time of the burst, not their average
+use. Spot upstreams cost a fraction of regular ones, but the platform may
+reclaim all of a zone with seconds of notice: they are spread so that those left
+after the loss of any one zone still have enough slots for the burst.
 """
 
 import enum
@@ -21,66 +21,68 @@
 
 
 class CapacityType(enum.Enum):
-    """What may happen to an upstream."""
+    """Whether the platform may reclaim an upstream (spot) or not."""
 
     REGULAR = 'regular'
     SPOT = 'spot'
 
 
 class Fleet(msgspec.Struct):
-    """A service's upstreams in a zone; leaving ones don't count."""
+    """A service's upstreams in a zone, without those that are leaving."""
 
     regular: int = 0
     spot: int = 0
 
 
 Targets = dict[tuple[ZoneId, CapacityType], int]
-# Upstreams for each that the burst asks for: some are slow, load or are lost.
-SPARE: Final = 1.1
+# Upstreams per upstream that a burst fills: some are slow, loading or lost.
+HEADROOM: Final = 1.1
 
 
 def choose_targets(
     scaling: Scaling,
-    base: Mapping[ZoneId, int],
-    wanted: float,
-    out: Container[ZoneId] = (),
+    baseline: Mapping[ZoneId, int],
+    demand: float,
+    spot_unavailable: Container[ZoneId] = (),
 ) -> Targets:
-    """Return how many upstreams to have, by zone and kind.
+    """Return the target number of upstreams by zone and capacity type.
 
     Parameters
     ----------
-    base
-        Regular upstreams that stay whatever is asked for, by zone.
-    wanted
-        Upstreams that the burst would fill.
-    out
-        Zones in which none that may be reclaimed are to be had; regular ones
-        stand in for them there.
+    baseline
+        Regular upstreams that stay regardless of the demand, by zone.
+    demand
+        The number of upstreams that the burst would fill.
+    spot_unavailable
+        Zones in which the platform has no spot upstreams; regular ones replace
+        them there.
     """
-    zones = sorted(base, key=lambda each: scaling.zone_prices.get(each, 1))
-    regular = {zone: _bound(scaling, base[zone]) for zone in zones}
-    room = {zone: max(scaling.most - regular[zone], 0) for zone in zones}
-    extra = max(math.ceil(wanted * SPARE) - sum(regular.values()), 0)
-    shares = _spread(room, extra)
+    zones = sorted(baseline, key=lambda each: scaling.zone_prices.get(each, 1))
+    regular = {zone: _clamp(scaling, baseline[zone]) for zone in zones}
+    available = {zone: max(scaling.most - regular[zone], 0) for zone in zones}
+    extra = max(math.ceil(demand * HEADROOM) - sum(regular.values()), 0)
+    shares = _spread_over_zones(available, extra)
     targets: Targets = {}
     for zone in zones:
-        stand_in = zone in out
+        use_regular = zone in spot_unavailable
         targets[zone, CapacityType.REGULAR] = (
-            regular[zone] + shares[zone] * stand_in
+            regular[zone] + shares[zone] * use_regular
         )
-        targets[zone, CapacityType.SPOT] = shares[zone] * (not stand_in)
+        targets[zone, CapacityType.SPOT] = shares[zone] * (not use_regular)
     return targets
 
 
-def _bound(scaling: Scaling, amount: int) -> int:
+def _clamp(scaling: Scaling, amount: int) -> int:
     return max(min(amount, scaling.most), scaling.least)
 
 
-def _spread(room: Mapping[ZoneId, int], extra: int) -> dict[ZoneId, int]:
-    """Return shares that hold `extra` without any one zone, as far as may be.
+def _spread_over_zones(
+    available: Mapping[ZoneId, int], extra: int
+) -> dict[ZoneId, int]:
+    """Return shares that provide `extra` without any one zone, if possible.
 
-    The cheapest zones come first in `room`.
+    The cheapest zones come first in `available`.
     """
-    others = max(len(room) - 1, 1)
+    others = max(len(available) - 1, 1)
     share = math.ceil(extra / others)
-    return {zone: min(share, free) for zone, free in room.items()}
+    return {zone: min(share, free) for zone, free in available.items()}
--- a/guavagate/duties/_totals.py
+++ b/guavagate/duties/_totals.py
@@ -1,4 +1,4 @@
-"""What all instances have counted, by window; no network."""
+"""Adds up the usage counts of all instances by window; no network."""
 
 from collections import defaultdict
 
@@ -6,36 +6,36 @@
 
 
 class UsageTotals:
-    """Running totals by window and by the process that counted.
+    """Running totals by window and counting process.
 
-    A total replaces the one before it, so a message that comes twice, or
-    through two ways, adds nothing. One that comes late holds less than what is
-    there and is left out.
+    A total replaces the previous one, so a message that arrives twice, or over
+    two paths, adds nothing. A late message has a lower total than the recorded
+    one and is ignored.
     """
 
     def __init__(self) -> None:
-        self._totals: defaultdict[int, dict[str, Counts]] = defaultdict(dict)
+        self._windows: defaultdict[int, dict[str, Counts]] = defaultdict(dict)
 
     def update(self, source: str, windows: dict[int, Counts]) -> None:
-        """Take in what a process has counted."""
+        """Record the totals of a process."""
         for window, counts in windows.items():
-            held = self._totals[window].get(source, {})
-            if sum(counts.values()) >= sum(held.values()):
-                self._totals[window][source] = counts
+            known = self._windows[window].get(source, {})
+            if sum(counts.values()) >= sum(known.values()):
+                self._windows[window][source] = counts
 
     def has_window(self, window: int) -> bool:
-        """Return whether anybody told counts of a window."""
-        return window in self._totals
+        """Return whether any process reported totals for a window."""
+        return window in self._windows
 
     def sum_window(self, window: int) -> Counts:
-        """Return the counts of a window by team."""
-        added: Counts = {}
-        for counts in self._totals.get(window, {}).values():
+        """Return the counts of a window by team, over all processes."""
+        sums: Counts = {}
+        for counts in self._windows.get(window, {}).values():
             for team, amount in counts.items():
-                added[team] = added.get(team, 0) + amount
-        return added
+                sums[team] = sums.get(team, 0) + amount
+        return sums
 
     def discard_before(self, window: int) -> None:
-        """Forget windows that nobody will ask for."""
-        for old in [each for each in self._totals if each < window]:
-            self._totals.pop(old)
+        """Discard the windows before `window`, which are no longer needed."""
+        for old in [each for each in self._windows if each < window]:
+            self._windows.pop(old)
--- a/guavagate/duties/_usage.py
+++ b/guavagate/duties/_usage.py
@@ -1,4 +1,4 @@
-"""The usage of all callers: counted at each instance, reported by one."""
+"""Accounts for the usage of all callers: counted everywhere, reported once."""
 
 from collections.abc import Callable
 from typing import Final
@@ -21,16 +21,16 @@
 
 
 class UsageAccounting:
-    """One instance's part in it.
+    """One instance's part of usage accounting.
 
     Parameters
     ----------
     length
-        Of a window, in seconds.
-    due
-        Whether usage has to be reported at all.
-    counts
-        Whether callers come here.
+        The length of a window in seconds.
+    enabled
+        Whether this deployment reports usage.
+    serves_callers
+        Whether this instance has requests to count.
     """
 
     def __init__(
@@ -46,14 +46,14 @@
         length: float,
         lease_seconds: float,
         *,
-        due: bool,
-        counts: bool,
+        enabled: bool,
+        serves_callers: bool,
         boot_clock: Callable[[], float] = read_boot_clock,
     ) -> None:
         self._me = me
         self._ownership = ownership
-        self._due = due
-        self._counts = counts
+        self._enabled = enabled
+        self._serves_callers = serves_callers
         cluster_clock = ClusterClock(clock.wall, boot_clock)
         members.subscribe(
             lambda: cluster_clock.retain({each.id for each in members.alive()})
@@ -79,19 +79,19 @@
             client,
             cluster_clock,
             length,
-            self._is_first,
+            self._is_reporter,
         )
 
     def start(self) -> None:
-        """Begin to count, and to report if that is this instance's duty."""
-        if self._due and self._counts:
+        """Start counting, and reporting when this instance is the reporter."""
+        if self._enabled and self._serves_callers:
             self._publisher.start()
-        if self._due:
+        if self._enabled:
             self._reporter.start()
 
     def record(self, team: TeamId, seconds_ago: float) -> None:
-        """Count a request that an upstream began so many seconds ago."""
-        if self._due:
+        """Count a request that an upstream started `seconds_ago`."""
+        if self._enabled:
             self._publisher.record(team, seconds_ago)
 
     def _rank(self) -> list[InstanceId]:
@@ -102,7 +102,7 @@
             :MAX_SUCCESSORS
         ]
 
-    def _is_first(self) -> bool:
+    def _is_reporter(self) -> bool:
         ranked = self._rank()
         first = bool(ranked) and ranked[0] == self._me
         return self._ownership.ready and first
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -274,8 +274,8 @@
             self._renewals,
             bounds.usage_window_s,
             bounds.lease_ms / const.MILLIS,
-            due=const.USAGE_DUTY in self._settings.cloud_api.duties,
-            counts=bool(self._settings.listen.front),
+            enabled=const.USAGE_DUTY in self._settings.cloud_api.duties,
+            serves_callers=bool(self._settings.listen.front),
         )
 
     def _make_attempts(self) -> Attempts:
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -78,14 +78,14 @@
         'tests/jobs/test_teams.py',
     ),
     Safeguard(
-        'a window has one content',
+        'a usage window is reported with one content',
         'guavagate/duties/_reporter.py',
-        '            counts = _decode(other.value)\n',
+        '            counts = _decode(existing.value)\n',
         '            pass\n',
         'tests/duties/test_reporter.py',
     ),
     Safeguard(
-        'a successor reporter waits the former one out',
+        "a successor reporter waits for its predecessor's reports",
         'guavagate/duties/_reporter.py',
         '            acquire_for_orders(self._lease, self._clock)\n'
         '        if not self._lease.may_order():\n'
@@ -94,24 +94,24 @@
         'tests/duties/test_reporter.py',
     ),
     Safeguard(
-        'a total that comes twice adds nothing',
+        'a total that arrives twice adds nothing',
         'guavagate/duties/_totals.py',
-        'self._totals[window][source] = counts\n',
-        'self._totals[window][f"{source}{len(held)}"] = counts\n',
+        'self._windows[window][source] = counts\n',
+        'self._windows[window][f"{source}{len(known)}"] = counts\n',
         'tests/duties/test_counts.py',
     ),
     Safeguard(
-        'the time of day is that of most machines',
+        'the cluster clock is the median of all clocks',
         'guavagate/duties/_cluster_clock.py',
-        'return statistics.median([mine, *self._others.values()])',
-        'return mine',
+        'return statistics.median([own, *self._others.values()])',
+        'return own',
         'tests/duties/test_cluster_clock.py',
     ),
     Safeguard(
-        'no upstream is sent away that was there',
+        'upstreams that were registered are not scaled away',
         'guavagate/duties/_scaler.py',
-        'self._base[zone] = max(self._base.get(zone, 0), regular)',
-        'self._base.setdefault(zone, regular)',
+        'self._baseline[zone] = max(self._baseline.get(zone, 0), regular)',
+        'self._baseline.setdefault(zone, regular)',
         'tests/duties/test_scaler.py',
     ),
     Safeguard(
--- a/tests/duties/test_usage.py
+++ b/tests/duties/test_usage.py
@@ -30,7 +30,7 @@
 
 
 def _start(
-    world: World, name: str, platform: _Platform, *, due: bool = True
+    world: World, name: str, platform: _Platform, *, enabled: bool = True
 ) -> UsageAccounting:
     me = InstanceId(name)
     members = world.members[me]
@@ -47,8 +47,8 @@
         Renewals(world.bus(name), world.clock.now),
         _LENGTH,
         3.0,
-        due=due,
-        counts=True,
+        enabled=enabled,
+        serves_callers=True,
         boot_clock=world.clock.now,
     )
     usage.start()
@@ -56,13 +56,13 @@
 
 
 def _make(
-    *, due: bool = True
+    *, enabled: bool = True
 ) -> tuple[World, _Platform, list[UsageAccounting]]:
     world, platform = World(), _Platform()
     for name in 'abc':
         world.add(name)
     world.clock.advance(1)
-    parts = [_start(world, name, platform, due=due) for name in 'abc']
+    parts = [_start(world, name, platform, enabled=enabled) for name in 'abc']
     return world, platform, parts
 
 
@@ -79,7 +79,7 @@
 
 def test_where_usage_is_no_duty_nothing_is_counted_or_sent() -> None:
     """Other deployments pay nothing for it."""
-    world, platform, parts = _make(due=False)
+    world, platform, parts = _make(enabled=False)
     world.store.calls.clear()
     for usage in parts:
         usage.record(_BLUE, 0)
--- a/tests/rollouts/test_lease.py
+++ b/tests/rollouts/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease for orders while holders pause, restart and lose answers."""
+"""The order lease while holders pause, restart and lose responses."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 class _Holders:
-    """Instances that may hold one lease, and tell each other of it."""
+    """Instances that compete for a lease and announce renewals."""
 
     def __init__(self) -> None:
         self.world = World()
@@ -25,7 +25,7 @@
         self.state = self.world.store
 
     def make(self, name: str) -> Lease:
-        """Start an instance, or start it again, and return its side."""
+        """Start or restart an instance, and return its lease handle."""
         self.world.add(name)
         me = InstanceId(name)
         return Lease(
@@ -38,262 +38,267 @@
             self.clock.now,
         )
 
-    def secure(self, lease: Lease) -> None:
-        """Secure a lease in virtual time."""
+    def acquire_or_renew(self, lease: Lease) -> None:
+        """Take or renew a lease in virtual time."""
         task = self.clock.spawn(lease.acquire_or_renew)
         self.clock.run_until(task.ready, 30)
         task.get(block=False)
 
 
 def test_the_first_holder_may_order_at_once() -> None:
-    """Nobody held the lease before, so nobody has to be waited out."""
-    held = _Holders()
-    lease = held.make('a')
-    held.secure(lease)
+    """There is no previous holder to wait for."""
+    holders = _Holders()
+    lease = holders.make('a')
+    holders.acquire_or_renew(lease)
     assert lease.may_order()
     assert lease.generation == 1
 
 
-def test_a_successor_waits_out_its_predecessor() -> None:
+def test_a_successor_waits_for_the_orders_of_its_predecessor() -> None:
     """The holder sent an order just before its lease was taken over.
 
-    Samplers that check no generation would see two holders within one lease
-    time. The successor's first order comes later than that, however late the
-    predecessor's last one was allowed.
+    Samplers that check no generation would get orders of two holders within
+    one lease time. The successor's first order must come a full lease time
+    after the last moment at which the predecessor was allowed to order.
     """
-    held = _Holders()
-    first, second = held.make('a'), held.make('b')
-    held.secure(first)
-    held.secure(second)
-    taken = held.clock.now()
+    holders = _Holders()
+    first, second = holders.make('a'), holders.make('b')
+    holders.acquire_or_renew(first)
+    holders.acquire_or_renew(second)
+    taken = holders.clock.now()
     assert second.generation == 2
     last = taken
     while not second.may_order():
         if first.may_order():
-            last = held.clock.now()
-        held.clock.advance(0.05)
-        held.secure(second)
-    assert held.clock.now() - last >= _LEASE_SECONDS
+            last = holders.clock.now()
+        holders.clock.advance(0.05)
+        holders.acquire_or_renew(second)
+    assert holders.clock.now() - last >= _LEASE_SECONDS
     assert not first.may_order()
 
 
-def _pass_time(held: _Holders, holder: Lease, seconds: float) -> float:
-    """Let time pass; return when the holder could have ordered last."""
-    until = held.clock.now() + seconds
-    last = held.clock.now()
-    while held.clock.now() < until:
+def _pass_time(holders: _Holders, holder: Lease, seconds: float) -> float:
+    """Let time pass; return when the holder was last allowed to order."""
+    until = holders.clock.now() + seconds
+    last = holders.clock.now()
+    while holders.clock.now() < until:
         if holder.may_order():
-            last = held.clock.now()
-        held.clock.advance(0.05)
+            last = holders.clock.now()
+        holders.clock.advance(0.05)
     return last
 
 
-def _await_order(held: _Holders, lease: Lease) -> float:
-    """Take over; return when the first order may be sent."""
-    held.secure(lease)
+def _await_order(holders: _Holders, lease: Lease) -> float:
+    """Take the lease over; return when the first order may be sent."""
+    holders.acquire_or_renew(lease)
     while not lease.may_order():
-        held.clock.advance(0.05)
-        held.secure(lease)
-    return held.clock.now()
+        holders.clock.advance(0.05)
+        holders.acquire_or_renew(lease)
+    return holders.clock.now()
 
 
-def test_a_successor_that_heard_of_the_last_renewal_waits_less() -> None:
-    """The holder ordered two seconds ago, and is killed.
+def test_a_successor_that_received_the_last_renewal_waits_less() -> None:
+    """The holder last renewed two seconds ago, and is killed.
 
-    The store does not tell when it ordered. Waiting out the whole time from
-    the takeover leaves steps without the weights that they ask for, two
-    seconds longer than need be.
+    The store does not show when it renewed. If the successor waited for the
+    full time from its takeover, steps would lack the weights that they require
+    for two seconds longer than necessary.
     """
-    held = _Holders()
-    first, second = held.make('a'), held.make('b')
-    held.secure(first)
-    last = _pass_time(held, first, 2)
-    taken = held.clock.now()
-    ordered = _await_order(held, second)
+    holders = _Holders()
+    first, second = holders.make('a'), holders.make('b')
+    holders.acquire_or_renew(first)
+    last = _pass_time(holders, first, 2)
+    taken = holders.clock.now()
+    ordered = _await_order(holders, second)
     assert ordered - last >= _LEASE_SECONDS
     assert ordered - taken < 2.1
 
 
-def test_a_renewal_that_was_not_heard_of_is_waited_out() -> None:
-    """The successor was cut off from the holder when that renewed again.
+def test_a_successor_that_missed_a_renewal_waits_the_full_time() -> None:
+    """The successor was partitioned from the holder during its last renewal.
 
-    What it heard before is older than the last order.
+    The renewals that it received are older than the last order.
     """
-    held = _Holders()
-    first, second = held.make('a'), held.make('b')
-    held.secure(first)
-    held.clock.advance(2)
+    holders = _Holders()
+    first, second = holders.make('a'), holders.make('b')
+    holders.acquire_or_renew(first)
+    holders.clock.advance(2)
     one, two = InstanceId('a'), InstanceId('b')
-    held.world.network.blocked |= {(one, two), (two, one)}
-    held.secure(first)
-    last = _pass_time(held, first, 0.6)
-    assert _await_order(held, second) - last >= _LEASE_SECONDS
+    holders.world.network.blocked |= {(one, two), (two, one)}
+    holders.acquire_or_renew(first)
+    last = _pass_time(holders, first, 0.6)
+    assert _await_order(holders, second) - last >= _LEASE_SECONDS
 
 
-def test_a_holder_killed_as_it_renews_has_told_of_it() -> None:
-    """Its write takes effect, and the process is gone before the answer.
+def test_a_holder_killed_during_a_renewal_has_announced_it() -> None:
+    """Its write takes effect, but the process dies before the response.
 
-    The successor heard of the renewal that is in the store, so it does not
-    wait the whole time.
+    The successor received the renewal that is in the store, so it does not
+    wait for the full time.
     """
-    held = _Holders()
-    first, second = held.make('a'), held.make('b')
-    held.secure(first)
-    held.clock.advance(2)
-    task = held.clock.spawn(first.acquire_or_renew)
-    held.state.lose_next = 1
-    before = held.state.revision
-    held.clock.run_until(lambda: held.state.revision > before, 1)
+    holders = _Holders()
+    first, second = holders.make('a'), holders.make('b')
+    holders.acquire_or_renew(first)
+    holders.clock.advance(2)
+    task = holders.clock.spawn(first.acquire_or_renew)
+    holders.state.lose_next = 1
+    before = holders.state.revision
+    holders.clock.run_until(lambda: holders.state.revision > before, 1)
     task.kill(block=False)
-    held.clock.advance(1)
-    taken = held.clock.now()
-    assert _await_order(held, second) - taken < 3
+    holders.clock.advance(1)
+    taken = holders.clock.now()
+    assert _await_order(holders, second) - taken < 3
 
 
-def test_a_takeover_in_a_wait_counts_what_was_waited_for() -> None:
-    """One takes over and is killed while it waits; the next one heard of it.
+def test_a_takeover_during_a_wait_includes_the_earlier_holder() -> None:
+    """A holder takes over and is killed while it waits; a third one follows.
 
-    It has ordered nothing, but the holder before it has, just before.
+    The second holder sent no orders, but the first one did just before.
     """
-    held = _Holders()
-    first, second, third = held.make('a'), held.make('b'), held.make('c')
-    held.secure(first)
-    held.secure(second)
-    last = _pass_time(held, first, 1)
-    assert _await_order(held, third) - last >= _LEASE_SECONDS
+    holders = _Holders()
+    first, second, third = (
+        holders.make('a'),
+        holders.make('b'),
+        holders.make('c'),
+    )
+    holders.acquire_or_renew(first)
+    holders.acquire_or_renew(second)
+    last = _pass_time(holders, first, 1)
+    assert _await_order(holders, third) - last >= _LEASE_SECONDS
 
 
 def test_the_last_holder_is_known_from_the_store() -> None:
-    """After a restart of all, nobody remembers who ordered."""
-    held = _Holders()
-    held.secure(held.make('a'))
-    held.secure(held.make('b'))
-    store = MemoryStore(held.clock, held.state)
-    task = held.clock.spawn(list_holders, store)
-    held.clock.run_until(task.ready, 5)
+    """After a restart of all instances, only the store has the holder."""
+    holders = _Holders()
+    holders.acquire_or_renew(holders.make('a'))
+    holders.acquire_or_renew(holders.make('b'))
+    store = MemoryStore(holders.clock, holders.state)
+    task = holders.clock.spawn(list_holders, store)
+    holders.clock.run_until(task.ready, 5)
     assert task.get(block=False) == {'llm': 'b'}
 
 
-def test_a_former_holder_can_not_renew() -> None:
-    """It was paused while another took over, and wakes."""
-    held = _Holders()
-    first, second = held.make('a'), held.make('b')
-    held.secure(first)
-    held.secure(second)
+def test_a_previous_holder_can_not_renew() -> None:
+    """It was paused while another instance took over, and resumes."""
+    holders = _Holders()
+    first, second = holders.make('a'), holders.make('b')
+    holders.acquire_or_renew(first)
+    holders.acquire_or_renew(second)
     with pytest.raises(LeaseHeldError):
-        held.secure(first)
+        holders.acquire_or_renew(first)
     assert not first.may_order()
 
 
-def test_a_renewal_is_good_for_a_moment_only() -> None:
-    """A holder that was suspended counts the time that it missed."""
-    held = _Holders()
-    lease = held.make('a')
-    held.secure(lease)
+def test_a_renewal_is_valid_only_briefly() -> None:
+    """The time during which a holder was suspended counts as well."""
+    holders = _Holders()
+    lease = holders.make('a')
+    holders.acquire_or_renew(lease)
     for _ in range(2):
         assert lease.may_order()
-        held.clock.advance(0.6)
+        holders.clock.advance(0.6)
         assert not lease.may_order()
-        held.secure(lease)
+        holders.acquire_or_renew(lease)
 
 
-def test_the_same_machine_need_not_wait_for_itself() -> None:
-    """Its process restarted; no other machine has ordered meanwhile."""
-    held = _Holders()
-    held.secure(held.make('a'))
-    again = held.make('a')
-    held.secure(again)
+def test_an_instance_does_not_wait_for_itself() -> None:
+    """Its process restarted; no other instance has ordered meanwhile."""
+    holders = _Holders()
+    holders.acquire_or_renew(holders.make('a'))
+    again = holders.make('a')
+    holders.acquire_or_renew(again)
     assert again.may_order()
     assert again.generation == 2
 
 
-def test_a_renewal_whose_answer_was_lost_is_ours() -> None:
-    """The write took effect; reading back tells whose it is."""
-    held = _Holders()
-    lease = held.make('a')
-    held.secure(lease)
-    held.state.lose_next = 1
-    held.secure(lease)
+def test_a_renewal_with_a_lost_response_is_recognised() -> None:
+    """The write took effect; reading it back shows who wrote it."""
+    holders = _Holders()
+    lease = holders.make('a')
+    holders.acquire_or_renew(lease)
+    holders.state.lose_next = 1
+    holders.acquire_or_renew(lease)
     assert lease.may_order()
-    held.secure(lease)
+    holders.acquire_or_renew(lease)
 
 
 def test_no_order_without_the_store() -> None:
-    """A holder that can not renew does not order."""
-    held = _Holders()
-    lease = held.make('a')
-    held.secure(lease)
-    held.state.outage = True
+    """A holder that can not renew may not send orders."""
+    holders = _Holders()
+    lease = holders.make('a')
+    holders.acquire_or_renew(lease)
+    holders.state.outage = True
     with pytest.raises(StoreUnavailableError):
-        held.secure(lease)
-    held.clock.advance(0.5)
+        holders.acquire_or_renew(lease)
+    holders.clock.advance(0.5)
     assert not lease.may_order()
 
 
-def test_two_that_take_it_at_once_wait_once() -> None:
-    """All instances restarted, and for a moment two believe to coordinate.
+def test_two_simultaneous_takeovers_wait_once() -> None:
+    """All instances restarted, and briefly two act as the coordinator.
 
-    The second takes the lease over while the first waits, orders nothing and
-    steps down. The first goes on with its own wait; anew, versions would come
-    as late again.
+    The second takes the lease over while the first waits, sends no order and
+    steps down. The first continues its own wait; if the wait started again,
+    versions would be late by the same time again.
     """
-    held = _Holders()
-    held.secure(held.make('before'))
-    first, second = held.make('a'), held.make('b')
-    held.secure(first)
-    held.secure(second)
+    holders = _Holders()
+    holders.acquire_or_renew(holders.make('before'))
+    first, second = holders.make('a'), holders.make('b')
+    holders.acquire_or_renew(first)
+    holders.acquire_or_renew(second)
     second.release()
-    held.clock.advance(4)
+    holders.clock.advance(4)
     with pytest.raises(LeaseHeldError):
-        held.secure(first)
-    held.secure(first)
+        holders.acquire_or_renew(first)
+    holders.acquire_or_renew(first)
     assert first.may_order() or first.wait_seconds() == 0
 
 
-def test_a_holder_that_ordered_is_always_waited_out() -> None:
-    """The one in between did order before it stepped down."""
-    held = _Holders()
-    held.secure(held.make('before'))
-    first, second = held.make('a'), held.make('b')
-    held.secure(first)
-    held.secure(second)
-    held.clock.advance(4)
-    held.secure(second)
+def test_a_holder_that_sent_orders_is_always_waited_for() -> None:
+    """The holder in between sent orders before it stepped down."""
+    holders = _Holders()
+    holders.acquire_or_renew(holders.make('before'))
+    first, second = holders.make('a'), holders.make('b')
+    holders.acquire_or_renew(first)
+    holders.acquire_or_renew(second)
+    holders.clock.advance(4)
+    holders.acquire_or_renew(second)
     assert second.may_order()
     with pytest.raises(LeaseHeldError):
-        held.secure(first)
-    held.secure(first)
+        holders.acquire_or_renew(first)
+    holders.acquire_or_renew(first)
     assert first.wait_seconds() > _LEASE_SECONDS
 
 
-def test_a_restart_in_the_middle_of_a_wait_waits_again() -> None:
-    """The process was killed while it waited out another machine's orders.
+def test_a_restart_during_a_wait_waits_again() -> None:
+    """The process was killed while it waited for another instance's orders.
 
-    Its successor on the same machine has the same holder's name, but the
-    other machine's orders are as recent as before.
+    The restarted process has the same instance id as the stored holder, but the
+    other instance's orders are as recent as before.
     """
-    held = _Holders()
-    held.secure(held.make('before'))
-    held.secure(held.make('a'))
-    held.clock.advance(0.5)
-    again = held.make('a')
-    held.secure(again)
+    holders = _Holders()
+    holders.acquire_or_renew(holders.make('before'))
+    holders.acquire_or_renew(holders.make('a'))
+    holders.clock.advance(0.5)
+    again = holders.make('a')
+    holders.acquire_or_renew(again)
     assert not again.may_order()
     assert again.wait_seconds() > _LEASE_SECONDS
 
 
 def test_two_tasks_share_one_lease() -> None:
-    """One orders versions and one orders samplers, at the same moment.
+    """One task loads versions and one scales samplers, at the same moment.
 
-    The renewal of one would meet that of the other in the store, and be taken
-    for another holder's: the lease would be given up in the middle of orders.
+    Without the lock, their renewals conflict in the store. A task would treat
+    the other's renewal as another holder's and give the lease up between
+    orders.
     """
-    held = _Holders()
-    lease = held.make('a')
-    held.secure(lease)
-    held.clock.advance(2)
-    tasks = [held.clock.spawn(lease.acquire_or_renew) for _ in range(4)]
-    held.clock.run_until(lambda: all(each.ready() for each in tasks), 10)
+    holders = _Holders()
+    lease = holders.make('a')
+    holders.acquire_or_renew(lease)
+    holders.clock.advance(2)
+    tasks = [holders.clock.spawn(lease.acquire_or_renew) for _ in range(4)]
+    holders.clock.run_until(lambda: all(each.ready() for each in tasks), 10)
     for task in tasks:
         task.get(block=False)
     assert lease.may_order()
