--- a/tests/duties/__init__.py
+++ b/tests/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one instance does for all."""
+"""Tests of the duties that one instance performs for all."""
--- a/tests/duties/test_cluster_clock.py
+++ b/tests/duties/test_cluster_clock.py
@@ -1,4 +1,4 @@
-"""The time of day while some machines' clocks jump."""
+"""The cluster clock while some machines' clocks jump."""
 
 import pytest
 
@@ -7,18 +7,18 @@
 
 
 class _Clocks:
-    """The clocks of one machine."""
+    """The wall and boot clocks of one machine."""
 
     def __init__(self) -> None:
         self.boot = 100.0
         self.error = float(0)
 
     def read_wall(self) -> float:
-        """Return the time of day here."""
+        """Return the wall clock time of this machine."""
         return self.read_true() + self.error
 
     def read_true(self) -> float:
-        """Return what it ought to be."""
+        """Return the correct time."""
         return 1_700_000_000 + self.boot
 
 
@@ -27,11 +27,11 @@
     return clocks, ClusterClock(clocks.read_wall, lambda: clocks.boot)
 
 
-def test_a_third_of_the_clocks_jump_and_the_time_stays_true() -> None:
-    """The machine that reports is among them.
+def test_the_time_stays_correct_when_a_third_of_the_clocks_jump() -> None:
+    """The machine that reports usage is among them.
 
-    By its own clock, 2.4 s off, half of a window's requests would be counted
-    in the window beside it.
+    By its own clock, which is off by 2.4 s, half of a window's requests would
+    be counted in the adjacent window.
     """
     clocks, cluster_clock = _make()
     for number in range(30):
@@ -42,8 +42,8 @@
     assert cluster_clock.now() == pytest.approx(clocks.read_true(), abs=0.03)
 
 
-def test_between_two_looks_the_boot_clock_goes_on() -> None:
-    """A jump after the others were heard changes nothing."""
+def test_the_boot_clock_advances_the_time_between_messages() -> None:
+    """A jump after the last messages changes nothing."""
     clocks, cluster_clock = _make()
     for number in range(3):
         cluster_clock.record(InstanceId(f'i{number}'), clocks.read_true())
@@ -52,8 +52,8 @@
     assert cluster_clock.now() == pytest.approx(clocks.read_true())
 
 
-def test_one_that_counts_goes_by_what_it_is_told() -> None:
-    """Its own clock is off; only one that reports goes by its own hearing."""
+def test_an_instance_that_counts_follows_the_reporter() -> None:
+    """Its own clock is off; only the reporter uses the clocks it knows."""
     clocks, cluster_clock = _make()
     clocks.error = 2.4
     cluster_clock.follow(clocks.read_true())
@@ -63,8 +63,8 @@
     assert cluster_clock.now() == pytest.approx(clocks.read_wall())
 
 
-def test_clocks_of_those_that_are_gone_do_not_vote() -> None:
-    """A zone with wrong clocks is taken away."""
+def test_clocks_of_lost_instances_are_ignored() -> None:
+    """A zone with wrong clocks is lost."""
     clocks, cluster_clock = _make()
     for number in range(5):
         cluster_clock.record(InstanceId(f'i{number}'), clocks.read_true() + 9)
--- a/tests/duties/test_counts.py
+++ b/tests/duties/test_counts.py
@@ -1,4 +1,4 @@
-"""Counts of usage while messages come twice, late, or not at all."""
+"""Usage counts while messages are repeated, late or lost."""
 
 from guavagate.duties import UsageCounter, UsageTotals
 from guavagate.models import InstanceId, TeamId
@@ -9,8 +9,8 @@
 _OTHER = InstanceId('successor')
 
 
-def test_a_total_that_comes_twice_adds_nothing() -> None:
-    """An answer was lost, and the entry tells it again."""
+def test_a_repeated_total_adds_nothing() -> None:
+    """A response was lost, and the entry sends the total again."""
     totals = UsageTotals()
     for _ in range(3):
         totals.update('a/1', {7: {_BLUE: 2}})
@@ -18,24 +18,24 @@
     assert totals.sum_window(7) == {_BLUE: 3, _RED: 4}
 
 
-def test_a_total_that_comes_late_takes_nothing_away() -> None:
-    """Two messages of one entry overtake each other."""
+def test_a_late_total_is_ignored() -> None:
+    """Two messages of one entry arrive out of order."""
     totals = UsageTotals()
     totals.update('a/1', {7: {_BLUE: 3}})
     totals.update('a/1', {7: {_BLUE: 2}})
     assert totals.sum_window(7) == {_BLUE: 3}
 
 
-def test_an_entry_that_starts_again_counts_besides() -> None:
-    """Its former process had told two requests, and was killed."""
+def test_a_restarted_entry_is_counted_separately() -> None:
+    """Its previous process had sent two requests, and was killed."""
     totals = UsageTotals()
     totals.update('a/1', {7: {_BLUE: 2}})
     totals.update('a/2', {7: {_BLUE: 1}})
     assert totals.sum_window(7) == {_BLUE: 3}
 
 
-def test_nothing_was_told_of_a_window() -> None:
-    """That is not the same as no requests."""
+def test_a_window_without_totals_is_unknown() -> None:
+    """An unknown window differs from one without requests."""
     totals = UsageTotals()
     totals.update('a/1', {7: {_BLUE: 2}})
     assert totals.has_window(7)
@@ -44,8 +44,8 @@
     assert not totals.has_window(7)
 
 
-def test_requests_are_counted_where_they_began() -> None:
-    """One that began before a window's end ends after it."""
+def test_requests_are_counted_in_the_window_where_they_began() -> None:
+    """One request begins just before the end of a window."""
     counter = UsageCounter(5.0)
     counter.record(_BLUE, 34.9)
     counter.record(_BLUE, 35.0)
@@ -56,8 +56,8 @@
     }
 
 
-def test_only_what_is_new_is_told_to_each() -> None:
-    """The reporter took it; its successor did not answer."""
+def test_each_peer_gets_only_unconfirmed_windows() -> None:
+    """The reporter confirmed a window; its successor did not respond."""
     counter = UsageCounter(5.0)
     counter.record(_BLUE, 35)
     counter.confirm(_PEER, counter.list_unconfirmed(_PEER))
@@ -67,8 +67,8 @@
     assert counter.list_unconfirmed(_PEER) == {7: {_BLUE: 2}}
 
 
-def test_a_reporter_that_comes_back_is_told_all_again() -> None:
-    """It was lost and has started again with nothing."""
+def test_a_returning_reporter_gets_all_windows_again() -> None:
+    """It was lost and has restarted without any counts."""
     counter = UsageCounter(5.0)
     counter.record(_BLUE, 35)
     counter.confirm(_PEER, counter.list_unconfirmed(_PEER))
@@ -76,8 +76,8 @@
     assert counter.list_unconfirmed(_PEER) == {7: {_BLUE: 1}}
 
 
-def test_a_day_of_windows_takes_no_memory() -> None:
-    """What nobody will report any more is let go."""
+def test_old_windows_are_discarded() -> None:
+    """Windows that can no longer be reported must not take memory."""
     counter = UsageCounter(5.0)
     for window in range(1000):
         counter.record(_BLUE, window * 5.0)
--- a/tests/duties/test_reporter.py
+++ b/tests/duties/test_reporter.py
@@ -1,4 +1,4 @@
-"""Usage reports while reporters are killed, paused and lose answers."""
+"""Usage reports while reporters are killed, paused or lose responses."""
 
 import functools
 
@@ -21,38 +21,40 @@
 
 
 class _Platform:
-    """Takes reports; keeps what came from whom and when."""
+    """Accepts reports and records their time, holder and content."""
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self.seen: list[tuple[float, Holder, int, Counts]] = []
+        self.reports: list[tuple[float, Holder, int, Counts]] = []
         self.answers: list[DutyAnswer] = []
 
     def report_usage(
         self, holder: Holder, window: int, counts: Counts
     ) -> DutyAnswer:
-        """Keep a report, and answer what the test wants."""
+        """Record a report and return the next configured answer."""
         now = self._world.clock.now()
-        self.seen.append((now, holder, window, dict(counts)))
+        self.reports.append((now, holder, window, dict(counts)))
         return self.answers.pop(0) if self.answers else DutyAnswer.TAKEN
 
     def order(self, holder: Holder, order: ScaleOrder) -> DutyAnswer:
-        """Take no orders."""
+        """Accept no orders."""
         raise NotImplementedError
 
-    def contents(self, window: int) -> list[Counts]:
-        """Return what came for a window."""
-        return [counts for _, _, seen, counts in self.seen if seen == window]
+    def list_contents(self, window: int) -> list[Counts]:
+        """Return the reported contents of a window."""
+        return [
+            counts for _, _, number, counts in self.reports if number == window
+        ]
 
     def check(self) -> None:
-        """Check that windows have one content and holders take no turns."""
-        for window in {each[2] for each in self.seen}:
-            contents = self.contents(window)
+        """Check that windows have one content and holders do not alternate."""
+        for window in {each[2] for each in self.reports}:
+            contents = self.list_contents(window)
             assert all(each == contents[0] for each in contents), window
-        generations = [each[1].generation for each in self.seen]
+        generations = [each[1].generation for each in self.reports]
         assert generations == sorted(generations)
         last: dict[InstanceId, float] = {}
-        for at, holder, _, _ in self.seen:
+        for at, holder, _, _ in self.reports:
             others = [
                 when for who, when in last.items() if who != holder.instance
             ]
@@ -61,7 +63,7 @@
 
 
 class _Fleet:
-    """Instances that may report, the first alive in the order of names."""
+    """Instances of which the first one alive, by name, reports."""
 
     def __init__(self, names: str = 'abc') -> None:
         self.world = World()
@@ -75,7 +77,7 @@
             self.start(name)
 
     def start(self, name: str) -> None:
-        """Start an instance's part."""
+        """Start an instance's publisher and reporter."""
         me = InstanceId(name)
         host = self.world.hosts[me]
         rank = functools.partial(self._rank, me)
@@ -114,128 +116,128 @@
     def _rank(self, me: InstanceId) -> list[InstanceId]:
         return [each.id for each in self.world.members[me].alive()]
 
-    def ask(self, *names: str) -> None:
-        """Have a request of a team begin at each of these instances."""
+    def count_requests(self, *names: str) -> None:
+        """Count a request of a team at each of these instances."""
         for name in names:
             self.publishers[name].record(_BLUE, 0)
 
-    def window(self) -> int:
-        """Return the window of now."""
+    def current_window(self) -> int:
+        """Return the number of the current window."""
         return int(self.clock.wall() // _LENGTH)
 
 
 @pytest.fixture
 def fleet() -> _Fleet:
     """Return three instances at the start of a window."""
-    held = _Fleet()
-    rest = _LENGTH - held.clock.wall() % _LENGTH
-    held.clock.advance(rest + _LENGTH + 0.01)
-    return held
+    instances = _Fleet()
+    rest = _LENGTH - instances.clock.wall() % _LENGTH
+    instances.clock.advance(rest + _LENGTH + 0.01)
+    return instances
 
 
-def test_each_window_is_reported_once_with_what_all_counted(
+def test_each_window_is_reported_once_with_the_counts_of_all(
     fleet: _Fleet,
 ) -> None:
-    """Nothing goes wrong; a window without requests is reported, too."""
-    window = fleet.window()
-    fleet.ask('a', 'b', 'b', 'c')
+    """Without failures, even a window without requests is reported."""
+    window = fleet.current_window()
+    fleet.count_requests('a', 'b', 'b', 'c')
     fleet.clock.advance(_LENGTH + 4)
-    assert fleet.platform.contents(window) == [{_BLUE: 4}]
+    assert fleet.platform.list_contents(window) == [{_BLUE: 4}]
     fleet.clock.advance(_LENGTH)
-    assert fleet.platform.contents(window + 1) == [{}]
+    assert fleet.platform.list_contents(window + 1) == [{}]
     fleet.platform.check()
 
 
-def test_an_entry_is_killed_and_what_it_told_counts(fleet: _Fleet) -> None:
-    """A moment after its request it is gone for good."""
-    window = fleet.window()
-    fleet.ask('c')
+def test_the_counts_of_a_killed_entry_are_reported(fleet: _Fleet) -> None:
+    """The entry is killed half a second after its request."""
+    window = fleet.current_window()
+    fleet.count_requests('c')
     fleet.clock.advance(0.5)
     fleet.world.kill('c')
     fleet.clock.advance(_LENGTH + 4)
-    assert fleet.platform.contents(window) == [{_BLUE: 1}]
+    assert fleet.platform.list_contents(window) == [{_BLUE: 1}]
 
 
-def test_the_reporter_is_killed_and_its_successor_knows_all(
+def test_the_successor_of_a_killed_reporter_has_all_counts(
     fleet: _Fleet,
 ) -> None:
-    """It was told as well, by all that counted, while the other lived."""
-    window = fleet.window()
-    fleet.ask('a', 'b', 'c')
+    """All entries send their counts to the successor as well."""
+    window = fleet.current_window()
+    fleet.count_requests('a', 'b', 'c')
     fleet.clock.advance(3)
     fleet.world.kill('a')
     fleet.clock.advance(_LENGTH + 9)
-    assert fleet.platform.contents(window)[0] == {_BLUE: 3}
+    assert fleet.platform.list_contents(window)[0] == {_BLUE: 3}
     fleet.platform.check()
 
 
-def test_the_reporter_is_paused_and_wakes_beside_its_successor(
+def test_a_paused_reporter_resumes_beside_its_successor(
     fleet: _Fleet,
 ) -> None:
-    """It wakes with counts of its own for windows that were reported."""
-    window = fleet.window()
-    fleet.ask('a', 'b', 'c')
+    """It resumes with its own counts for windows that were reported."""
+    window = fleet.current_window()
+    fleet.count_requests('a', 'b', 'c')
     fleet.clock.advance(3)
     fleet.world.pause('a')
     for _ in range(6):
-        fleet.ask('b', 'c')
+        fleet.count_requests('b', 'c')
         fleet.clock.advance(2)
     fleet.world.resume('a')
-    fleet.ask('a')
+    fleet.count_requests('a')
     fleet.clock.advance(20)
-    reported = {each[2] for each in fleet.platform.seen}
+    reported = {each[2] for each in fleet.platform.reports}
     assert set(range(window, window + 5)) <= reported
     fleet.platform.check()
 
 
-def test_a_report_without_an_answer_is_sent_again_unchanged(
+def test_a_report_without_a_response_is_repeated_unchanged(
     fleet: _Fleet,
 ) -> None:
-    """It may have been taken; another content would contradict it."""
-    window = fleet.window()
-    fleet.ask('a', 'b')
+    """The platform may have accepted it; other content would contradict it."""
+    window = fleet.current_window()
+    fleet.count_requests('a', 'b')
     fleet.clock.advance(4)
     fleet.platform.answers = [DutyAnswer.UNKNOWN] * 4
     fleet.clock.advance(_LENGTH)
-    assert len(fleet.platform.contents(window)) > 1
-    fleet.ask('b')
+    assert len(fleet.platform.list_contents(window)) > 1
+    fleet.count_requests('b')
     fleet.clock.advance(10)
     fleet.platform.check()
 
 
-def test_the_store_loses_answers_and_a_window_has_one_content(
+def test_a_window_has_one_content_while_the_store_loses_responses(
     fleet: _Fleet,
 ) -> None:
-    """The write of a window's content may be made seconds later."""
+    """The write of a window's content may take effect seconds later."""
     fleet.world.store.lose_answers = 0.5
-    window = fleet.window()
+    window = fleet.current_window()
     for _ in range(12):
-        fleet.ask('a', 'b', 'c')
+        fleet.count_requests('a', 'b', 'c')
         fleet.clock.advance(1.3)
     fleet.world.store.lose_answers = 0
     fleet.clock.advance(12)
-    assert fleet.platform.contents(window)
+    assert fleet.platform.list_contents(window)
     fleet.platform.check()
 
 
-def test_the_store_is_away_and_the_windows_come_in_time(
+def test_windows_are_reported_in_time_after_a_store_outage(
     fleet: _Fleet,
 ) -> None:
-    """It is away for six seconds, from the end of a window on."""
-    window = fleet.window()
-    fleet.ask('a', 'b')
+    """The store is down for six seconds from the end of a window."""
+    window = fleet.current_window()
+    fleet.count_requests('a', 'b')
     fleet.clock.advance(_LENGTH)
     fleet.world.store.outage = True
     fleet.clock.advance(6)
     fleet.world.store.outage = False
     fleet.clock.advance(4)
-    assert fleet.platform.contents(window) == [{_BLUE: 2}]
+    assert fleet.platform.list_contents(window) == [{_BLUE: 2}]
 
 
-def test_a_window_that_nobody_counted_is_not_made_up(fleet: _Fleet) -> None:
-    """All instances have started again and know nothing of it."""
-    window = fleet.window()
-    fleet.ask('a', 'b')
+def test_a_window_with_lost_counts_is_not_reported(fleet: _Fleet) -> None:
+    """All instances have restarted and lost their counts."""
+    window = fleet.current_window()
+    fleet.count_requests('a', 'b')
     fleet.clock.advance(3)
     for name in 'abc':
         fleet.world.kill(name)
@@ -246,24 +248,24 @@
     for name in 'abc':
         fleet.start(name)
     fleet.clock.advance(15)
-    assert not fleet.platform.contents(window)
-    assert fleet.platform.contents(window + 2)
+    assert not fleet.platform.list_contents(window)
+    assert fleet.platform.list_contents(window + 2)
 
 
 def test_a_successor_sends_nothing_within_the_lease_time(
     fleet: _Fleet,
 ) -> None:
-    """The reporter is lost a moment after it has sent a report.
+    """The reporter is lost just after it has sent a report.
 
-    Its successor finds at once what to send again, and knows nothing of what
-    the former one may still have on its way.
+    Its successor immediately finds windows to send again, but does not know
+    which reports of its predecessor are still in transit.
     """
-    fleet.ask('b')
+    fleet.count_requests('b')
     fleet.clock.advance(2.4)
-    assert fleet.platform.seen
-    last = fleet.platform.seen[-1][0]
+    assert fleet.platform.reports
+    last = fleet.platform.reports[-1][0]
     assert fleet.clock.now() - last < 0.5
     fleet.world.kill('a')
     fleet.clock.advance(15)
     fleet.platform.check()
-    assert fleet.platform.seen[-1][1].instance == InstanceId('b')
+    assert fleet.platform.reports[-1][1].instance == InstanceId('b')
--- a/tests/duties/test_scaler.py
+++ b/tests/duties/test_scaler.py
@@ -1,4 +1,4 @@
-"""Orders of upstreams while zones lose theirs and platforms refuse."""
+"""Orders of upstreams while zones lose them or the platform refuses."""
 
 from guavagate.duties import Scaler
 from guavagate.measure.fakes import MemoryStore, World
@@ -16,44 +16,44 @@
 
 
 class _Platform:
-    """Brings upstreams after their boot; refuses where the test says so."""
+    """Adds upstreams after their boot time; refuses in some zones."""
 
-    def __init__(self, setting: '_Setting') -> None:
-        self._setting = setting
+    def __init__(self, setup: '_Setup') -> None:
+        self._setup = setup
         self.orders: list[ScaleOrder] = []
-        self.none_in: set[ZoneId] = set()
-        self.silent = False
+        self.spot_unavailable: set[ZoneId] = set()
+        self.unresponsive = False
         self._number = 0
 
     def report_usage(
         self, holder: Holder, window: int, counts: Counts
     ) -> DutyAnswer:
-        """Take no reports."""
+        """Accept no reports."""
         raise NotImplementedError
 
     def order(self, holder: Holder, order: ScaleOrder) -> DutyAnswer:
-        """Carry an order out, or not."""
+        """Execute or refuse an order."""
         self.orders.append(order)
-        if self.silent:
+        if self.unresponsive:
             return DutyAnswer.UNKNOWN
-        if order.spot and order.amount and order.zone in self.none_in:
+        if order.spot and order.amount and order.zone in self.spot_unavailable:
             return DutyAnswer.NOT_NOW
-        clock = self._setting.clock
-        clock.call_at(clock.now() + _BOOT, lambda: self._bring(order))
+        clock = self._setup.clock
+        clock.call_at(clock.now() + _BOOT, lambda: self._execute(order))
         return DutyAnswer.TAKEN
 
-    def _bring(self, order: ScaleOrder) -> None:
-        there = self._setting.list_kind(order.zone, spot=order.spot)
-        for _ in range(order.amount - len(there)):
+    def _execute(self, order: ScaleOrder) -> None:
+        current = self._setup.list_kind(order.zone, spot=order.spot)
+        for _ in range(order.amount - len(current)):
             self._number += 1
             name = f'{order.zone}-{order.spot}-{self._number}'
-            self._setting.add(name, order.zone, spot=order.spot)
-        for upstream in there[order.amount :]:
-            self._setting.upstreams.remove(upstream.id)
+            self._setup.add(name, order.zone, spot=order.spot)
+        for upstream in current[order.amount :]:
+            self._setup.upstreams.remove(upstream.id)
 
 
-class _Setting:
-    """A service's owner that orders its upstreams."""
+class _Setup:
+    """A scaler of one service in three zones."""
 
     def __init__(self) -> None:
         world = World()
@@ -95,10 +95,10 @@
         )
 
     def put_scaling(self, scaling: Scaling | None) -> None:
-        """Put a sheet in force."""
+        """Activate a configuration with these scaling settings."""
         service = Service(id=_SERVICE, scaling=scaling)
-        held = self.routes.configuration
-        version = 1 if held is None else held.version + 1
+        current = self.routes.configuration
+        version = 1 if current is None else current.version + 1
         self.routes.apply(Configuration(version=version, services=(service,)))
 
     def add(self, name: str, zone: ZoneId, *, spot: bool = False) -> None:
@@ -121,7 +121,7 @@
                 self.add(f'{zone}-{number}', zone)
 
     def list_kind(self, zone: ZoneId, *, spot: bool) -> list[Upstream]:
-        """Return a zone's upstreams of a kind."""
+        """Return a zone's spot or regular upstreams."""
         return [
             each
             for each in self.upstreams.serving(_SERVICE)
@@ -129,7 +129,7 @@
         ]
 
     def count(self, *, spot: bool) -> int:
-        """Return how many of a kind there are."""
+        """Return the number of spot or regular upstreams."""
         return sum(len(self.list_kind(zone, spot=spot)) for zone in _ZONES)
 
     def start(self) -> None:
@@ -138,126 +138,126 @@
         self.scaler.start()
 
 
-def test_the_first_steps_find_their_slots() -> None:
-    """Nobody knows what they will ask for, and a boot takes seconds."""
-    setting = _Setting()
-    setting.start()
-    setting.clock.advance(6)
-    assert setting.count(spot=True) == 24
+def test_the_first_steps_get_slots() -> None:
+    """Their demand is unknown, and a boot takes seconds."""
+    setup = _Setup()
+    setup.start()
+    setup.clock.advance(6)
+    assert setup.count(spot=True) == 24
 
 
-def test_nothing_is_asked_for_and_all_are_given_back() -> None:
-    """No step comes; what was ordered for it costs half a minute."""
-    setting = _Setting()
-    setting.start()
-    setting.clock.advance(36)
-    assert setting.count(spot=True) == 0
-    assert setting.count(spot=False) == 24
+def test_spot_upstreams_are_released_without_demand() -> None:
+    """No step comes; the upstreams ordered for it stay half a minute."""
+    setup = _Setup()
+    setup.start()
+    setup.clock.advance(36)
+    assert setup.count(spot=True) == 0
+    assert setup.count(spot=False) == 24
 
 
-def test_a_burst_over_the_slots_brings_cheap_ones() -> None:
-    """Three trainers submit at once; a third of their items finds no slot."""
-    setting = _Setting()
-    setting.start()
-    setting.clock.advance(40)
-    assert setting.count(spot=True) == 0
-    setting.open = {'m0': 80, 'm1': 112, 'm2': 112}
-    setting.clock.advance(6)
-    assert setting.count(spot=True) * _SLOTS >= 304 - 24 * _SLOTS
-    assert setting.count(spot=False) == 24
+def test_a_burst_beyond_the_slots_orders_spot_upstreams() -> None:
+    """Three trainers submit at once; a third of their items gets no slot."""
+    setup = _Setup()
+    setup.start()
+    setup.clock.advance(40)
+    assert setup.count(spot=True) == 0
+    setup.open = {'m0': 80, 'm1': 112, 'm2': 112}
+    setup.clock.advance(6)
+    assert setup.count(spot=True) * _SLOTS >= 304 - 24 * _SLOTS
+    assert setup.count(spot=False) == 24
 
 
-def test_registrations_come_one_by_one_and_none_is_sent_away() -> None:
-    """The owner starts and knows of a few only; the rest is there all along.
+def test_late_registrations_do_not_scale_upstreams_away() -> None:
+    """The owner starts and sees only a few of the running upstreams.
 
-    A target of those few would have the platform take the others away.
+    With those few as its target, the platform would remove the others.
     """
-    setting = _Setting()
-    setting.fill(3)
-    setting.scaler.start()
-    setting.open = {'m0': 300}
-    setting.clock.advance(1.2)
-    setting.fill(8)
-    setting.clock.advance(10)
-    assert setting.count(spot=False) == 24
+    setup = _Setup()
+    setup.fill(3)
+    setup.scaler.start()
+    setup.open = {'m0': 300}
+    setup.clock.advance(1.2)
+    setup.fill(8)
+    setup.clock.advance(10)
+    assert setup.count(spot=False) == 24
     assert all(
-        order.amount >= 8 for order in setting.platform.orders if not order.spot
+        order.amount >= 8 for order in setup.platform.orders if not order.spot
     )
 
 
-def test_a_trainer_pauses_and_comes_back_to_its_upstreams() -> None:
-    """Between two steps nothing is open; what was ordered stays."""
-    setting = _Setting()
-    setting.start()
+def test_upstreams_stay_between_steps() -> None:
+    """Between two steps no items are open."""
+    setup = _Setup()
+    setup.start()
     for _ in range(5):
-        setting.open = {'m0': 400}
-        setting.clock.advance(2)
-        setting.open = {}
-        setting.clock.advance(2)
-    assert setting.count(spot=True) > 0
-    assert len({each.amount for each in setting.platform.orders}) == 1
-
-
-def test_the_work_ends_and_they_are_given_back() -> None:
-    """Each of them is billed by the second."""
-    setting = _Setting()
-    setting.start()
-    setting.open = {'m0': 400}
-    setting.clock.advance(40)
-    assert setting.count(spot=True) > 0
-    setting.open = {}
-    setting.clock.advance(40)
-    assert setting.count(spot=True) == 0
-    assert setting.count(spot=False) == 24
-
-
-def test_a_zone_loses_its_cheap_ones_and_regular_ones_stand_in() -> None:
-    """All of a zone's are reclaimed, and none are to be had there for a while.
-
-    What stands in is given back when they can be had again.
+        setup.open = {'m0': 400}
+        setup.clock.advance(2)
+        setup.open = {}
+        setup.clock.advance(2)
+    assert setup.count(spot=True) > 0
+    assert len({each.amount for each in setup.platform.orders}) == 1
+
+
+def test_upstreams_are_released_after_the_work() -> None:
+    """Each upstream is billed by the second."""
+    setup = _Setup()
+    setup.start()
+    setup.open = {'m0': 400}
+    setup.clock.advance(40)
+    assert setup.count(spot=True) > 0
+    setup.open = {}
+    setup.clock.advance(40)
+    assert setup.count(spot=True) == 0
+    assert setup.count(spot=False) == 24
+
+
+def test_regular_upstreams_replace_reclaimed_spot_ones() -> None:
+    """A zone's spot upstreams are reclaimed and unavailable for a while.
+
+    The replacements are released when spot upstreams are available again.
     """
-    setting = _Setting()
-    setting.start()
-    setting.open = {'m0': 380}
-    setting.clock.advance(8)
+    setup = _Setup()
+    setup.start()
+    setup.open = {'m0': 380}
+    setup.clock.advance(8)
     zone = _ZONES[1]
-    setting.platform.none_in = {zone}
-    for upstream in setting.list_kind(zone, spot=True):
-        setting.upstreams.remove(upstream.id)
-    setting.clock.advance(8)
-    assert len(setting.list_kind(zone, spot=False)) == 16
-    setting.platform.none_in = set()
-    setting.clock.advance(35)
-    assert len(setting.list_kind(zone, spot=False)) == 8
-    assert len(setting.list_kind(zone, spot=True)) == 8
-
-
-def test_orders_are_not_repeated_at_each_look() -> None:
-    """Each call is priced, and the platform takes few a second."""
-    setting = _Setting()
-    setting.start()
-    setting.open = {'m0': 400}
-    setting.clock.advance(25)
-    assert len(setting.platform.orders) <= 6
-
-
-def test_an_order_without_an_answer_is_stated_again() -> None:
-    """The platform is silent for ten seconds."""
-    setting = _Setting()
-    setting.start()
-    setting.open = {'m0': 400}
-    setting.platform.silent = True
-    setting.clock.advance(10)
-    setting.platform.silent = False
-    setting.clock.advance(40)
-    assert setting.count(spot=True) + setting.count(spot=False) >= 45
-
-
-def test_a_service_that_is_not_scaled_orders_nothing() -> None:
-    """The sheet says nothing of scaling."""
-    setting = _Setting()
-    setting.put_scaling(None)
-    setting.start()
-    setting.open = {'m0': 400}
-    setting.clock.advance(10)
-    assert not setting.platform.orders
+    setup.platform.spot_unavailable = {zone}
+    for upstream in setup.list_kind(zone, spot=True):
+        setup.upstreams.remove(upstream.id)
+    setup.clock.advance(8)
+    assert len(setup.list_kind(zone, spot=False)) == 16
+    setup.platform.spot_unavailable = set()
+    setup.clock.advance(35)
+    assert len(setup.list_kind(zone, spot=False)) == 8
+    assert len(setup.list_kind(zone, spot=True)) == 8
+
+
+def test_orders_are_not_repeated_at_each_check() -> None:
+    """Each call costs money, and the platform accepts few per second."""
+    setup = _Setup()
+    setup.start()
+    setup.open = {'m0': 400}
+    setup.clock.advance(25)
+    assert len(setup.platform.orders) <= 6
+
+
+def test_an_order_without_a_response_is_repeated() -> None:
+    """The platform does not respond for ten seconds."""
+    setup = _Setup()
+    setup.start()
+    setup.open = {'m0': 400}
+    setup.platform.unresponsive = True
+    setup.clock.advance(10)
+    setup.platform.unresponsive = False
+    setup.clock.advance(40)
+    assert setup.count(spot=True) + setup.count(spot=False) >= 45
+
+
+def test_a_service_without_scaling_orders_nothing() -> None:
+    """Its configuration has no scaling settings."""
+    setup = _Setup()
+    setup.put_scaling(None)
+    setup.start()
+    setup.open = {'m0': 400}
+    setup.clock.advance(10)
+    assert not setup.platform.orders
--- a/tests/duties/test_targets.py
+++ b/tests/duties/test_targets.py
@@ -1,4 +1,4 @@
-"""How many upstreams are ordered where, by what a burst asks for."""
+"""The number of upstreams per zone for the demand of a burst."""
 
 from guavagate.duties import CapacityType, choose_targets
 from guavagate.models import ZoneId
@@ -17,29 +17,29 @@
     return sum(amount for key, amount in targets.items() if key[1] is kind)
 
 
-def test_a_burst_that_fits_orders_nothing() -> None:
-    """What is there is stated and stays."""
+def test_a_burst_that_fits_keeps_the_baseline() -> None:
+    """The targets equal the existing regular upstreams."""
     targets = choose_targets(_SCALING, _BASE, 10)
     assert _count(targets, CapacityType.REGULAR) == 24
     assert _count(targets, CapacityType.SPOT) == 0
 
 
-def test_a_burst_that_does_not_fit_orders_cheap_ones_in_every_zone() -> None:
-    """Steps wait for the last item that found no slot."""
+def test_a_burst_that_does_not_fit_orders_spot_in_every_zone() -> None:
+    """Steps would wait for the last item without a slot."""
     targets = choose_targets(_SCALING, _BASE, 30)
     assert _count(targets, CapacityType.REGULAR) == 24
     assert min(targets[zone, CapacityType.SPOT] for zone in _BASE) > 0
 
 
-def test_the_largest_zones_spot_goes_and_the_burst_still_fits() -> None:
-    """A reclaim takes all of one zone's at once."""
+def test_a_burst_fits_without_the_spot_upstreams_of_any_zone() -> None:
+    """The platform reclaims all spot upstreams of a zone at once."""
     targets = choose_targets(_SCALING, _BASE, 30)
     spots = [targets[zone, CapacityType.SPOT] for zone in _BASE]
     assert 24 + sum(spots) - max(spots) >= 30
 
 
-def test_no_zone_gets_more_than_it_may_have() -> None:
-    """The bound is of both kinds together."""
+def test_no_zone_exceeds_its_limit() -> None:
+    """The limit applies to both capacity types together."""
     targets = choose_targets(_SCALING, _BASE, 500)
     for zone in _BASE:
         both = (
@@ -49,30 +49,30 @@
         assert both == 16
 
 
-def test_where_none_are_to_be_had_regular_ones_stand_in() -> None:
-    """The zone answers 409 for some seconds after a reclaim."""
+def test_regular_upstreams_replace_unavailable_spot_ones() -> None:
+    """A zone answers 409 for some seconds after a reclaim."""
     targets = choose_targets(_SCALING, _BASE, 500, {_B})
     assert targets[_B, CapacityType.SPOT] == 0
     assert targets[_B, CapacityType.REGULAR] == 16
     assert targets[_A, CapacityType.SPOT] == 8
 
 
-def test_none_are_to_be_had_anywhere() -> None:
-    """The burst gets regular ones in every zone."""
+def test_spot_upstreams_are_unavailable_in_every_zone() -> None:
+    """The burst gets regular upstreams in every zone."""
     targets = choose_targets(_SCALING, _BASE, 500, set(_BASE))
     assert _count(targets, CapacityType.SPOT) == 0
     assert _count(targets, CapacityType.REGULAR) == 48
 
 
-def test_what_was_there_is_kept_within_the_bounds() -> None:
-    """A sheet whose bounds are narrower than what runs."""
+def test_the_baseline_is_clamped_to_the_limits() -> None:
+    """The configured limits are narrower than the existing number."""
     narrow = Scaling(least=2, most=6)
     targets = choose_targets(narrow, {_A: 8, _B: 0}, 100)
     assert targets[_A, CapacityType.REGULAR] == 6
     assert targets[_B, CapacityType.REGULAR] >= 2
 
 
-def test_a_single_zone_holds_all() -> None:
-    """There is no other zone to spread over."""
+def test_a_single_zone_gets_all_upstreams() -> None:
+    """There is no other zone to spread them over."""
     targets = choose_targets(_SCALING, {_A: 4}, 10)
     assert targets[_A, CapacityType.SPOT] == 7
--- a/tests/duties/test_usage.py
+++ b/tests/duties/test_usage.py
@@ -1,4 +1,4 @@
-"""One instance's part in usage, put together as a process does."""
+"""Usage accounting, assembled as in an instance's process."""
 
 from guavagate.duties import UsageAccounting
 from guavagate.jobs import Ownership
@@ -12,7 +12,7 @@
 
 
 class _Platform:
-    """Takes all reports."""
+    """Accepts all reports."""
 
     def __init__(self) -> None:
         self.windows: dict[int, Counts] = {}
@@ -20,12 +20,12 @@
     def report_usage(
         self, holder: Holder, window: int, counts: Counts
     ) -> DutyAnswer:
-        """Keep a report."""
+        """Record a report."""
         self.windows[window] = counts
         return DutyAnswer.TAKEN
 
     def order(self, holder: Holder, order: ScaleOrder) -> DutyAnswer:
-        """Take no orders."""
+        """Accept no orders."""
         raise NotImplementedError
 
 
@@ -66,8 +66,8 @@
     return world, platform, parts
 
 
-def test_what_all_count_is_reported_by_one() -> None:
-    """Each instance counts for its own callers."""
+def test_one_instance_reports_the_counts_of_all() -> None:
+    """Each instance counts the requests of its own callers."""
     world, platform, parts = _make()
     world.clock.advance(2 * _LENGTH)
     for usage in parts:
@@ -77,8 +77,8 @@
     assert total == 3
 
 
-def test_where_usage_is_no_duty_nothing_is_counted_or_sent() -> None:
-    """Other deployments pay nothing for it."""
+def test_disabled_usage_accounting_counts_and_sends_nothing() -> None:
+    """Other deployments have no cost from it."""
     world, platform, parts = _make(enabled=False)
     world.store.calls.clear()
     for usage in parts:
@@ -88,8 +88,8 @@
     assert not world.store.calls
 
 
-def test_clocks_of_instances_that_are_gone_do_not_vote() -> None:
-    """Two of three instances had wrong clocks, and are lost for good."""
+def test_clocks_of_lost_instances_are_ignored() -> None:
+    """Two of three instances have wrong clocks and are permanently lost."""
     world, _, parts = _make()
     clock = parts[0]._reporter._cluster_clock
     wrong = world.clock.wall() + 50
