--- a/guavagate/rollouts/_assign.py
+++ b/guavagate/rollouts/_assign.py
@@ -120,8 +120,10 @@
     close = all(
         abs(quotas[each] - counts[each]) <= QUOTA_TOLERANCE for each in models
     )
-    kept = sum(counts.values()) == samplers and close
-    return [(each, counts[each] if kept else quotas[each]) for each in models]
+    is_kept = sum(counts.values()) == samplers and close
+    return [
+        (each, counts[each] if is_kept else quotas[each]) for each in models
+    ]
 
 
 def _round_shares(shares: Mapping[str, float]) -> dict[str, int]:
@@ -132,7 +134,7 @@
     for each in ordered[: max(rest, 0)]:
         quotas[each] += 1
     for each in sorted(quotas, key=quotas.__getitem__, reverse=True):
-        taken = min(max(-rest, 0), quotas[each] - 1)
-        quotas[each] -= taken
-        rest += taken
+        excess = min(max(-rest, 0), quotas[each] - 1)
+        quotas[each] -= excess
+        rest += excess
     return quotas
--- a/tests/rollouts/test_lease.py
+++ b/tests/rollouts/test_lease.py
@@ -65,9 +65,9 @@
     first, second = holders.make('a'), holders.make('b')
     holders.acquire_or_renew(first)
     holders.acquire_or_renew(second)
-    taken = holders.clock.now()
+    taken_over_at = holders.clock.now()
     assert second.generation == 2
-    last = taken
+    last = taken_over_at
     while not second.may_order():
         if first.may_order():
             last = holders.clock.now()
@@ -108,10 +108,10 @@
     first, second = holders.make('a'), holders.make('b')
     holders.acquire_or_renew(first)
     last = _pass_time(holders, first, 2)
-    taken = holders.clock.now()
+    taken_over_at = holders.clock.now()
     ordered = _await_order(holders, second)
     assert ordered - last >= _LEASE_SECONDS
-    assert ordered - taken < 2.1
+    assert ordered - taken_over_at < 2.1
 
 
 def test_a_successor_that_missed_a_renewal_waits_the_full_time() -> None:
@@ -146,8 +146,8 @@
     holders.clock.run_until(lambda: holders.state.revision > before, 1)
     task.kill(block=False)
     holders.clock.advance(1)
-    taken = holders.clock.now()
-    assert _await_order(holders, second) - taken < 3
+    taken_over_at = holders.clock.now()
+    assert _await_order(holders, second) - taken_over_at < 3
 
 
 def test_a_takeover_during_a_wait_includes_the_earlier_holder() -> None:
