--- a/guavagate/decisions/__init__.py
+++ b/guavagate/decisions/__init__.py
@@ -17,14 +17,14 @@
     Safeguard,
     Work,
 )
-from guavagate.decisions.ejection import SLOW_STREAM
+from guavagate.decisions.ejection import SLOW_STREAM_FACTOR
 from guavagate.decisions.pool import Pool
 from guavagate.decisions.pools import PoolView, choose_pool
-from guavagate.decisions.tail import weigh_swap
+from guavagate.decisions.tail import decide_weight_swap
 
 __all__ = (
     'ALL_SAFEGUARDS',
-    'SLOW_STREAM',
+    'SLOW_STREAM_FACTOR',
     'Decision',
     'Kind',
     'Placement',
@@ -40,5 +40,5 @@
     'SamplerState',
     'Work',
     'choose_pool',
-    'weigh_swap',
+    'decide_weight_swap',
 )
--- a/guavagate/decisions/_attempts.py
+++ b/guavagate/decisions/_attempts.py
@@ -7,17 +7,17 @@
 
 from guavagate.decisions import retries
 from guavagate.decisions._fleet import Fleet
-from guavagate.decisions._sampler import Running, SamplerState
+from guavagate.decisions._sampler import RunningWork, SamplerState
 from guavagate.decisions._work import (
     RefusalReason,
     Safeguard,
     Work,
     estimate_cost,
 )
-from guavagate.decisions.fairness import Entry
-from guavagate.decisions.placement import expect_cost
+from guavagate.decisions.fairness import FlowItem
+from guavagate.decisions.placement import estimate_sampler_cost
 from guavagate.decisions.reserve import Reserve
-from guavagate.decisions.shares import Shares, name_of
+from guavagate.decisions.shares import Shares, get_requester
 from guavagate.models import RequestId, RunId, SamplerId, TeamId
 
 # Runs whose newest step is remembered, the least recently used goes first.
@@ -29,12 +29,12 @@
 
     __slots__ = (
         'arrival',
-        'copied',
         'cost',
         'count',
-        'entry',
         'expected_wait',
-        'name',
+        'has_speculative_run',
+        'item',
+        'requester',
         'samplers',
         'work',
     )
@@ -42,12 +42,12 @@
     def __init__(self, work: Work, arrival: float) -> None:
         self.work = work
         self.arrival = arrival
-        self.name = name_of(work)
+        self.requester = get_requester(work)
         self.cost = estimate_cost(work)
         self.count = 0
-        self.copied = False
+        self.has_speculative_run = False
         self.expected_wait: float = 0
-        self.entry: Entry | None = None
+        self.item: FlowItem | None = None
         self.samplers: list[SamplerId] = []
 
     def exclude(self, sampler: SamplerId, known: int) -> None:
@@ -64,44 +64,48 @@
     def __init__(self, fleet: Fleet, safeguards: frozenset[Safeguard]) -> None:
         self.shares = Shares()
         self.reserve = Reserve()
-        self._steps: LRUCache[tuple[TeamId, RunId], int] = LRUCache(MAX_RUNS)
+        self._newest_steps: LRUCache[tuple[TeamId, RunId], int] = LRUCache(
+            MAX_RUNS
+        )
         self._long_running: set[RequestId] = set()
-        self.hedges = retries.Budget(retries.HEDGE_SHARE)
-        self._retries = retries.Budget(retries.RETRY_SHARE)
+        self.hedge_budget = retries.Budget(retries.HEDGE_SHARE)
+        self._retry_budget = retries.Budget(retries.RETRY_SHARE)
         self._fleet = fleet
-        self._on = safeguards
+        self._enabled = safeguards
         self._attempts: dict[RequestId, Attempts] = {}
 
     def get(self, work_id: RequestId) -> Attempts | None:
         """Return the attempts at some work."""
         return self._attempts.get(work_id)
 
-    def hear(self, attempts: Attempts) -> None:
+    def record_arrival(self, attempts: Attempts) -> None:
         """Count work that arrives, whether it is let in or not."""
         now = attempts.arrival
-        self.shares.hear(attempts.name, attempts.work, now)
-        self.reserve.hear(attempts.work, attempts.cost, now)
+        self.shares.record_arrival(attempts.requester, attempts.work, now)
+        self.reserve.record_arrival(attempts.work, attempts.cost, now)
 
-    def leaves_headroom(
+    def must_leave_headroom(
         self, attempts: Attempts, fitting: list[SamplerState]
     ) -> bool:
         """Return whether the last slots are left to other callers."""
-        if Safeguard.HEADROOM not in self._on:
+        if Safeguard.HEADROOM not in self._enabled:
             return False
         work = attempts.work
         free = sum(state.free_for(work) for state in fitting)
-        slots = self._fleet.slots_for(work)
-        return self.shares.exceeds(attempts.name, work, free, slots)
+        slots = self._fleet.count_slots(work)
+        return self.shares.exceeds_share(attempts.requester, work, free, slots)
 
-    def leaves_reserve(self, attempts: Attempts, now: float) -> bool:
+    def must_leave_reserve(self, attempts: Attempts, now: float) -> bool:
         """Return whether free slots are left to shorter work."""
         work = attempts.work
-        if Safeguard.RESERVE not in self._on:
+        if Safeguard.RESERVE not in self._enabled:
             return False
         if not self.reserve.is_long(work, attempts.cost):
             return False
-        slots = self._fleet.slots_for(work)
-        size = self.reserve.size(slots, self._fleet.pace, now)
+        slots = self._fleet.count_slots(work)
+        size = self.reserve.compute_slots(
+            slots, self._fleet.token_interval, now
+        )
         return len(self._long_running) >= slots - size
 
     def add(self, attempts: Attempts) -> None:
@@ -112,53 +116,57 @@
         """Return whether its step has no other work left to start."""
         if work.run is None:
             return False
-        newest = self._steps.get((work.team, work.run), work.step)
+        newest = self._newest_steps.get((work.team, work.run), work.step)
         return work.step < newest
 
-    def earn(self) -> None:
+    def record_success(self) -> None:
         """Count a success towards the budgets."""
-        self.hedges.earn()
-        self._retries.earn()
+        self.hedge_budget.earn()
+        self._retry_budget.earn()
 
     def start(
         self, attempts: Attempts, state: SamplerState, now: float
-    ) -> Running:
+    ) -> RunningWork:
         """Count one attempt that starts."""
         work = attempts.work
-        cost, matched = expect_cost(work, state)
-        pace = state.health.pace or self._fleet.pace
-        seconds = cost * pace * self._fleet.length.mean
-        running = Running(work, cost, now, seconds)
+        cost, matched = estimate_sampler_cost(work, state)
+        token_interval = (
+            state.health.token_interval or self._fleet.token_interval
+        )
+        seconds = cost * token_interval * self._fleet.length.mean
+        running = RunningWork(work, cost, now, seconds)
         if matched:
-            running.cached = matched
+            running.cached_prefixes = matched
             key = work.prefix_keys[matched - 1]
-            running.cached_at = state.prefixes.last_seen(key)
+            running.cached_prefix_at = state.prefixes.last_seen(key)
         state.start(running)
         state.prefixes.store(work.prefix_keys, now)
-        self.shares.start(attempts.name)
+        self.shares.start(attempts.requester)
         if work.run is not None:
             run = (work.team, work.run)
-            self._steps[run] = max(self._steps.get(run, 0), work.step)
+            self._newest_steps[run] = max(
+                self._newest_steps.get(run, 0), work.step
+            )
         if self.reserve.is_long(work, cost):
             self._long_running.add(work.id)
-        attempts.entry = None
+        attempts.item = None
         attempts.count += 1
         attempts.samplers.append(state.id)
         return running
 
     def stop(
         self, work_id: RequestId, sampler: SamplerId, now: float
-    ) -> Running | None:
+    ) -> RunningWork | None:
         """Count one attempt that has ended."""
         attempts = self._attempts.get(work_id)
         if attempts is None or sampler not in attempts.samplers:
             return None
         attempts.samplers.remove(sampler)
-        self.shares.stop(attempts.name)
+        self.shares.stop(attempts.requester)
         self._long_running.discard(work_id)
         state = self._fleet.samplers.get(sampler)
         if state is None:
-            return Running(attempts.work, 1.0, now, 1.0)
+            return RunningWork(attempts.work, 1.0, now, 1.0)
         return state.stop(work_id, now)
 
     def close(self, work_id: RequestId, now: float) -> list[SamplerId]:
@@ -172,15 +180,18 @@
         self._attempts.pop(work_id)
         return others
 
-    def deny_retry(
+    def check_retry(
         self, attempts: Attempts, *, started: bool
     ) -> RefusalReason | None:
         """Return why failed work isn't tried again, if it isn't."""
         idempotent = attempts.work.idempotent
-        if not retries.may_repeat(
+        if not retries.may_retry(
             idempotent=idempotent, started=started, attempts=attempts.count
         ):
             return RefusalReason.NOT_REPEATABLE
-        if Safeguard.RETRY_BUDGET in self._on and not self._retries.spend():
+        if (
+            Safeguard.RETRY_BUDGET in self._enabled
+            and not self._retry_budget.spend()
+        ):
             return RefusalReason.RETRY_BUDGET
         return None
--- a/guavagate/decisions/_fleet.py
+++ b/guavagate/decisions/_fleet.py
@@ -1,46 +1,46 @@
-"""What a pool's home learns of all its samplers together."""
+"""What a queue owner learns about all samplers of a pool together."""
 
 import statistics
 from collections.abc import Iterable
 from typing import Final
 
 from guavagate.decisions import ejection
-from guavagate.decisions._sampler import Running, SamplerInfo, SamplerState
+from guavagate.decisions._sampler import RunningWork, SamplerInfo, SamplerState
 from guavagate.decisions._work import (
     PREFILL_SHARE,
     Kind,
     Safeguard,
     Work,
-    demands_of,
+    has_constraints,
 )
 from guavagate.decisions.admission import LengthEstimate
 from guavagate.models import SamplerId
 
-# Sampler weights are worked out anew at most this often, in seconds.
+# Shortest time between two updates of the sampler weights, in seconds.
 REFRESH_S: Final = 0.1
-# Seconds per token before anything was measured: an engine's usual pace.
-FIRST_PACE: Final = 0.02
-# Running work's lower bound on its pace is evidence from this multiple of the
-# median on; below it, batches and lengths differ that much.
+# An engine's usual seconds per token, until answers have been measured.
+INITIAL_TOKEN_INTERVAL_SECONDS: Final = 0.02
+# A lower bound on running work's token interval counts as evidence from this
+# multiple of the median on; batches and lengths explain smaller ratios.
 SUSPECT_RATIO: Final = 2.0
 _SMOOTHING: Final = 0.05
 
 
 class Fleet:
-    """The samplers of one pool, their pace and shares."""
+    """The samplers of one pool with their token intervals and shares."""
 
     def __init__(self, safeguards: frozenset[Safeguard]) -> None:
-        self._on = safeguards
+        self._enabled = safeguards
         self._refreshed = float('-inf')
         self.samplers: dict[SamplerId, SamplerState] = {}
         self.length = LengthEstimate()
-        self.pace = FIRST_PACE
-        self.median: float | None = None
+        self.token_interval = INITIAL_TOKEN_INTERVAL_SECONDS
+        self.median_interval: float | None = None
         self.slots = 0
         self._rollout_slots = 0
 
-    def declare(self, infos: Iterable[SamplerInfo], now: float) -> None:
-        """Take over the declared samplers; others are gone."""
+    def update_samplers(self, infos: Iterable[SamplerInfo], now: float) -> None:
+        """Apply the declared samplers; remove those no longer declared."""
         wanted = {info.id: info for info in infos}
         for sampler in set(self.samplers) - set(wanted):
             self.samplers.pop(sampler)
@@ -49,27 +49,28 @@
             if state is None:
                 state = SamplerState(
                     info,
-                    learning=Safeguard.LIMIT in self._on,
-                    healing=Safeguard.GAPS in self._on,
+                    learning=Safeguard.LIMIT in self._enabled,
+                    healing=Safeguard.GAPS in self._enabled,
                 )
                 self.samplers[info.id] = state
-            state.declare(info)
+            state.update_info(info)
         self.refresh(now, force=True)
 
     def has_free(self) -> bool:
-        """Return whether any sampler may start more work."""
+        """Return whether any sampler has a free slot."""
         for state in self.samplers.values():
             if state.occupied < max(state.usable, state.usable_rollout):
                 return True
         return False
 
-    def fitting(self, work: Work) -> list[SamplerState]:
+    def find_fitting(self, work: Work) -> list[SamplerState]:
         """Return the samplers that may start this work now."""
-        if demands_of(work):
+        if has_constraints(work):
             return [
                 state
                 for state in self.samplers.values()
-                if state.free_for(work) > 0 and not state.blocks(work)
+                if state.free_for(work) > 0
+                and not state.find_block_reason(work)
             ]
         # Leaving samplers have no usable slots.
         if work.kind is Kind.ROLLOUT:
@@ -84,80 +85,93 @@
             if state.occupied < state.usable
         ]
 
-    def slots_for(self, work: Work) -> int:
-        """Return how much of this work's kind may run at once."""
+    def count_slots(self, work: Work) -> int:
+        """Return the number of slots for this work's kind."""
         if work.kind is Kind.ROLLOUT:
             return self._rollout_slots
         return self.slots
 
     def refresh(self, now: float, *, force: bool = False) -> None:
-        """Work out anew which sampler may have how much."""
+        """Update each sampler's share and usable slots."""
         if not force and now - self._refreshed < REFRESH_S:
             return
         self._refreshed = now
         states = list(self.samplers.values())
-        paces = [state.health.pace for state in states if state.health.pace]
-        self.median = statistics.median_low(paces) if paces else None
-        ejecting = Safeguard.EJECTION in self._on
-        if ejecting and self.median:
+        intervals = [
+            state.health.token_interval
+            for state in states
+            if state.health.token_interval
+        ]
+        self.median_interval = (
+            statistics.median_low(intervals) if intervals else None
+        )
+        ejecting = Safeguard.EJECTION in self._enabled
+        if ejecting and self.median_interval:
             self._eject(states, now)
         for state in states:
-            state.refresh(now, self.median, ejecting)
+            state.refresh(now, self.median_interval, ejecting)
         self.slots = sum(state.usable for state in states)
         self._rollout_slots = sum(state.usable_rollout for state in states)
 
-    def learn(
+    def add_answer(
         self,
-        running: Running,
+        running: RunningWork,
         state: SamplerState,
         now: float,
         tokens: int,
         cached_tokens: int | None,
     ) -> None:
-        """Take in a whole answer's time, length and cached tokens."""
+        """Record a complete answer's duration, length and cached tokens."""
         work = running.work
         self.length.learn(work.expected_tokens, tokens)
         prompt = running.cost - work.expected_tokens
         if cached_tokens is not None:
             prompt = (work.prompt_tokens - cached_tokens) * PREFILL_SHARE
             _learn_cache(running, state, cached_tokens)
-        pace = (now - running.start) / max(tokens + prompt, 1.0)
-        state.health.succeed(pace, now)
-        streams = (running.level + len(state.running) + 1) / 2
-        state.limit.learn(pace, streams, running.start, now)
-        self.pace += _SMOOTHING * (pace - self.pace)
+        token_interval = (now - running.start) / max(tokens + prompt, 1.0)
+        state.health.record_success(token_interval, now)
+        streams = (running.streams_at_start + len(state.running) + 1) / 2
+        state.limit.learn(token_interval, streams, running.start, now)
+        self.token_interval += _SMOOTHING * (
+            token_interval - self.token_interval
+        )
 
     def _eject(self, states: list[SamplerState], now: float) -> None:
-        median = self.median or 0
+        median_interval = self.median_interval or 0
         out = sum(now < state.health.ejected_until for state in states)
         for state in states:
             if now < state.health.ejected_until:
                 continue
-            self._suspect(state, median, now)
-            if state.health.quality(now, median) >= ejection.EJECT_BELOW:
+            self._check_oldest(state, median_interval, now)
+            if (
+                state.health.get_quality(now, median_interval)
+                >= ejection.EJECT_BELOW
+            ):
                 continue
             if ejection.may_eject(out, len(states)):
                 state.health.eject(now)
                 out += 1
 
-    def _suspect(self, state: SamplerState, median: float, now: float) -> None:
-        """Learn from work that takes too long before it ends."""
+    def _check_oldest(
+        self, state: SamplerState, median_interval: float, now: float
+    ) -> None:
+        """Record slowness of the longest-running work before it ends."""
         oldest = next(iter(state.running.values()), None)
         if oldest is None:
             return
         bound = (now - oldest.start) / (oldest.cost * self.length.high)
-        if bound > SUSPECT_RATIO * median:
-            state.health.suspect(bound, now)
+        if bound > SUSPECT_RATIO * median_interval:
+            state.health.record_lower_bound(bound, now)
 
 
 def _learn_cache(
-    running: Running, state: SamplerState, cached_tokens: int
+    running: RunningWork, state: SamplerState, cached_tokens: int
 ) -> None:
-    """Tell the index when the answer found less cached than expected."""
+    """Correct the prefix index when less was cached than expected."""
     keys = running.work.prefix_keys
-    if not keys or not running.cached:
+    if not keys or not running.cached_prefixes:
         return
     tokens_each = running.work.prompt_tokens / len(keys)
     found = int(cached_tokens / max(tokens_each, 1.0) + 0.5)
-    if found < running.cached:
-        state.prefixes.learn_evicted(running.cached_at)
+    if found < running.cached_prefixes:
+        state.prefixes.record_eviction(running.cached_prefix_at)
--- a/guavagate/decisions/_policy.py
+++ b/guavagate/decisions/_policy.py
@@ -23,7 +23,9 @@
     max_queued: int = admission.MAX_QUEUED
 
 
-def choose_with(choose: Choose, safeguards: frozenset[Safeguard]) -> Choose:
+def apply_safeguards(
+    choose: Choose, safeguards: frozenset[Safeguard]
+) -> Choose:
     """Return the choice without what is switched off."""
     if choose is not choose_by_prefix:
         return choose
--- a/guavagate/decisions/_reasons.py
+++ b/guavagate/decisions/_reasons.py
@@ -9,7 +9,7 @@
     RefusalReason,
     Refused,
     Work,
-    demands_of,
+    has_constraints,
 )
 
 
@@ -63,10 +63,10 @@
     # One plain loop: with a call for each sampler this was a fifth of the
     # whole choice's time.
     turned_down: dict[str, str] = {}
-    demands = demands_of(work)
+    demands = has_constraints(work)
     for state in samplers:
         if demands or state.leaving:
-            reason = state.blocks(work)
+            reason = state.find_block_reason(work)
             if reason:
                 turned_down[state.id] = reason
                 continue
--- a/guavagate/decisions/_sampler.py
+++ b/guavagate/decisions/_sampler.py
@@ -1,4 +1,4 @@
-"""What a pool's home knows of one sampler."""
+"""What a queue owner knows about one sampler."""
 
 import collections
 from typing import Final
@@ -11,12 +11,12 @@
 from guavagate.decisions.prefixes import PrefixIndex
 from guavagate.models import RequestId, SamplerId, WeightVersion, ZoneId
 
-# A report lags by a few seconds, in which a sampler ends about this much.
-_ENDED_KEPT: Final = 64
+# A report lags by a few seconds, in which a sampler ends about this many runs.
+_MAX_ENDED: Final = 64
 
 
 class SamplerInfo(msgspec.Struct, frozen=True, kw_only=True):
-    """A sampler as settings and instance list declare it."""
+    """A sampler as declared by settings and the instance list."""
 
     id: SamplerId
     zone: ZoneId = ZoneId('')
@@ -25,12 +25,12 @@
 
 
 class SamplerReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A sampler's report; `running` counts work of others too.
+    """A sampler's report; `running` includes runs that others started.
 
     Parameters
     ----------
     at
-        When the engine made it, in the clock's seconds, as well as known.
+        When the engine made it, in seconds of the pool's clock; estimated.
     """
 
     at: float
@@ -40,17 +40,17 @@
     leaving: bool = False
 
 
-class Running:
-    """One piece of work on one sampler."""
+class RunningWork:
+    """One run of a request or sample on one sampler."""
 
     __slots__ = (
-        'cached',
-        'cached_at',
+        'cached_prefix_at',
+        'cached_prefixes',
         'cost',
         'expected',
-        'level',
-        'pace',
         'start',
+        'streams_at_start',
+        'token_interval',
         'work',
     )
 
@@ -61,14 +61,14 @@
         self.cost = cost
         self.start = start
         self.expected = expected
-        self.cached = 0
-        self.cached_at = start
-        self.level = 0
-        self.pace: float | None = None
+        self.cached_prefixes = 0
+        self.cached_prefix_at = start
+        self.streams_at_start = 0
+        self.token_interval: float | None = None
 
 
 class SamplerState:
-    """One sampler's slots, versions, cache and health."""
+    """One sampler's slots, versions, prefix cache and health."""
 
     def __init__(
         self, info: SamplerInfo, *, learning: bool, healing: bool
@@ -79,43 +79,47 @@
         self.limit = ConcurrencyLimit(info.slots, learning=learning)
         self.health = Health()
         self.prefixes = PrefixIndex(heal=healing)
-        self.running: dict[RequestId, Running] = {}
+        self.running: dict[RequestId, RunningWork] = {}
         self.version: WeightVersion | None = None
         self.adapters: frozenset[str] = frozenset()
-        self.foreign = 0
+        self.foreign_running = 0
         self.occupied = 0
         self.share = 1.0
         self.usable = info.slots
         self.usable_rollout = info.slots
-        self._ended: collections.deque[tuple[float, float]] = collections.deque(
-            maxlen=_ENDED_KEPT
+        self._ended_spans: collections.deque[tuple[float, float]] = (
+            collections.deque(maxlen=_MAX_ENDED)
         )
 
     @property
     def free(self) -> int:
-        """Return how many more of any kind may start."""
+        """Return how many more runs of any kind may start."""
         return max(self.usable, self.usable_rollout) - self.occupied
 
     def free_for(self, work: Work) -> int:
-        """Return how many more of this work's kind may start."""
+        """Return how many more runs of this work's kind may start."""
         if work.kind is Kind.ROLLOUT:
             return self.usable_rollout - self.occupied
         return self.usable - self.occupied
 
-    def refresh(self, now: float, median: float | None, ejecting: bool) -> None:
-        """Work out anew how much work it may have."""
-        self.share = self.health.share(now, median) if ejecting else 1.0
-        rollout = self.health.throughput_share(now) if ejecting else 1.0
-        self.usable = self._slots_of(self.share)
-        self.usable_rollout = self._slots_of(rollout)
+    def refresh(
+        self, now: float, median_interval: float | None, ejecting: bool
+    ) -> None:
+        """Update the share of work and the usable slots."""
+        self.share = (
+            self.health.get_share(now, median_interval) if ejecting else 1.0
+        )
+        rollout = self.health.get_throughput_share(now) if ejecting else 1.0
+        self.usable = self._scale_slots(self.share)
+        self.usable_rollout = self._scale_slots(rollout)
 
-    def _slots_of(self, share: float) -> int:
+    def _scale_slots(self, share: float) -> int:
         if self.leaving or share <= 0:
             return 0
         return max(int(self.limit.value * share), 1)
 
-    def blocks(self, work: Work) -> str:
-        """Return why the work can't run here, or an empty text."""
+    def find_block_reason(self, work: Work) -> str:
+        """Return why the work can't run here, or an empty string."""
         if self.leaving:
             return 'leaving'
         if self.id in work.excluded:
@@ -128,33 +132,39 @@
             return 'version too old'
         return ''
 
-    def start(self, running: Running) -> None:
-        """Count work that starts here."""
+    def start(self, running: RunningWork) -> None:
+        """Add a run that starts here."""
         self.running[running.work.id] = running
-        running.level = len(self.running)
-        self.occupied = running.level + self.foreign
+        running.streams_at_start = len(self.running)
+        self.occupied = running.streams_at_start + self.foreign_running
 
-    def stop(self, work_id: RequestId, now: float) -> Running | None:
-        """Count work that has ended here."""
+    def stop(self, work_id: RequestId, now: float) -> RunningWork | None:
+        """Remove a run that has ended here."""
         running = self.running.pop(work_id, None)
         if running is not None:
-            self._ended.append((running.start, now))
-            self.occupied = len(self.running) + self.foreign
+            self._ended_spans.append((running.start, now))
+            self.occupied = len(self.running) + self.foreign_running
         return running
 
-    def declare(self, info: SamplerInfo) -> None:
-        """Take over what settings and instance list say."""
+    def update_info(self, info: SamplerInfo) -> None:
+        """Apply the declaration from settings and the instance list."""
         self.info = info
         self.leaving = info.leaving
         self.limit.configure(info.slots)
 
-    def learn_report(self, report: SamplerReport) -> None:
-        """Take in a report; it shows the past, so only foreign work counts."""
+    def apply_report(self, report: SamplerReport) -> None:
+        """Apply a report, and count the runs in it that others started.
+
+        The report shows the past, so the own runs of that moment are subtracted
+        from its count.
+        """
         self.version = report.version or self.version
         if report.adapters is not None:
             self.adapters = report.adapters
         self.leaving = self.leaving or report.leaving
         then = sum(run.start <= report.at for run in self.running.values())
-        ended = sum(start <= report.at < end for start, end in self._ended)
-        self.foreign = max(report.running - then - ended, 0)
-        self.occupied = len(self.running) + self.foreign
+        ended = sum(
+            start <= report.at < end for start, end in self._ended_spans
+        )
+        self.foreign_running = max(report.running - then - ended, 0)
+        self.occupied = len(self.running) + self.foreign_running
--- a/guavagate/decisions/_copies.py
+++ b/guavagate/decisions/_speculation.py
@@ -3,19 +3,19 @@
 from guavagate.decisions import _reasons, ejection, retries, tail
 from guavagate.decisions._attempts import Attempts, AttemptTable
 from guavagate.decisions._fleet import Fleet
-from guavagate.decisions._sampler import Running, SamplerState
+from guavagate.decisions._sampler import RunningWork, SamplerState
 from guavagate.decisions._work import Kind, Placement, Safeguard
 from guavagate.decisions.placement import choose_least_loaded
 
 
-def find_slow(
+def find_candidates(
     fleet: Fleet,
     table: AttemptTable,
     safeguards: frozenset[Safeguard],
     now: float,
     *,
     idle: bool,
-) -> list[Running]:
+) -> list[RunningWork]:
     """Return the work that a copy could speed up, the slowest first.
 
     Parameters
@@ -30,26 +30,39 @@
             if not idle and not table.is_straggler(running.work):
                 continue
             if _is_slow(running, fleet, safeguards, now):
-                pace = _pace(fleet, state, running)
-                slow.append((tail.remaining(running, pace, now), running))
+                token_interval = _get_token_interval(fleet, state, running)
+                slow.append(
+                    (
+                        tail.estimate_remaining_seconds(
+                            running, token_interval, now
+                        ),
+                        running,
+                    )
+                )
     slow.sort(key=lambda item: -item[0])
     return [running for _, running in slow]
 
 
-def start_all(
-    fleet: Fleet, table: AttemptTable, slow: list[Running], now: float
+def start_speculative_runs(
+    fleet: Fleet, table: AttemptTable, slow: list[RunningWork], now: float
 ) -> list[Placement]:
     """Start the copies that are worth it and find a free slot."""
     copies = (_copy(fleet, table, running, now) for running in slow)
     return [copy for copy in copies if copy is not None]
 
 
-def _pace(fleet: Fleet, state: SamplerState, running: Running) -> float:
-    return running.pace or state.health.pace or fleet.pace
+def _get_token_interval(
+    fleet: Fleet, state: SamplerState, running: RunningWork
+) -> float:
+    return (
+        running.token_interval
+        or state.health.token_interval
+        or fleet.token_interval
+    )
 
 
 def _is_slow(
-    running: Running,
+    running: RunningWork,
     fleet: Fleet,
     safeguards: frozenset[Safeguard],
     now: float,
@@ -60,8 +73,11 @@
         return Safeguard.TAIL in safeguards
     if Safeguard.HEDGING not in safeguards:
         return False
-    usual = fleet.median or fleet.pace
-    if running.pace and running.pace > ejection.SLOW_STREAM * usual:
+    usual = fleet.median_interval or fleet.token_interval
+    if (
+        running.token_interval
+        and running.token_interval > ejection.SLOW_STREAM_FACTOR * usual
+    ):
         return True
     return now - running.start > retries.HEDGE_AFTER * running.expected
 
@@ -69,27 +85,33 @@
 def _copy(
     fleet: Fleet,
     table: AttemptTable,
-    running: Running,
+    running: RunningWork,
     now: float,
 ) -> Placement | None:
     work = running.work
     attempts = table.get(work.id)
-    if attempts is None or attempts.copied or not attempts.samplers:
+    if (
+        attempts is None
+        or attempts.has_speculative_run
+        or not attempts.samplers
+    ):
         return None
     first = fleet.samplers.get(attempts.samplers[0])
     if first is None:
         return None
     fitting = [
         state
-        for state in fleet.fitting(work)
+        for state in fleet.find_fitting(work)
         if state.id not in attempts.samplers
     ]
     if not fitting:
         return None
     state, _ = choose_least_loaded(work, fitting)
-    pace = _pace(fleet, first, running)
-    copy_pace = state.health.pace or fleet.pace
-    if not tail.gains_from_copy(running, pace, copy_pace, now):
+    token_interval = _get_token_interval(fleet, first, running)
+    other_interval = state.health.token_interval or fleet.token_interval
+    if not tail.is_speculation_worthwhile(
+        running, token_interval, other_interval, now
+    ):
         return None
     return _start(fleet, table, attempts, state, now)
 
@@ -103,9 +125,9 @@
 ) -> Placement | None:
     work = attempts.work
     # A step's copies only take slots that are idle, so no budget bounds them.
-    if work.kind is Kind.INTERACTIVE and not table.hedges.spend():
+    if work.kind is Kind.INTERACTIVE and not table.hedge_budget.spend():
         return None
-    attempts.copied = True
+    attempts.has_speculative_run = True
     running = table.start(attempts, state, now)
     decision = _reasons.placed(
         work,
@@ -118,7 +140,7 @@
         work=work,
         sampler=state.id,
         expected_seconds=running.expected,
-        expected_pace=fleet.pace,
+        expected_token_interval=fleet.token_interval,
         decision=decision,
         duplicate=True,
     )
--- a/guavagate/decisions/_work.py
+++ b/guavagate/decisions/_work.py
@@ -150,12 +150,12 @@
     work: Work
     sampler: SamplerId
     expected_seconds: float
-    expected_pace: float
+    expected_token_interval: float
     decision: Decision
     duplicate: bool = False
 
 
-def demands_of(work: Work) -> bool:
+def has_constraints(work: Work) -> bool:
     """Return whether not every sampler may run the work."""
     return bool(work.excluded or work.adapter or work.min_version is not None)
 
--- a/guavagate/decisions/admission.py
+++ b/guavagate/decisions/admission.py
@@ -120,7 +120,7 @@
         return Quantile(WAIT_QUANTILE, start, _WAIT_STEP)
 
 
-def judge(
+def check_deadline(
     now: float,
     deadline: float,
     wait: float,
@@ -140,7 +140,7 @@
     return None
 
 
-def suggest_retry(wait: float, patience: float) -> float:
+def compute_retry_after(wait: float, patience: float) -> float:
     """Return the seconds after which the queue has room for such work."""
     low, high = RETRY_AFTER_RANGE
     return min(max(wait - patience, low), high)
--- a/guavagate/decisions/background.py
+++ b/guavagate/decisions/background.py
@@ -18,15 +18,15 @@
 # A free place is what the next caller finds. One is enough while callers use
 # less than that: should two come at once, the second waits for the first of
 # several requests to end, a few tens of milliseconds.
-SPARE_PLACES: Final = 1
+SPARE_SLOTS: Final = 1
 # Reports come with each answer, some tens a second, so what is followed is the
 # mean of about the last second. A peak that was kept for seconds would leave
 # one place to a step when a single upstream is left, and rewards took three
 # times as long as they had to.
-FOLLOW_SHARE: Final = 0.1
+SMOOTHING: Final = 0.1
 
 
-def follow_callers(before: float, busy: int, background: int) -> float:
+def average_caller_slots(before: float, busy: int, background: int) -> float:
     """Return how many places callers use at an upstream on average.
 
     Parameters
@@ -39,7 +39,7 @@
         Those among them that were sent from here as background work.
     """
     seen = max(busy - background, 0)
-    return before + (seen - before) * FOLLOW_SHARE
+    return before + (seen - before) * SMOOTHING
 
 
 def limit_background(slots: int, callers: float) -> int:
@@ -48,5 +48,5 @@
     Never none: else callers that keep an upstream full would stop a step for
     good, and one place of several is what they lose at most.
     """
-    reserved = max(math.ceil(callers), SPARE_PLACES)
+    reserved = max(math.ceil(callers), SPARE_SLOTS)
     return max(slots - reserved, 1)
--- a/guavagate/decisions/fairness.py
+++ b/guavagate/decisions/fairness.py
@@ -25,22 +25,32 @@
 # ninth of all slots still goes to samples, so that a step always advances.
 KIND_WEIGHTS: Final = {Kind.INTERACTIVE: 8.0, Kind.ROLLOUT: 1.0}
 
-_DUE_SLACK: Final = 64
+_REBUILD_SLACK: Final = 64
 
 Path = tuple[Hashable, ...]
 
 
-class Entry:
+class FlowItem:
     """One queued piece of work."""
 
-    __slots__ = ('cost', 'due', 'key', 'leaf', 'removed', 'urgent', 'work')
+    __slots__ = (
+        'cost',
+        'key',
+        'latest_start',
+        'leaf',
+        'removed',
+        'urgent_from',
+        'work',
+    )
 
-    def __init__(self, work: Work, key: float, cost: float, due: float) -> None:
+    def __init__(
+        self, work: Work, key: float, cost: float, latest_start: float
+    ) -> None:
         self.work = work
         self.key = key
         self.cost = cost
-        self.due = due
-        self.urgent = due
+        self.latest_start = latest_start
+        self.urgent_from = latest_start
         self.leaf: Flow | None = None
         self.removed = False
 
@@ -49,20 +59,20 @@
     """One level of the tree: all queued work below a team or caller."""
 
     __slots__ = (
+        'active_weight',
         'backlog',
+        'child_heap',
         'children',
-        'entries',
-        'held',
-        'idle',
-        'idle_order',
+        'idle_heap',
+        'idle_tags',
+        'items',
         'name',
-        'order',
         'parent',
         'sequence',
-        'start',
-        'virtual',
+        'start_tag',
+        'suspended',
+        'virtual_time',
         'weight',
-        'weight_active',
     )
 
     def __init__(
@@ -71,17 +81,17 @@
         self.name = name
         self.parent = parent
         self.weight = weight
-        self.start: float = 0
-        self.virtual: float = 0
+        self.start_tag: float = 0
+        self.virtual_time: float = 0
         self.backlog: float = 0
-        self.weight_active: float = 0
+        self.active_weight: float = 0
         self.sequence = 0
-        self.held = False
+        self.suspended = False
         self.children: dict[Hashable, Flow] = {}
-        self.order: list[tuple[float, int, Flow]] = []
-        self.entries: list[tuple[float, int, Entry]] = []
-        self.idle: dict[Hashable, float] = {}
-        self.idle_order: list[tuple[float, int, Hashable]] = []
+        self.child_heap: list[tuple[float, int, Flow]] = []
+        self.items: list[tuple[float, int, FlowItem]] = []
+        self.idle_tags: dict[Hashable, float] = {}
+        self.idle_heap: list[tuple[float, int, Hashable]] = []
 
 
 class FairQueue:
@@ -90,9 +100,9 @@
     def __init__(self) -> None:
         self._sequence = itertools.count(1)
         self._root = Flow('', None, 1.0)
-        self._held: list[Flow] = []
-        self._urgent: list[tuple[float, int, Entry]] = []
-        self._due: list[tuple[float, int, Entry]] = []
+        self._suspended: list[Flow] = []
+        self._urgent_heap: list[tuple[float, int, FlowItem]] = []
+        self._deadline_heap: list[tuple[float, int, FlowItem]] = []
         self._size = 0
 
     def __len__(self) -> int:
@@ -104,111 +114,111 @@
         """Return the cost of all queued work."""
         return self._root.backlog
 
-    def flows(self) -> int:
+    def count_flows(self) -> int:
         """Return how many flows are remembered, the idle ones included."""
-        return _count(self._root)
+        return _count_flows(self._root)
 
     def push(
-        self, entry: Entry, path: Path, weights: tuple[float, ...]
+        self, item: FlowItem, path: Path, weights: tuple[float, ...]
     ) -> None:
-        """Queue an entry in the flow that its path names."""
+        """Queue an item in the flow that its path names."""
         flow = self._root
         for name, weight in zip(path, weights, strict=True):
             child = flow.children.get(name)
             if child is None:
-                child = self._open(flow, name, weight)
+                child = self._create_flow(flow, name, weight)
             flow = child
-        entry.leaf = flow
-        self._insert(flow, entry)
+        item.leaf = flow
+        self._insert(flow, item)
 
-    def pop_urgent(self, now: float) -> Entry | None:
+    def pop_urgent(self, now: float) -> FlowItem | None:
         """Take work whose place in line has come by its deadline, if any.
 
         What was let in is a promise. Its flows are charged as always, so the
         others get their shares back afterwards.
         """
-        while self._urgent and self._urgent[0][0] <= now:
-            entry = heapq.heappop(self._urgent)[2]
-            if entry.removed or entry.leaf is None or entry.leaf.held:
+        while self._urgent_heap and self._urgent_heap[0][0] <= now:
+            item = heapq.heappop(self._urgent_heap)[2]
+            if item.removed or item.leaf is None or item.leaf.suspended:
                 continue
-            self._charge(entry.leaf, entry.cost)
-            self.remove(entry)
-            return entry
+            self._charge(item.leaf, item.cost)
+            self.remove(item)
+            return item
         return None
 
-    def pop(self) -> Entry | None:
-        """Take the next entry and charge its flows, or return nothing."""
+    def pop(self) -> FlowItem | None:
+        """Take the next item and charge its flows, or return nothing."""
         flow = self._root
-        while not flow.entries:
-            child = self._first(flow)
+        while not flow.items:
+            child = self._find_first(flow)
             if child is None:
                 return None
             flow = child
             self._drop_removed(flow)
-        entry = heapq.heappop(flow.entries)[2]
-        self._charge(flow, entry.cost)
-        self._account(entry, -1)
-        entry.removed = True
+        item = heapq.heappop(flow.items)[2]
+        self._charge(flow, item.cost)
+        self._account(item, -1)
+        item.removed = True
         self._close_empty(flow)
-        return entry
+        return item
 
     def put_back(
         self,
-        entry: Entry,
+        item: FlowItem,
         path: Path,
         weights: tuple[float, ...],
         *,
-        hold: bool,
+        suspend: bool,
     ) -> None:
-        """Return an entry just taken, without charge.
+        """Return an item just taken, without charge.
 
         A held flow is passed over until `release`.
         """
-        self.push(entry, path, weights)
-        flow = entry.leaf
+        self.push(item, path, weights)
+        flow = item.leaf
         while flow is not None and flow.parent is not None:
-            flow.start -= entry.cost / flow.weight
+            flow.start_tag -= item.cost / flow.weight
             self._reorder(flow)
             flow = flow.parent
-        if hold:
-            self._hold(entry.leaf)
+        if suspend:
+            self._suspend(item.leaf)
 
-    def first_due(self, now: float) -> Entry | None:
+    def find_overdue(self, now: float) -> FlowItem | None:
         """Return queued work that must have started before now, if any."""
-        while self._due and self._due[0][0] < now:
-            entry = self._due[0][2]
-            if not entry.removed:
-                return entry
-            heapq.heappop(self._due)
+        while self._deadline_heap and self._deadline_heap[0][0] < now:
+            item = self._deadline_heap[0][2]
+            if not item.removed:
+                return item
+            heapq.heappop(self._deadline_heap)
         return None
 
-    def release(self) -> None:
+    def resume(self) -> None:
         """Let held flows take part again."""
-        for flow in self._held:
-            flow.held = False
-            if flow.entries and flow.parent is not None:
+        for flow in self._suspended:
+            flow.suspended = False
+            if flow.items and flow.parent is not None:
                 self._reorder(flow)
-                self._lift(flow.parent)
-        self._held.clear()
+                self._resume_ancestors(flow.parent)
+        self._suspended.clear()
 
-    def remove(self, entry: Entry) -> None:
-        """Take an entry out without serving it."""
-        if entry.removed:
+    def remove(self, item: FlowItem) -> None:
+        """Take an item out without serving it."""
+        if item.removed:
             return
-        entry.removed = True
-        self._account(entry, -1)
-        leaf = entry.leaf
+        item.removed = True
+        self._account(item, -1)
+        leaf = item.leaf
         if leaf is not None:
             self._drop_removed(leaf)
             self._close_empty(leaf)
 
-    def cost_ahead(
+    def compute_cost_ahead(
         self,
         path: Path,
         weights: tuple[float, ...],
         cost: float,
     ) -> float:
-        """Return the queued cost that a new entry would wait for.
+        """Return the queued cost that a new item would wait for.
 
         Under fair shares a flow waits for its own backlog, stretched by the
         weights of all others that have any. That may be more than all that is
@@ -221,42 +231,48 @@
             if flow is None:
                 break
             child = flow.children.get(name)
-            active = flow.weight_active + (0 if child else weight)
+            active = flow.active_weight + (0 if child else weight)
             stretch *= active / weight
             own = child.backlog if child else 0
             flow = child
         return (own + cost) * stretch if self._size else 0
 
-    def _open(self, parent: Flow, name: Hashable, weight: float) -> Flow:
+    def _create_flow(self, parent: Flow, name: Hashable, weight: float) -> Flow:
         flow = Flow(name, parent, max(weight, 1e-6))
-        flow.start = max(parent.virtual, parent.idle.pop(name, 0))
+        flow.start_tag = max(parent.virtual_time, parent.idle_tags.pop(name, 0))
         parent.children[name] = flow
-        parent.weight_active += flow.weight
+        parent.active_weight += flow.weight
         self._reorder(flow)
         return flow
 
-    def _insert(self, leaf: Flow, entry: Entry) -> None:
-        entry.removed = False
+    def _insert(self, leaf: Flow, item: FlowItem) -> None:
+        item.removed = False
         number = next(self._sequence)
-        heapq.heappush(leaf.entries, (entry.key, number, entry))
-        if entry.due < math.inf:
-            heapq.heappush(self._due, (entry.due, number, entry))
-            heapq.heappush(self._urgent, (entry.urgent, number, entry))
+        heapq.heappush(leaf.items, (item.key, number, item))
+        if item.latest_start < math.inf:
+            heapq.heappush(
+                self._deadline_heap, (item.latest_start, number, item)
+            )
+            heapq.heappush(self._urgent_heap, (item.urgent_from, number, item))
         # Entries taken out stay in the heap until due; rebuild it when they
-        # are most of it, or a long deadline would keep every answer's entry.
-        if len(self._due) > 2 * self._size + _DUE_SLACK:
-            self._due = [due for due in self._due if not due[2].removed]
-            heapq.heapify(self._due)
-            self._urgent = [
-                item for item in self._urgent if not item[2].removed
+        # are most of it, or a long deadline would keep every answer's item.
+        if len(self._deadline_heap) > 2 * self._size + _REBUILD_SLACK:
+            self._deadline_heap = [
+                queued
+                for queued in self._deadline_heap
+                if not queued[2].removed
+            ]
+            heapq.heapify(self._deadline_heap)
+            self._urgent_heap = [
+                queued for queued in self._urgent_heap if not queued[2].removed
             ]
-            heapq.heapify(self._urgent)
-        self._account(entry, 1)
+            heapq.heapify(self._urgent_heap)
+        self._account(item, 1)
 
-    def _account(self, entry: Entry, sign: int) -> None:
+    def _account(self, item: FlowItem, sign: int) -> None:
         self._size += sign
-        change = sign * entry.cost
-        flow = entry.leaf
+        change = sign * item.cost
+        flow = item.leaf
         while flow is not None:
             flow.backlog += change
             flow = flow.parent
@@ -264,71 +280,77 @@
     def _charge(self, leaf: Flow, cost: float) -> None:
         flow = leaf
         while flow.parent is not None:
-            flow.parent.virtual = max(flow.parent.virtual, flow.start)
-            flow.start += cost / flow.weight
+            flow.parent.virtual_time = max(
+                flow.parent.virtual_time, flow.start_tag
+            )
+            flow.start_tag += cost / flow.weight
             self._reorder(flow)
             flow = flow.parent
 
-    def _first(self, flow: Flow) -> Flow | None:
-        order = flow.order
-        while order:
-            _, sequence, child = order[0]
-            if sequence == child.sequence and not child.held:
+    def _find_first(self, flow: Flow) -> Flow | None:
+        child_heap = flow.child_heap
+        while child_heap:
+            _, sequence, child = child_heap[0]
+            if sequence == child.sequence and not child.suspended:
                 return child
-            heapq.heappop(order)
+            heapq.heappop(child_heap)
         return None
 
     def _reorder(self, flow: Flow) -> None:
         if flow.parent is None:
             return
         flow.sequence = next(self._sequence)
-        heapq.heappush(flow.parent.order, (flow.start, flow.sequence, flow))
+        heapq.heappush(
+            flow.parent.child_heap, (flow.start_tag, flow.sequence, flow)
+        )
 
-    def _hold(self, flow: Flow | None) -> None:
+    def _suspend(self, flow: Flow | None) -> None:
         while flow is not None and flow.parent is not None:
-            flow.held = True
-            self._held.append(flow)
+            flow.suspended = True
+            self._suspended.append(flow)
             flow = flow.parent
-            if self._first(flow) is not None:
+            if self._find_first(flow) is not None:
                 return
 
-    def _lift(self, flow: Flow) -> None:
+    def _resume_ancestors(self, flow: Flow) -> None:
         while flow.parent is not None:
-            flow.held = False
+            flow.suspended = False
             self._reorder(flow)
             flow = flow.parent
 
     def _drop_removed(self, flow: Flow) -> None:
-        while flow.entries and flow.entries[0][2].removed:
-            heapq.heappop(flow.entries)
+        while flow.items and flow.items[0][2].removed:
+            heapq.heappop(flow.items)
 
     def _close_empty(self, flow: Flow) -> None:
         self._drop_removed(flow)
-        while flow.parent is not None and not (flow.entries or flow.children):
+        while flow.parent is not None and not (flow.items or flow.children):
             parent = flow.parent
             parent.children.pop(flow.name, None)
-            parent.weight_active -= flow.weight
+            parent.active_weight -= flow.weight
             flow.sequence = 0
-            self._remember(parent, flow)
+            self._record_idle(parent, flow)
             flow = parent
 
-    def _remember(self, parent: Flow, flow: Flow) -> None:
+    def _record_idle(self, parent: Flow, flow: Flow) -> None:
         if not parent.children:
             # The end of a busy period: nobody is owed anything.
-            parent.idle.clear()
-            parent.idle_order.clear()
-            parent.order.clear()
+            parent.idle_tags.clear()
+            parent.idle_heap.clear()
+            parent.child_heap.clear()
             return
-        if flow.start > parent.virtual:
-            parent.idle[flow.name] = flow.start
-            item = (flow.start, next(self._sequence), flow.name)
-            heapq.heappush(parent.idle_order, item)
-        while parent.idle_order and parent.idle_order[0][0] <= parent.virtual:
-            start, _, name = heapq.heappop(parent.idle_order)
-            if parent.idle.get(name) == start:
-                parent.idle.pop(name)
-
-
-def _count(flow: Flow) -> int:
-    below = sum(_count(child) for child in flow.children.values())
-    return below + len(flow.children) + len(flow.idle)
+        if flow.start_tag > parent.virtual_time:
+            parent.idle_tags[flow.name] = flow.start_tag
+            idle = (flow.start_tag, next(self._sequence), flow.name)
+            heapq.heappush(parent.idle_heap, idle)
+        while (
+            parent.idle_heap and parent.idle_heap[0][0] <= parent.virtual_time
+        ):
+            start, _, name = heapq.heappop(parent.idle_heap)
+            if parent.idle_tags.get(name) == start:
+                parent.idle_tags.pop(name)
+
+
+def _count_flows(flow: Flow) -> int:
+    below = sum(_count_flows(child) for child in flow.children.values())
+    return below + len(flow.children) + len(flow.idle_tags)
--- a/guavagate/decisions/placement.py
+++ b/guavagate/decisions/placement.py
@@ -43,7 +43,7 @@
     matched = 0
     for state in within:
         count = state.prefixes.match(work.prefix_keys)
-        nearer = load_of(state) < load_of(best)
+        nearer = compute_load(state) < compute_load(best)
         if count > matched or (matched and count == matched and nearer):
             best = state
             matched = count
@@ -90,7 +90,7 @@
     """Take the least work for its share, the nearer one when they are equal."""
     best = min(
         samplers,
-        key=lambda state: (load_of(state), state.info.zone != work.zone),
+        key=lambda state: (compute_load(state), state.info.zone != work.zone),
     )
     return best, 'least loaded'
 
@@ -103,7 +103,7 @@
     count = len(samplers)
     first = samplers[pick % count]
     second = samplers[(pick // count) % count]
-    best = min(first, second, key=load_of)
+    best = min(first, second, key=compute_load)
     return best, 'less loaded of two'
 
 
@@ -125,7 +125,7 @@
     return xxhash.xxh3_64_intdigest(name.encode(), seed & _SEED_MASK)
 
 
-def load_of(state: SamplerState) -> float:
+def compute_load(state: SamplerState) -> float:
     """Return running work per slot that the sampler may use."""
     if state.usable <= 0:
         return math.inf
@@ -146,7 +146,7 @@
     return within or samplers
 
 
-def expect_cost(work: Work, state: SamplerState) -> tuple[float, int]:
+def estimate_sampler_cost(work: Work, state: SamplerState) -> tuple[float, int]:
     """Return the work's cost there and how many prefix keys it holds."""
     keys = work.prefix_keys
     if not keys:
--- a/guavagate/decisions/pool.py
+++ b/guavagate/decisions/pool.py
@@ -1,21 +1,21 @@
-"""One pool of samplers at its home: queue, slots, placement, attempts.
+"""Queue, slots, placement and attempts of one pool of samplers.
 
-Composes the modules of this package. The daemon and ``script/measure`` drive
-the same class; time is an argument of every call, in the clock's seconds.
+Composes the other modules of this package. The daemon and `script/measure` use
+the same class. Time is an argument of every call, in seconds.
 
-Call `place` after anything that may have freed a slot or queued work, then
-send what `expire` returns back to the entries; call `hedge` now and then.
+Call `place` after anything that may have freed a slot or queued work, then send
+what `expire` returns back to the entries; call `speculate` periodically.
 """
 
 from collections.abc import Hashable, Iterable, Sequence
 from typing import Final
 
-from guavagate.decisions import _copies, _reasons, admission
+from guavagate.decisions import _reasons, _speculation, admission
 from guavagate.decisions._attempts import Attempts, AttemptTable
 from guavagate.decisions._fleet import Fleet
-from guavagate.decisions._policy import PoolSettings, choose_with
+from guavagate.decisions._policy import PoolSettings, apply_safeguards
 from guavagate.decisions._sampler import (
-    Running,
+    RunningWork,
     SamplerInfo,
     SamplerReport,
     SamplerState,
@@ -27,19 +27,19 @@
     Refused,
     Safeguard,
     Work,
-    demands_of,
+    has_constraints,
 )
-from guavagate.decisions.fairness import KIND_WEIGHTS, Entry, FairQueue, Path
+from guavagate.decisions.fairness import KIND_WEIGHTS, FairQueue, FlowItem, Path
 from guavagate.decisions.order import LENGTH_ERROR, order_by_arrival
 from guavagate.models import RequestId, SamplerId
 
-# Work looked at beyond the first that can't be placed, per call: bounds the
-# time of a call when many wait for a version that no sampler has yet.
+# How many queued works that can't be placed one call of `place` skips. Bounds
+# the time of a call when many wait for a version that no sampler has yet.
 LOOKAHEAD: Final = 16
 
 
 class Pool:
-    """The state of one pool of samplers at its home."""
+    """The state of one pool of samplers at its queue owner."""
 
     def __init__(
         self,
@@ -47,81 +47,81 @@
         samplers: Iterable[SamplerInfo] = (),
         now: float = 0,
     ) -> None:
-        self._on = settings.safeguards
+        self._enabled = settings.safeguards
         self._max_queued = settings.max_queued
         self._order = settings.order
-        if Safeguard.ORDER not in self._on:
+        if Safeguard.ORDER not in self._enabled:
             self._order = order_by_arrival
-        self._choose = choose_with(settings.choose, self._on)
-        self._fair = Safeguard.FAIRNESS in self._on
+        self._choose = apply_safeguards(settings.choose, self._enabled)
+        self._fair = Safeguard.FAIRNESS in self._enabled
         self._queue = FairQueue()
-        self._fleet = Fleet(self._on)
-        self._table = AttemptTable(self._fleet, self._on)
+        self._fleet = Fleet(self._enabled)
+        self._table = AttemptTable(self._fleet, self._enabled)
         self._waits = admission.WaitEstimate()
         self._expired: list[Refused] = []
-        self._slow: list[Running] = []
-        self._copies: list[Placement] = []
+        self._candidates: list[RunningWork] = []
+        self._speculative: list[Placement] = []
         self.set_samplers(samplers, now)
 
     @property
     def queued(self) -> int:
-        """Return how much work waits."""
+        """Return the number of queued work items."""
         return len(self._queue)
 
     @property
     def running(self) -> int:
-        """Return how many pieces run, copies included."""
+        """Return the number of runs, speculative ones included."""
         return sum(len(state.running) for state in self.samplers)
 
     @property
     def slots(self) -> int:
-        """Return how much may run at once."""
+        """Return how many runs fit at once."""
         return self._fleet.slots
 
     @property
     def samplers(self) -> Sequence[SamplerState]:
-        """Return what is known of each sampler."""
+        """Return the state of each sampler."""
         return tuple(self._fleet.samplers.values())
 
-    def flows(self) -> int:
-        """Return how many queues and callers are remembered."""
-        return self._queue.flows()
+    def count_flows(self) -> int:
+        """Return the number of flows in the fair queue, idle ones included."""
+        return self._queue.count_flows()
 
-    def load(self) -> float:
-        """Return running and queued work per slot, for entries to choose by."""
+    def compute_load(self) -> float:
+        """Return running and queued work per slot."""
         return (self.running + self.queued) / max(self.slots, 1)
 
     def set_samplers(self, infos: Iterable[SamplerInfo], now: float) -> None:
-        """Take over the declared samplers; those no longer there are gone."""
-        self._fleet.declare(infos, now)
+        """Apply the declared samplers; remove those no longer declared."""
+        self._fleet.update_samplers(infos, now)
 
-    def report(
+    def record_report(
         self, sampler: SamplerId, report: SamplerReport, now: float
     ) -> None:
-        """Take in a sampler's report, which lags."""
+        """Apply a sampler's report, which lags behind its state."""
         state = self._fleet.samplers.get(sampler)
         if state is not None:
-            state.learn_report(report)
+            state.apply_report(report)
             self._fleet.refresh(now, force=True)
 
-    def cache_events(
+    def apply_cache_events(
         self,
         sampler: SamplerId,
         first: int,
         events: Iterable[tuple[str, int]],
         now: float,
     ) -> bool:
-        """Take in cache events, `first` being the first one's number.
+        """Apply cache events; `first` is the number of the first one.
 
         Returns
         -------
-        Whether events were missing before these.
+        Whether events before these are missing.
         """
         state = self._fleet.samplers.get(sampler)
         return state is not None and state.prefixes.apply(first, events, now)
 
     def offer(self, work: Work, now: float) -> Queued | Refused:
-        """Queue work, or refuse it at once and truly not run."""
+        """Queue work, or refuse it before any of it has run."""
         if self._table.get(work.id) is not None:
             return _reasons.queued(work, 0, 'already here')
         if not self._fleet.samplers:
@@ -129,13 +129,13 @@
         if len(self._queue) >= self._max_queued:
             return self._refuse(work, RefusalReason.QUEUE_FULL, now)
         attempts = Attempts(work, now)
-        self._table.hear(attempts)
+        self._table.record_arrival(attempts)
         expected = self._expect_wait(attempts)
         attempts.expected_wait = expected
-        wait = self._waits.correct(attempts.name, expected)
-        if Safeguard.ADMISSION in self._on:
-            own = self._own_seconds(attempts.cost, wait)
-            reason = admission.judge(now, work.deadline, wait, own)
+        wait = self._waits.correct(attempts.requester, expected)
+        if Safeguard.ADMISSION in self._enabled:
+            own = self._expect_run_seconds(attempts.cost, wait)
+            reason = admission.check_deadline(now, work.deadline, wait, own)
             if reason is not None:
                 return self._refuse(work, reason, now)
         self._table.add(attempts)
@@ -143,7 +143,7 @@
         return _reasons.queued(work, wait, 'in time by the expected wait')
 
     def adopt(self, work: Work, sampler: SamplerId, now: float) -> None:
-        """Count work that already runs, after this home took over."""
+        """Count work that already ran when this instance became queue owner."""
         state = self._fleet.samplers.get(sampler)
         if state is None or work.id in state.running:
             return
@@ -152,58 +152,62 @@
         self._table.start(attempts, state, now)
 
     def place(self, now: float) -> list[Placement]:
-        """Return the work that may start now, with its samplers."""
+        """Start queued work on free slots and return where it goes."""
         self._fleet.refresh(now)
-        self._start_copies(now)
+        self._start_speculative_runs(now)
         placements: list[Placement] = []
-        parked = 0
-        kept_back: list[Entry] = []
-        while parked + len(kept_back) < LOOKAHEAD:
-            entry = self._next(now) if self._fleet.has_free() else None
-            if entry is None:
+        blocked = 0
+        deferred: list[FlowItem] = []
+        while blocked + len(deferred) < LOOKAHEAD:
+            item = self._pop_next(now) if self._fleet.has_free() else None
+            if item is None:
                 break
-            if self._drop_late(entry, now):
+            if self._drop_late(item, now):
                 continue
-            if self._leaves_reserve(entry, now):
-                kept_back.append(entry)
+            if self._must_leave_reserve(item, now):
+                deferred.append(item)
                 continue
-            placement = self._place_one(entry, now)
+            placement = self._place_one(item, now)
             if placement is None:
-                parked += 1
-                self._put_back(entry, hold=True)
+                blocked += 1
+                self._put_back(item, suspend=True)
             else:
                 placements.append(placement)
-        for entry in kept_back:
-            self._put_back(entry, hold=False)
-        self._queue.release()
+        for item in deferred:
+            self._put_back(item, suspend=False)
+        self._queue.resume()
         return placements
 
     def expire(self, now: float) -> list[Refused]:
-        """Return queued work that can no longer be in time, refused."""
-        while Safeguard.EXPIRY in self._on:
-            entry = self._queue.first_due(now)
-            if entry is None:
+        """Refuse and return queued work that can't meet its deadline."""
+        while Safeguard.EXPIRY in self._enabled:
+            item = self._queue.find_overdue(now)
+            if item is None:
                 break
-            self._queue.remove(entry)
-            self._drop_late(entry, now)
+            self._queue.remove(item)
+            self._drop_late(item, now)
         expired, self._expired = self._expired, []
         return expired
 
-    def progress(
-        self, work_id: RequestId, sampler: SamplerId, pace: float, now: float
+    def record_slow_stream(
+        self,
+        work_id: RequestId,
+        sampler: SamplerId,
+        token_interval: float,
+        now: float,
     ) -> None:
-        """Take in that a stream is slow; `pace` is its seconds per token.
+        """Record the token interval of a slow stream, in seconds per token.
 
-        An entry sees each token, and tells the home when a stream's pace is
-        beyond `ejection.SLOW_STREAM` times the placement's expected one: the
-        home would learn it only from the answer's end, ten times as late.
+        Entries report streams slower than `ejection.SLOW_STREAM_FACTOR` times
+        the expected interval. The end of the answer would show it ten times as
+        late.
         """
         state = self._fleet.samplers.get(sampler)
         if state is None or work_id not in state.running:
             return
         running = state.running[work_id]
-        running.pace = pace
-        state.health.suspect(pace, now)
+        running.token_interval = token_interval
+        state.health.record_lower_bound(token_interval, now)
         self._fleet.refresh(now, force=True)
 
     def finish(
@@ -215,14 +219,14 @@
         tokens: int,
         cached_tokens: int | None = None,
     ) -> list[SamplerId]:
-        """Count a whole answer; return the samplers whose copies to cancel."""
+        """Record a complete answer; return the samplers with runs to cancel."""
         running = self._table.stop(work_id, sampler, now)
         if running is None:
             return []
         state = self._fleet.samplers.get(sampler)
         if state is not None:
-            self._fleet.learn(running, state, now, tokens, cached_tokens)
-        self._table.earn()
+            self._fleet.add_answer(running, state, now, tokens, cached_tokens)
+        self._table.record_success()
         return self._table.close(work_id, now)
 
     def fail(
@@ -233,7 +237,7 @@
         *,
         started: bool,
     ) -> Queued | Refused | None:
-        """Count a failure; return what becomes of the work.
+        """Record a failed attempt, then queue the work again or refuse it.
 
         Parameters
         ----------
@@ -242,17 +246,17 @@
 
         Returns
         -------
-        Nothing when another copy still runs or the work is unknown.
+        Nothing when another run of it goes on or the work is unknown.
         """
         running = self._table.stop(work_id, sampler, now)
         state = self._fleet.samplers.get(sampler)
         if state is not None:
-            state.health.fail(now)
+            state.health.record_failure(now)
             self._fleet.refresh(now, force=True)
         attempts = self._table.get(work_id)
         if running is None or attempts is None or attempts.samplers:
             return None
-        reason = self._table.deny_retry(attempts, started=started)
+        reason = self._table.check_retry(attempts, started=started)
         if reason is not None:
             self._table.close(work_id, now)
             return self._refuse(attempts.work, reason, now)
@@ -263,35 +267,35 @@
         )
 
     def cancel(self, work_id: RequestId, now: float) -> list[SamplerId]:
-        """Forget work; return the samplers where it runs, to cancel there."""
+        """Remove work; return the samplers where it runs, to cancel there."""
         attempts = self._table.get(work_id)
         if attempts is None:
             return []
-        if attempts.entry is not None:
-            self._queue.remove(attempts.entry)
+        if attempts.item is not None:
+            self._queue.remove(attempts.item)
         return self._table.close(work_id, now)
 
-    def hedge(self, now: float) -> list[Placement]:
-        """Return second copies for slow work, in idle slots and budget.
+    def speculate(self, now: float) -> list[Placement]:
+        """Start and return speculative runs of slow work.
 
-        What finds no free slot is kept: the next calls of `place` give it the
-        first slots that end, since a sample that holds up an older step goes
-        before a newer step's. The next call of this one returns it; `place`
-        returns no copies.
+        A candidate without a free slot is remembered: later calls of `place`
+        start it in the first free slot, since a sample that delays an older
+        step precedes a newer step's. Only this method returns the runs, `place`
+        doesn't.
         """
         self._fleet.refresh(now)
-        self._slow = _copies.find_slow(
-            self._fleet, self._table, self._on, now, idle=not self._queue
+        self._candidates = _speculation.find_candidates(
+            self._fleet, self._table, self._enabled, now, idle=not self._queue
         )
-        self._start_copies(now)
-        copies, self._copies = self._copies, []
-        return [copy for copy in copies if self._runs(copy)]
+        self._start_speculative_runs(now)
+        started, self._speculative = self._speculative, []
+        return [run for run in started if self._is_running(run)]
 
-    def _path(self, work: Work) -> tuple[Path, tuple[float, ...]]:
-        # Work that waits for a version, adapter or other sampler has a flow
-        # of its own, so that it keeps none of its caller's other work back.
+    def _get_path(self, work: Work) -> tuple[Path, tuple[float, ...]]:
+        # Work that only some samplers may run has its own flow, so that it
+        # doesn't block its caller's other work.
         needs: Hashable = ''
-        if demands_of(work):
+        if has_constraints(work):
             needs = (work.min_version, work.adapter, work.excluded)
         if not self._fair:
             return (needs,), (1.0,)
@@ -303,78 +307,78 @@
     def _expect_wait(self, attempts: Attempts) -> float:
         if not self._queue:
             return 0
-        path, weights = self._path(attempts.work)
-        ahead = self._queue.cost_ahead(path, weights, attempts.cost)
-        seconds = ahead * self._fleet.length.mean * self._fleet.pace
+        path, weights = self._get_path(attempts.work)
+        ahead = self._queue.compute_cost_ahead(path, weights, attempts.cost)
+        seconds = ahead * self._fleet.length.mean * self._fleet.token_interval
         return seconds / max(self.slots, 1)
 
-    def _own_seconds(self, cost: float, wait: float) -> float:
-        seconds = cost * self._fleet.pace
+    def _expect_run_seconds(self, cost: float, wait: float) -> float:
+        seconds = cost * self._fleet.token_interval
         if wait < admission.QUEUE_S:
-            # Idle slots cost nobody anything: the estimate may be too long.
+            # A free slot delays nothing, and the length may be overestimated.
             return seconds / LENGTH_ERROR
         return seconds * self._fleet.length.high
 
     def _enqueue(self, attempts: Attempts) -> None:
         work = attempts.work
-        seconds = attempts.cost * self._fleet.pace
+        seconds = attempts.cost * self._fleet.token_interval
         key = self._order(work, attempts.arrival, seconds)
-        due = work.deadline - seconds
-        entry = Entry(work, key, attempts.cost, due)
-        entry.urgent = work.deadline - LENGTH_ERROR * seconds
-        attempts.entry = entry
-        self._queue.push(attempts.entry, *self._path(work))
-
-    def _drop_late(self, entry: Entry, now: float) -> bool:
-        if Safeguard.EXPIRY not in self._on or now <= entry.due:
+        latest_start = work.deadline - seconds
+        item = FlowItem(work, key, attempts.cost, latest_start)
+        item.urgent_from = work.deadline - LENGTH_ERROR * seconds
+        attempts.item = item
+        self._queue.push(attempts.item, *self._get_path(work))
+
+    def _drop_late(self, item: FlowItem, now: float) -> bool:
+        if Safeguard.EXPIRY not in self._enabled or now <= item.latest_start:
             return False
-        attempts = self._table.get(entry.work.id)
+        attempts = self._table.get(item.work.id)
         if attempts is not None:
             self._learn_wait(attempts, now)
-        self._table.close(entry.work.id, now)
-        refused = self._refuse(entry.work, RefusalReason.EXPIRED, now)
+        self._table.close(item.work.id, now)
+        refused = self._refuse(item.work, RefusalReason.EXPIRED, now)
         self._expired.append(refused)
         return True
 
-    def _start_copies(self, now: float) -> None:
-        if self._slow:
-            self._copies += _copies.start_all(
-                self._fleet, self._table, self._slow, now
+    def _start_speculative_runs(self, now: float) -> None:
+        if self._candidates:
+            self._speculative += _speculation.start_speculative_runs(
+                self._fleet, self._table, self._candidates, now
             )
 
-    def _runs(self, placement: Placement) -> bool:
+    def _is_running(self, placement: Placement) -> bool:
         attempts = self._table.get(placement.work.id)
         return attempts is not None and placement.sampler in attempts.samplers
 
-    def _next(self, now: float) -> Entry | None:
+    def _pop_next(self, now: float) -> FlowItem | None:
         return self._queue.pop_urgent(now) or self._queue.pop()
 
     def _learn_wait(self, attempts: Attempts, now: float) -> None:
         if not attempts.count:
             actual = now - attempts.arrival
             expected = attempts.expected_wait
-            self._waits.learn(attempts.name, expected, actual)
+            self._waits.learn(attempts.requester, expected, actual)
 
-    def _leaves_reserve(self, entry: Entry, now: float) -> bool:
-        attempts = self._table.get(entry.work.id)
+    def _must_leave_reserve(self, item: FlowItem, now: float) -> bool:
+        attempts = self._table.get(item.work.id)
         if attempts is None:
             return False
-        return self._table.leaves_reserve(attempts, now)
+        return self._table.must_leave_reserve(attempts, now)
 
-    def _put_back(self, entry: Entry, *, hold: bool) -> None:
-        # What no sampler may run, or what leaves headroom, holds its flow:
-        # the same keeps all behind it. Work that only leaves slots to shorter
-        # work must not hold its caller's shorter requests back with it.
-        path, weights = self._path(entry.work)
-        self._queue.put_back(entry, path, weights, hold=hold)
+    def _put_back(self, item: FlowItem, *, suspend: bool) -> None:
+        # Work that no sampler may run, or that leaves headroom, suspends its
+        # flow: the same blocks all work behind it. Work that only leaves slots
+        # to shorter work doesn't, so its caller's shorter requests still start.
+        path, weights = self._get_path(item.work)
+        self._queue.put_back(item, path, weights, suspend=suspend)
 
-    def _place_one(self, entry: Entry, now: float) -> Placement | None:
-        work = entry.work
+    def _place_one(self, item: FlowItem, now: float) -> Placement | None:
+        work = item.work
         attempts = self._table.get(work.id)
-        fitting = self._fleet.fitting(work)
+        fitting = self._fleet.find_fitting(work)
         if attempts is None or not fitting:
             return None
-        if self._table.leaves_headroom(attempts, fitting):
+        if self._table.must_leave_headroom(attempts, fitting):
             return None
         state, reason = self._choose(work, fitting)
         self._learn_wait(attempts, now)
@@ -386,11 +390,11 @@
             work=work,
             sampler=state.id,
             expected_seconds=running.expected,
-            expected_pace=self._fleet.pace,
+            expected_token_interval=self._fleet.token_interval,
             decision=decision,
         )
 
     def _refuse(self, work: Work, reason: RefusalReason, now: float) -> Refused:
         wait = self._expect_wait(Attempts(work, now))
-        after = admission.suggest_retry(wait, work.deadline - now)
+        after = admission.compute_retry_after(wait, work.deadline - now)
         return _reasons.refused(work, reason, wait, after)
--- a/guavagate/decisions/pools.py
+++ b/guavagate/decisions/pools.py
@@ -65,7 +65,7 @@
     bound: float | None = None
     fallback: PoolView | None = None
     for tried, pool in enumerate(_walk(work, pools)):
-        load = fade_load(pool, now)
+        load = decay_load(pool, now)
         if load > IDLE_LOAD and bound is None:
             bound = _find_bound(pools, now)
         if now < pool.refused_until or load > (bound or IDLE_LOAD):
@@ -77,7 +77,7 @@
             break
     if fallback is not None:
         return fallback, _decide(work, fallback, 'no near pool has room')
-    least = min(pools, key=lambda pool: fade_load(pool, now))
+    least = min(pools, key=lambda pool: decay_load(pool, now))
     return least, _decide(work, least, 'all are over the load bound')
 
 
@@ -93,7 +93,7 @@
             yield pools[index]
 
 
-def fade_load(pool: PoolView, now: float) -> float:
+def decay_load(pool: PoolView, now: float) -> float:
     """Return the pool's load, old knowledge counting less."""
     left = 1 - (now - pool.seen) / LOAD_MEMORY_S
     if left <= 0:
@@ -102,7 +102,7 @@
 
 
 def _find_bound(pools: Sequence[PoolView], now: float) -> float:
-    loads = [fade_load(pool, now) for pool in pools]
+    loads = [decay_load(pool, now) for pool in pools]
     return max(LOAD_BOUND * sum(loads) / len(loads), IDLE_LOAD)
 
 
--- a/guavagate/decisions/prefixes.py
+++ b/guavagate/decisions/prefixes.py
@@ -54,7 +54,7 @@
         """Return when a key was last stored or used."""
         return self._seen.get(key, float('-inf'))
 
-    def learn_evicted(self, seen: float) -> None:
+    def record_eviction(self, seen: float) -> None:
         """Take in that a key last seen at this moment was not found.
 
         Engines evict the least recently used first, so whatever was last
--- a/guavagate/decisions/reserve.py
+++ b/guavagate/decisions/reserve.py
@@ -30,37 +30,41 @@
     """How long work usually is, and how much short work comes."""
 
     def __init__(self) -> None:
-        self._usual_log: float | None = None
+        self._mean_log_cost: float | None = None
         self._demand: float = 0
-        self._heard: float = 0
+        self._last_arrival_at: float = 0
 
-    def hear(self, work: Work, cost: float, now: float) -> None:
+    def record_arrival(self, work: Work, cost: float, now: float) -> None:
         """Count work that arrives; `cost` is in tokens."""
         if work.kind is not Kind.INTERACTIVE:
             return
         log = math.log(max(cost, 1))
-        if self._usual_log is None:
-            self._usual_log = log
-        self._usual_log += _SMOOTHING * (log - self._usual_log)
+        if self._mean_log_cost is None:
+            self._mean_log_cost = log
+        self._mean_log_cost += _SMOOTHING * (log - self._mean_log_cost)
         if not self.is_long(work, cost):
-            self._demand = self._faded(now) + cost
-            self._heard = now
+            self._demand = self._decayed_demand(now) + cost
+            self._last_arrival_at = now
 
     def is_long(self, work: Work, cost: float) -> bool:
         """Return whether work is long beside the usual requests."""
         if work.kind is Kind.ROLLOUT:
             return True
-        if self._usual_log is None:
+        if self._mean_log_cost is None:
             return False
-        return math.log(max(cost, 1)) > self._usual_log + _LONG_LOG
+        return math.log(max(cost, 1)) > self._mean_log_cost + _LONG_LOG
 
-    def size(self, slots: int, pace: float, now: float) -> float:
+    def compute_slots(
+        self, slots: int, token_interval: float, now: float
+    ) -> float:
         """Return how many slots are left to short work."""
-        used = self._faded(now) / MEMORY_S * pace
+        used = self._decayed_demand(now) / MEMORY_S * token_interval
         return min(SPARE * used, MAX_SHARE * slots)
 
-    def _faded(self, now: float) -> float:
-        return self._demand * math.exp(-(now - self._heard) / MEMORY_S)
+    def _decayed_demand(self, now: float) -> float:
+        return self._demand * math.exp(
+            -(now - self._last_arrival_at) / MEMORY_S
+        )
 
 
 _LONG_LOG: Final = math.log(LONG_FACTOR)
--- a/guavagate/decisions/retries.py
+++ b/guavagate/decisions/retries.py
@@ -44,7 +44,7 @@
         return True
 
 
-def may_repeat(*, idempotent: bool, started: bool, attempts: int) -> bool:
+def may_retry(*, idempotent: bool, started: bool, attempts: int) -> bool:
     """Return whether failed work may be tried again at all."""
     if started and not idempotent:
         return False
--- a/guavagate/decisions/shares.py
+++ b/guavagate/decisions/shares.py
@@ -1,15 +1,16 @@
 """Each caller's and each trainer's share of the slots.
 
-Load pattern: a caller at twenty times its share, or a trainer with a whole
-step queued, takes every free slot the moment it is free.
-Without it: fair queues order those who wait, but a light caller's request
-still waits for a slot to end, and streams in a full batch, although its own
-share of the slots is unused.
-
-Who runs far more than the share of the active weights may not take the last
-`HEADROOM` of the slots. Nobody else's work is needed to fill them: the room
-is for those who come next, so it costs at most that share of the capacity,
-and only while somebody else has been active lately.
+Load pattern: a caller at twenty times its share, or a trainer with a whole step
+queued, takes every slot as soon as it is free.
+
+Without it: fair queues order only the waiting work. A light caller's request
+still waits for a slot, and then streams in a full batch, although its own share
+of the slots is unused.
+
+A requester that runs far more than its share of the active weights may not take
+the last `HEADROOM` of the slots. Those slots stay free for the next request of
+another requester. This costs at most that share of the capacity, and only while
+another requester has been active recently.
 """
 
 import collections
@@ -18,74 +19,78 @@
 from guavagate.decisions._work import Kind, Work
 from guavagate.decisions.fairness import KIND_WEIGHTS
 
-# An eighth of the slots: one of eight on each sampler stays for those below
-# their share, and the batch stays a little below the full one.
+# An eighth of the slots: of eight slots on a sampler, one stays free for
+# requesters below their share, and the batch stays slightly below full.
 HEADROOM: Final = 0.125
-# Beyond this multiple of its share: a caller below its share on the mean runs
-# twice that at times, and must not be held back as the hot one is.
+# A requester that is below its share on average runs twice its share at times
+# and must not be limited like one that exceeds it permanently.
 OVER_SHARE: Final = 2.0
-# A caller that was heard of within this many seconds counts as active.
+# A requester counts as active for this many seconds after its last arrival.
 ACTIVE_S: Final = 10.0
-# Remembered callers; the least recently heard of goes first, and only its
-# claim to a part of the headroom goes with it.
-MAX_CALLERS: Final = 1_024
+# Remembered requesters. The least recently active one is removed first and only
+# loses its claim to a part of the headroom.
+MAX_REQUESTERS: Final = 1_024
 
-Name = tuple[Kind, str, str]
+Requester = tuple[Kind, str, str]
 
 
 class Shares:
-    """Running work and weights by caller."""
+    """Running work and weights by requester."""
 
     def __init__(self) -> None:
         self._weights: float = 0
-        self._heard: collections.OrderedDict[Name, tuple[float, float]] = (
-            collections.OrderedDict()
-        )
-        self._running: dict[Name, int] = {}
-
-    def hear(self, name: Name, work: Work, now: float) -> None:
-        """Count the work's caller as active."""
-        weight = weight_of(work)
-        _, previous = self._heard.pop(name, (0, 0))
+        self._last_arrivals: collections.OrderedDict[
+            Requester, tuple[float, float]
+        ] = collections.OrderedDict()
+        self._running: dict[Requester, int] = {}
+
+    def record_arrival(
+        self, requester: Requester, work: Work, now: float
+    ) -> None:
+        """Mark the work's requester as active."""
+        weight = get_weight(work)
+        _, previous = self._last_arrivals.pop(requester, (0, 0))
         self._weights += weight - previous
-        self._heard[name] = (now, weight)
+        self._last_arrivals[requester] = (now, weight)
         self._forget(now)
 
-    def start(self, name: Name) -> None:
-        """Count work that starts."""
-        self._running[name] = self._running.get(name, 0) + 1
+    def start(self, requester: Requester) -> None:
+        """Count a run that starts."""
+        self._running[requester] = self._running.get(requester, 0) + 1
 
-    def stop(self, name: Name) -> None:
-        """Count work that has ended."""
-        count = self._running.get(name, 0) - 1
+    def stop(self, requester: Requester) -> None:
+        """Count a run that has ended."""
+        count = self._running.get(requester, 0) - 1
         if count > 0:
-            self._running[name] = count
+            self._running[requester] = count
         else:
-            self._running.pop(name, None)
+            self._running.pop(requester, None)
 
-    def exceeds(self, name: Name, work: Work, free: int, slots: int) -> bool:
+    def exceeds_share(
+        self, requester: Requester, work: Work, free: int, slots: int
+    ) -> bool:
         """Return whether the work would take headroom beyond its share."""
-        if free > HEADROOM * slots or len(self._heard) < 2:
+        if free > HEADROOM * slots or len(self._last_arrivals) < 2:
             return False
-        share = weight_of(work) / max(self._weights, 1e-9)
-        return self._running.get(name, 0) >= OVER_SHARE * share * slots
+        share = get_weight(work) / max(self._weights, 1e-9)
+        return self._running.get(requester, 0) >= OVER_SHARE * share * slots
 
     def _forget(self, now: float) -> None:
-        heard = self._heard
-        while heard:
-            name = next(iter(heard))
-            at, weight = heard[name]
-            if at >= now - ACTIVE_S and len(heard) <= MAX_CALLERS:
+        arrivals = self._last_arrivals
+        while arrivals:
+            requester = next(iter(arrivals))
+            at, weight = arrivals[requester]
+            if at >= now - ACTIVE_S and len(arrivals) <= MAX_REQUESTERS:
                 return
-            heard.pop(name)
+            arrivals.pop(requester)
             self._weights -= weight
 
 
-def name_of(work: Work) -> Name:
-    """Return who the work belongs to: its run, or its caller."""
+def get_requester(work: Work) -> Requester:
+    """Return the requester of the work: its run or its caller."""
     return (work.kind, work.team, work.run or work.caller)
 
 
-def weight_of(work: Work) -> float:
-    """Return the weight of the work's owner among all others."""
+def get_weight(work: Work) -> float:
+    """Return the requester's weight among all others."""
     return KIND_WEIGHTS[work.kind] * work.team_weight * work.weight
--- a/guavagate/decisions/tail.py
+++ b/guavagate/decisions/tail.py
@@ -12,46 +12,55 @@
 
 from typing import Final
 
-from guavagate.decisions._sampler import Running
+from guavagate.decisions._sampler import RunningWork
 
 # A copy must be expected to take no more than this share of what the first
 # still needs: slow spells pass, and then a copy has cost a slot for nothing.
-MIN_GAIN: Final = 0.5
+MAX_RUNTIME_RATIO: Final = 0.5
 
 
-def expect_tokens(running: Running, pace: float, now: float) -> float:
+def estimate_total_tokens(
+    running: RunningWork, token_interval: float, now: float
+) -> float:
     """Return how many tokens running work is expected to have in all.
 
     Parameters
     ----------
-    pace
+    token_interval
         The seconds per token where it runs.
     """
-    done = (now - running.start) / pace
+    done = (now - running.start) / token_interval
     # With lengths this uncertain, what has run beyond its estimate is
     # expected to have about as much again before it.
     return running.cost if done < running.cost else 2 * done
 
 
-def remaining(running: Running, pace: float, now: float) -> float:
+def estimate_remaining_seconds(
+    running: RunningWork, token_interval: float, now: float
+) -> float:
     """Return the seconds that work is expected to need still."""
-    tokens = expect_tokens(running, pace, now)
-    return tokens * pace - (now - running.start)
+    tokens = estimate_total_tokens(running, token_interval, now)
+    return tokens * token_interval - (now - running.start)
 
 
-def gains_from_copy(
-    running: Running, pace: float, copy_pace: float, now: float
+def is_speculation_worthwhile(
+    running: RunningWork,
+    token_interval: float,
+    other_interval: float,
+    now: float,
 ) -> bool:
     """Return whether a copy is expected to end well before the first.
 
     The copy starts from nothing and has the same length, so it gains only
     where the first runs slowly.
     """
-    copy = expect_tokens(running, pace, now) * copy_pace
-    return copy < MIN_GAIN * remaining(running, pace, now)
+    copy = estimate_total_tokens(running, token_interval, now) * other_interval
+    return copy < MAX_RUNTIME_RATIO * estimate_remaining_seconds(
+        running, token_interval, now
+    )
 
 
-def weigh_swap(
+def decide_weight_swap(
     *,
     in_flight_share: float,
     seconds_left: float,
--- a/guavagate/measure/_simulation.py
+++ b/guavagate/measure/_simulation.py
@@ -13,8 +13,8 @@
     Refused,
     SamplerReport,
 )
-from guavagate.decisions._fleet import FIRST_PACE
-from guavagate.decisions.ejection import SLOW_STREAM
+from guavagate.decisions._fleet import INITIAL_TOKEN_INTERVAL_SECONDS
+from guavagate.decisions.ejection import SLOW_STREAM_FACTOR
 from guavagate.measure._engine import EngineModel
 from guavagate.measure._record import Outcome, Record, Request
 from guavagate.models import RequestId, SamplerId
@@ -45,7 +45,7 @@
         self.engines = {engine.info.id: engine for engine in engines}
         self.records: dict[RequestId, Record] = {}
         self.now: float = 0
-        self.expected_pace: float = FIRST_PACE
+        self.expected_pace: float = INITIAL_TOKEN_INTERVAL_SECONDS
         self.stopped = False
         self.on_end: Callable[[Record], None] | None = None
         self._rng = rng
@@ -111,7 +111,7 @@
         record = self.records[work.id]
         record.attempts += 1
         record.copies += placement.duplicate
-        self.expected_pace = placement.expected_pace
+        self.expected_pace = placement.expected_token_interval
         engine = self.engines[placement.sampler]
         if engine.failing:
             started = bool(self._rng.integers(2))
@@ -175,7 +175,7 @@
     def _hedge(self) -> None:
         self.pump()
         self._tell_slow()
-        for placement in self.pool.hedge(self.now):
+        for placement in self.pool.speculate(self.now):
             self._start(placement)
         self.at(self.now + HEDGE_EVERY_S, self._hedge)
 
@@ -183,13 +183,15 @@
         """Tell of slow streams, as entries do that have seen some tokens."""
         for engine in self.engines.values():
             pace = engine.pace()
-            if pace <= SLOW_STREAM * self.expected_pace:
+            if pace <= SLOW_STREAM_FACTOR * self.expected_pace:
                 continue
             for work_id in engine.slow_streams():
                 started = self.records[work_id].started or self.now
                 if self.now - started >= _TOKENS_SEEN * pace:
                     sampler = engine.info.id
-                    self.pool.progress(work_id, sampler, pace, self.now)
+                    self.pool.record_slow_stream(
+                        work_id, sampler, pace, self.now
+                    )
 
     def _report(self, engine: EngineModel) -> None:
         report = SamplerReport(at=self.now, running=len(engine))
@@ -204,10 +206,10 @@
         self.at(self.now + REPORT_EVERY_S, self._report, engine)
 
     def _hear(self, sampler: SamplerId, report: SamplerReport) -> None:
-        self.pool.report(sampler, report, self.now)
+        self.pool.record_report(sampler, report, self.now)
         self.pump()
 
     def _hear_events(
         self, sampler: SamplerId, first: int, events: list[tuple[str, int]]
     ) -> None:
-        self.pool.cache_events(sampler, first, events, self.now)
+        self.pool.apply_cache_events(sampler, first, events, self.now)
--- a/guavagate/permits/_generate.py
+++ b/guavagate/permits/_generate.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from guavagate.decisions import SLOW_STREAM, Work
+from guavagate.decisions import SLOW_STREAM_FACTOR, Work
 from guavagate.exceptions import (
     RefusalError,
     UpstreamError,
@@ -207,7 +207,7 @@
     if exchange.tokens < MIN_INTERVAL_TOKENS:
         return
     token_interval = (client.now() - first) / exchange.tokens
-    if token_interval > SLOW_STREAM * expected:
+    if token_interval > SLOW_STREAM_FACTOR * expected:
         exchange.reported_slow = True
         client.report_slow(exchange.permit, token_interval)
 
--- a/guavagate/permits/_queue_owner.py
+++ b/guavagate/permits/_queue_owner.py
@@ -197,7 +197,7 @@
         """Record that a stream is slow, long before it ends."""
         owned = self._owned.get(report.pool)
         if owned is not None:
-            owned.pool.progress(
+            owned.pool.record_slow_stream(
                 report.work_id,
                 SamplerId(report.upstream),
                 report.pace,
@@ -300,7 +300,7 @@
         if queued is None:
             owned.pool.cancel(work_id, now)
             return
-        token_interval = placement.expected_pace
+        token_interval = placement.expected_token_interval
         permit = owned.grant(queued, placement.sampler, now, token_interval)
         queued.answer.set(PermitReply(permit=permit))
 
--- a/guavagate/permits/_reports.py
+++ b/guavagate/permits/_reports.py
@@ -72,7 +72,7 @@
             self._queue_owner.mark_leaving(owned, sampler)
         else:
             self._queue_owner.mark_serving(owned, sampler)
-        owned.pool.report(
+        owned.pool.record_report(
             sampler,
             SamplerReport(
                 at=self._runtime.clock.now(),
--- a/guavagate/permits/_speculation.py
+++ b/guavagate/permits/_speculation.py
@@ -50,7 +50,7 @@
 
     def offer(self, owned: OwnedPool, now: float) -> None:
         """Offer idle slots to the entries whose work would finish last."""
-        for placement in owned.pool.hedge(now):
+        for placement in owned.pool.speculate(now):
             grant = owned.granted.get(placement.work.id)
             if grant is None:
                 owned.pool.cancel(placement.work.id, now)
--- a/guavagate/routing/_upstreams.py
+++ b/guavagate/routing/_upstreams.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from guavagate.clock import Clock
-from guavagate.decisions.background import follow_callers
+from guavagate.decisions.background import average_caller_slots
 from guavagate.events import forwarding as events
 from guavagate.events import write
 from guavagate.models import ServiceId, UpstreamId, ZoneId
@@ -174,7 +174,7 @@
         load = self.load(upstream)
         load.reported_busy = busy
         load.reported_at = self._clock.now()
-        load.foreground_slots = follow_callers(
+        load.foreground_slots = average_caller_slots(
             load.foreground_slots, busy, load.in_flight
         )
 
--- a/guavagate/weights/_plan.py
+++ b/guavagate/weights/_plan.py
@@ -9,9 +9,9 @@
 Versions are fetched ahead of the swap at the store's pace. Swaps go in waves
 of at most `MAX_OUT` of a deployment, so that the others serve. Within a wave,
 a sampler swaps at once or lets its work end, by the deployment's weights of
-staleness and trainer idle time (see `decisions.tail.weigh_swap`). One whose
-version is beyond the staleness bound swaps in any case: what it makes would be
-thrown away.
+staleness and trainer idle time (see `decisions.tail.decide_weight_swap`). One
+whose version is beyond the staleness bound swaps in any case: what it makes
+would be thrown away.
 """
 
 import enum
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from guavagate.decisions import weigh_swap
+from guavagate.decisions import decide_weight_swap
 from guavagate.models import SamplerId, WeightVersion
 
 # Half: two waves, so that all have new weights after twice a swap's time. The
@@ -153,7 +153,7 @@
         return f'{lag} versions behind, beyond the bound'
     if not one.running:
         return 'idle'
-    swap, cost, wait = weigh_swap(
+    swap, cost, wait = decide_weight_swap(
         in_flight_share=min(one.running / max(one.slots, 1), 1),
         seconds_left=situation.sample_seconds / 2,
         versions_behind=lag,
--- a/tests/decisions/test_background.py
+++ b/tests/decisions/test_background.py
@@ -7,8 +7,8 @@
 import pytest
 
 from guavagate.decisions.background import (
-    SPARE_PLACES,
-    follow_callers,
+    SPARE_SLOTS,
+    average_caller_slots,
     limit_background,
 )
 
@@ -41,7 +41,7 @@
             if arrived is None:
                 self.background -= 1
                 busy = len(self.running) + len(self.waiting)
-                self.callers = follow_callers(
+                self.callers = average_caller_slots(
                     self.callers, busy, self.background
                 )
             else:
@@ -119,11 +119,11 @@
     """Ten callers use an upstream for a while; then there are none."""
     callers = float(0)
     for _ in range(100):
-        callers = follow_callers(callers, busy=14, background=4)
+        callers = average_caller_slots(callers, busy=14, background=4)
     assert limit_background(16, callers) == 6
     for _ in range(100):
-        callers = follow_callers(callers, busy=4, background=4)
-    assert limit_background(16, callers) == 16 - SPARE_PLACES
+        callers = average_caller_slots(callers, busy=4, background=4)
+    assert limit_background(16, callers) == 16 - SPARE_SLOTS
 
 
 def test_one_busy_moment_does_not_stop_a_wave() -> None:
@@ -132,7 +132,7 @@
     A step of 48 rewards needs most places: were the moment kept for seconds,
     one place would be left to it and the step is late.
     """
-    callers = follow_callers(0, busy=6, background=1)
+    callers = average_caller_slots(0, busy=6, background=1)
     assert limit_background(6, callers) >= 4
 
 
@@ -140,6 +140,6 @@
     """Callers fill an upstream for minutes; a step still gets on there."""
     callers = float(0)
     for _ in range(100):
-        callers = follow_callers(callers, busy=40, background=0)
+        callers = average_caller_slots(callers, busy=40, background=0)
     assert limit_background(6, callers) == 1
     assert limit_background(1, 0) == 1
--- a/tests/decisions/test_pool.py
+++ b/tests/decisions/test_pool.py
@@ -97,7 +97,7 @@
     pool.offer(_work('new', min_version=WeightVersion(7)), 0)
     pool.offer(_work('any'), 0)
     assert [placed.work.id for placed in pool.place(0)] == ['any']
-    pool.report(_TWO, SamplerReport(at=1, version=WeightVersion(7)), 1)
+    pool.record_report(_TWO, SamplerReport(at=1, version=WeightVersion(7)), 1)
     placement = pool.place(1)[0]
     assert (placement.work.id, placement.sampler) == ('new', _TWO)
 
@@ -106,7 +106,7 @@
     """Adopted and reported work fills slots, so a takeover overfills none."""
     pool = _pool(slots=2)
     pool.adopt(_work('kept'), _ONE, 0)
-    pool.report(_ONE, SamplerReport(at=0, running=2), 0)
+    pool.record_report(_ONE, SamplerReport(at=0, running=2), 0)
     for name in ('a', 'b', 'c'):
         pool.offer(_work(name), 0)
     assert [placed.sampler for placed in pool.place(0)] == [_TWO, _TWO]
--- a/tests/decisions/test_safeguards.py
+++ b/tests/decisions/test_safeguards.py
@@ -13,7 +13,7 @@
     SamplerInfo,
     Work,
     choose_pool,
-    weigh_swap,
+    decide_weight_swap,
 )
 from guavagate.decisions.limits import ConcurrencyLimit
 from guavagate.decisions.prefixes import PrefixIndex
@@ -142,7 +142,7 @@
         index.store((9,), 10)
         assert index.apply(0, [('stored', 0)], 11) is False
         assert index.apply(40, [('stored', 9)], 12) is True
-        index.learn_evicted(index.last_seen(2))
+        index.record_eviction(index.last_seen(2))
         assert len(index) == left
 
 
@@ -192,7 +192,7 @@
         pool.offer(_work(f'r{number}', f'caller-{number}'), number)
         for placement in pool.place(number):
             pool.finish(placement.work.id, placement.sampler, number, tokens=9)
-    assert pool.flows() < 10
+    assert pool.count_flows() < 10
 
 
 def test_a_full_pool_is_passed_over() -> None:
@@ -230,7 +230,7 @@
 
 def test_the_weights_decide_when_to_swap() -> None:
     """The Authority weighs staleness, the Trust its trainers' idle time."""
-    authority, _, _ = weigh_swap(
+    authority, _, _ = decide_weight_swap(
         in_flight_share=0.2,
         seconds_left=10,
         versions_behind=1,
@@ -238,7 +238,7 @@
         staleness_weight=3,
         idle_weight=1,
     )
-    trust, _, _ = weigh_swap(
+    trust, _, _ = decide_weight_swap(
         in_flight_share=0.2,
         seconds_left=10,
         versions_behind=1,
@@ -265,12 +265,12 @@
             pool.offer(work, 0)
     placed = pool.place(0)
     first = placed[0]
-    pool.progress(first.work.id, first.sampler, 10, 1)
-    assert not pool.hedge(1)
+    pool.record_slow_stream(first.work.id, first.sampler, 10, 1)
+    assert not pool.speculate(1)
     for other in placed[1:]:
         pool.finish(other.work.id, other.sampler, 8, tokens=256)
     assert all(not item.duplicate for item in pool.place(8))
-    copies = pool.hedge(8)
+    copies = pool.speculate(8)
     assert [(copy.work.id, copy.duplicate) for copy in copies] == [
         ('0-0', True)
     ]
