--- a/guavagate/auth/_authenticator.py
+++ b/guavagate/auth/_authenticator.py
@@ -1,4 +1,4 @@
-"""Checks a request's bearer token against the settings in force."""
+"""Authenticates requests by bearer token against the current settings."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -18,7 +18,7 @@
 
 
 class Identity(msgspec.Struct, frozen=True, kw_only=True):
-    """Whom a token belongs to; `team` is empty for a fleet operator."""
+    """The owner of a token; `team` is empty for a fleet operator."""
 
     team: TeamId
     caller: CallerId
@@ -26,13 +26,13 @@
 
     @property
     def is_fleet_operator(self) -> bool:
-        """Return whether this is an operator of the whole fleet."""
+        """Return whether the token's owner operates the whole fleet."""
         return not self.team
 
     def require(self, *roles: Role) -> None:
-        """Refuse a token whose role is none of these."""
+        """Refuse the token unless it has one of these roles."""
         if self.role not in roles:
-            raise _forbid(
+            raise _make_forbidden(
                 f'the role {self.role.value!r} may not do this',
                 'use a token with the role {}'.format(
                     ' or '.join(repr(role.value) for role in roles)
@@ -40,43 +40,43 @@
             )
 
     def can_access_team(self, team: TeamId) -> bool:
-        """Return whether the team's subtree is open to this token."""
+        """Return whether the token gives access to the team's resources."""
         return self.is_fleet_operator or self.team == team
 
     def require_team(self, team: TeamId) -> None:
-        """Refuse a token of another team."""
+        """Refuse the token unless it gives access to the team."""
         if not self.can_access_team(team):
-            raise _forbid(
+            raise _make_forbidden(
                 f'this token does not belong to the team {team!r}',
                 'use a token of that team',
             )
 
     def require_fleet_operator(self) -> None:
-        """Refuse a token that is no fleet operator's."""
+        """Refuse the token unless it belongs to a fleet operator."""
         if not self.is_fleet_operator:
-            raise _forbid(
+            raise _make_forbidden(
                 'this concerns every team',
                 "use the token of an operator in the instances' own settings",
             )
 
 
-class _Known(msgspec.Struct, frozen=True):
+class _KnownToken(msgspec.Struct, frozen=True):
     token_hash: str
     identity: Identity
 
 
 class Authenticator:
-    """Finds the identity of a token.
+    """Maps bearer tokens to identities.
 
-    Hashes are looked up by value, which takes no account of the secret: who
-    guesses can't choose a hash's digits. The match is then compared in
-    constant time.
+    The dict lookup isn't constant-time, but its timing tells nothing about the
+    token: an attacker can't choose the digits of a hash. The matching hash is
+    then compared in constant time.
     """
 
     def __init__(self, settings: InstanceSettings, teams: _Teams) -> None:
         self._teams = teams
         self._operators = {
-            operator.token_hash: _Known(
+            operator.token_hash: _KnownToken(
                 operator.token_hash,
                 Identity(
                     team=TeamId(''), caller=operator.id, role=Role.OPERATOR
@@ -84,9 +84,9 @@
             )
             for operator in settings.operators
         }
-        self._known = dict(self._operators)
+        self._tokens = dict(self._operators)
         self._changed = True
-        teams.subscribe(self._note_change)
+        teams.subscribe(self._mark_changed)
 
     def identify(self, authorization: str | None) -> Identity:
         """Return the identity for an ``Authorization`` header.
@@ -94,43 +94,43 @@
         Raises
         ------
         RefusalError
-            401; the token is missing or unknown. It is never repeated.
+            401; the token is missing or unknown. The message doesn't repeat it.
         """
-        wanted = hash_token(_read_token(authorization))
+        token_hash = hash_token(_read_token(authorization))
         if self._changed:
             self._refresh()
-        known = self._known.get(wanted)
-        if known is not None and is_same_hash(known.token_hash, wanted):
+        known = self._tokens.get(token_hash)
+        if known is not None and is_same_hash(known.token_hash, token_hash):
             return known.identity
-        raise _unauthorized('the token is not known')
+        raise _make_unauthorized('the token is not known')
 
-    def _note_change(self, team: TeamId) -> None:
+    def _mark_changed(self, team: TeamId) -> None:
         self._changed = True
 
     def _refresh(self) -> None:
         self._changed = False
-        self._known = dict(self._operators)
+        self._tokens = dict(self._operators)
         for team in self._teams.all():
-            self._add_team(team)
+            self._add_callers(team)
 
-    def _add_team(self, team: TeamSettings) -> None:
+    def _add_callers(self, team: TeamSettings) -> None:
         for caller in team.callers:
             identity = Identity(
                 team=team.team, caller=caller.id, role=caller.role
             )
-            self._known.setdefault(
-                caller.token_hash, _Known(caller.token_hash, identity)
+            self._tokens.setdefault(
+                caller.token_hash, _KnownToken(caller.token_hash, identity)
             )
 
 
 def _read_token(authorization: str | None) -> str:
     token = read_bearer(authorization)
     if token is None:
-        raise _unauthorized('the request carries no bearer token')
+        raise _make_unauthorized('the request carries no bearer token')
     return token
 
 
-def _unauthorized(problem: str) -> RefusalError:
+def _make_unauthorized(problem: str) -> RefusalError:
     return RefusalError(
         problem,
         'send `Authorization: Bearer TOKEN` with a token of your team',
@@ -139,5 +139,5 @@
     )
 
 
-def _forbid(problem: str, remedy: str) -> RefusalError:
+def _make_forbidden(problem: str, remedy: str) -> RefusalError:
     return RefusalError(problem, remedy, reason='forbidden', status=403)
--- a/guavagate/auth/_keys.py
+++ b/guavagate/auth/_keys.py
@@ -1,11 +1,11 @@
-"""Who may ask, by keys that may be taken away at any moment; no network.
-
-Failure pattern: an operator takes a leaked key away while some instances are
-cut off from the store, frozen, or follow a relay that is. Each of these still
-holds a configuration in which the key is good. So a key is honoured only while
-the configuration was surely the newest a short time ago, and a caller is only
-told that a key is unknown while no newer configuration can know it; in between
-the truth is that this instance can not tell.
+"""Checks callers' keys, which operators may revoke at any time; no network I/O.
+
+Failure pattern: an operator revokes a leaked key while some instances are cut
+off from the store, frozen, or follow a relay that is. Each of these still has a
+configuration in which the key is valid. So a key is accepted only while the
+configuration is proven to have been the newest a short time ago. A caller is
+told that its key is unknown only while no newer configuration can contain the
+key. In between, the key's state is `KeyState.UNPROVEN`.
 """
 
 import enum
@@ -19,15 +19,15 @@
 from guavagate.models import TeamId
 from guavagate.ports.configuration import Team
 
-# Of a bound on the age of the proof. The rest is for clocks of two machines
-# that do not run equally fast, and for what passes between the look at the
-# proof and the first byte to an upstream.
+# Share of each promised bound that a proof's age may use. The rest allows for
+# clocks of two machines that run at different rates, and for the time between
+# the check of the proof and the first byte to an upstream.
 SAFETY_FACTOR: Final = 0.9
-_NOBODY: Final = TeamId('')
+_NO_TEAM: Final = TeamId('')
 
 
 class KeyState(enum.Enum):
-    """What is known of a request's key."""
+    """Result of checking a request's key."""
 
     NOT_NEEDED = 'not needed'
     VALID = 'held'
@@ -37,10 +37,10 @@
 
 
 class KeyVerdict(msgspec.Struct, frozen=True):
-    """Whose request it is, or why that can not be said."""
+    """The team of a request, or why it is not determined."""
 
     state: KeyState
-    team: TeamId = _NOBODY
+    team: TeamId = _NO_TEAM
 
     @property
     def allowed(self) -> bool:
@@ -49,12 +49,12 @@
 
 
 class ProofBounds(msgspec.Struct, frozen=True, kw_only=True):
-    """How old the proof that a configuration is the newest may be; seconds.
+    """Maximum age of the proof that a configuration is the newest; seconds.
 
     Attributes
     ----------
     deny
-        For telling a caller that a key, or a route, is not there.
+        For answering that a key or a route does not exist.
     accept
         For running a request by its key.
     """
@@ -64,14 +64,14 @@
 
 
 def make_bounds(apply: float, revoke: float, *, strict: bool) -> ProofBounds:
-    """Return bounds that keep what operators are promised; seconds.
+    """Return bounds that keep the times promised to operators; seconds.
 
     Parameters
     ----------
     apply
         Until an accepted configuration is in force everywhere.
     revoke
-        Until a key that was taken away runs nothing more.
+        Until a revoked key runs nothing more.
     strict
         Whether that holds for instances that are cut off, too.
     """
@@ -81,33 +81,33 @@
     )
 
 
-class _Held(msgspec.Struct, frozen=True):
+class _KnownKey(msgspec.Struct, frozen=True):
     key_hash: str
     team: TeamId
 
 
 class KeyRing:
-    """Which team's a key is; knows hashes only."""
+    """Maps keys to teams; stores only hashes of the keys."""
 
     def __init__(self, teams: Iterable[Team] = ()) -> None:
-        self._held: dict[str, _Held] = {}
+        self._keys: dict[str, _KnownKey] = {}
         self.needed = False
         for team in teams:
             self.needed = True
             for key_hash in team.key_hashes:
-                self._held.setdefault(key_hash, _Held(key_hash, team.id))
+                self._keys.setdefault(key_hash, _KnownKey(key_hash, team.id))
 
     def find_team(self, key: str) -> TeamId | None:
-        """Return whose key it is, or nothing.
+        """Return the team that the key belongs to, if any.
 
-        Hashes are looked up by value, which takes no account of the key: who
-        guesses can't choose a hash's digits. The match is then compared in
-        constant time.
+        The dict lookup isn't constant-time, but its timing tells nothing about
+        the key: an attacker can't choose the digits of a hash. The matching
+        hash is then compared in constant time.
         """
-        wanted = hash_token(key)
-        held = self._held.get(wanted)
-        if held is not None and is_same_hash(held.key_hash, wanted):
-            return held.team
+        key_hash = hash_token(key)
+        known = self._keys.get(key_hash)
+        if known is not None and is_same_hash(known.key_hash, key_hash):
+            return known.team
         return None
 
 
@@ -117,15 +117,15 @@
     proof_age: float,
     bounds: ProofBounds,
 ) -> KeyVerdict:
-    """Return whose request it is.
+    """Return the team of a request, or why it is not determined.
 
     Parameters
     ----------
     authorizations
-        The values of all ``Authorization`` headers; more than one is none, as
-        nobody can say which of them counts.
+        The values of all ``Authorization`` headers. Differing values count as
+        no key, as it is undefined which of them applies.
     proof_age
-        Seconds since the configuration was surely the newest.
+        Seconds since the configuration was proven to be the newest.
     """
     if not ring.needed:
         return KeyVerdict(KeyState.NOT_NEEDED)
@@ -142,5 +142,5 @@
 
 
 def may_deny(proof_age: float, bounds: ProofBounds) -> bool:
-    """Return whether what is not in the configuration is surely not there."""
+    """Return whether the proof is recent enough to deny a key or a route."""
     return proof_age < bounds.deny
--- a/guavagate/auth/_tokens.py
+++ b/guavagate/auth/_tokens.py
@@ -1,8 +1,8 @@
 """Tokens and their hashes.
 
-A token is 256 random bits, so one round of SHA-256 keeps it: there is nothing
-to guess, and a slow hash (scrypt) would cost each request milliseconds for no
-gain. A slow hash is for secrets that people choose.
+A token is 256 random bits, so one round of SHA-256 protects it: it can't be
+guessed, and a slow hash (scrypt) would cost each request milliseconds for no
+gain. Slow hashes are for secrets that people choose.
 """
 
 import hashlib
@@ -13,7 +13,7 @@
 _PREFIX: Final = 'gg_'
 _RANDOM_BYTES: Final = 32
 _SCHEME: Final = 'bearer'
-_MAX_TOKEN: Final = 512
+_MAX_TOKEN_LENGTH: Final = 512
 
 
 def make_token() -> str:
@@ -22,19 +22,19 @@
 
 
 def hash_token(token: str) -> str:
-    """Return the hash that settings hold."""
+    """Return the hash of a token as stored in settings."""
     return f'sha256:{hashlib.sha256(token.encode()).hexdigest()}'
 
 
 def read_bearer(authorization: str | None) -> str | None:
-    """Return the token of an ``Authorization`` header, or nothing.
+    """Return the token of an ``Authorization`` header, if it has one.
 
-    The scheme's case does not count. What is far longer than any token is
-    none, and is not hashed.
+    The scheme is case-insensitive. A value longer than `_MAX_TOKEN_LENGTH` is
+    rejected without being hashed.
     """
     scheme, _, token = (authorization or '').partition(' ')
     token = token.strip()
-    if scheme.lower() != _SCHEME or not token or len(token) > _MAX_TOKEN:
+    if scheme.lower() != _SCHEME or not token or len(token) > _MAX_TOKEN_LENGTH:
         return None
     return token
 
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -146,7 +146,7 @@
         'tests/forwarding/test_rewards.py',
     ),
     Safeguard(
-        'rewards leave places to callers',
+        'rewards leave slots to callers',
         'guavagate/decisions/background.py',
         'return max(slots - reserved, 1)',
         'return 1000',
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -6,14 +6,14 @@
 
 TEAM_SAFEGUARDS: Final = (
     Safeguard(
-        'a key is honoured only with a young proof',
+        'a key is accepted only with a recent proof',
         'guavagate/auth/_keys.py',
         '        if proof_age < bounds.accept:\n',
         '        if True:\n',
         'tests/test_keys.py',
     ),
     Safeguard(
-        'nobody is denied by old news',
+        'no key is denied on an old proof',
         'guavagate/auth/_keys.py',
         '    if not may_deny(proof_age, bounds):\n',
         '    if False:\n',
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Who may ask by which key, while the configuration may be an old one."""
+"""Tests of key checks while the configuration may be outdated."""
 
 import math
 
@@ -27,20 +27,20 @@
 )
 
 
-def _judge(*values: str, age: float = 0, bounds: ProofBounds = _BOUNDS) -> str:
+def _check(*values: str, age: float = 0, bounds: ProofBounds = _BOUNDS) -> str:
     verdict = check_key(_RING, values, age, bounds)
     return f'{verdict.state.value} {verdict.team}'.strip()
 
 
-def test_a_key_names_its_team() -> None:
-    """Both of a team's keys are the team's, whatever the scheme's case."""
-    assert _judge('Bearer key-1') == 'held blue'
-    assert _judge('bearer key-2') == 'held blue'
-    assert _judge('BEARER  key-3 ') == 'held red'
+def test_key_identifies_its_team() -> None:
+    """All keys of a team identify it; the scheme is case-insensitive."""
+    assert _check('Bearer key-1') == 'held blue'
+    assert _check('bearer key-2') == 'held blue'
+    assert _check('BEARER  key-3 ') == 'held red'
 
 
-def test_a_configuration_without_teams_asks_for_no_key() -> None:
-    """An upstream's own credentials go on untouched there."""
+def test_configuration_without_teams_requires_no_key() -> None:
+    """Credentials for the upstream itself are passed on unchanged."""
     verdict = check_key(KeyRing(), ['Basic x'], math.inf, _BOUNDS)
     assert verdict.state is KeyState.NOT_NEEDED
 
@@ -57,36 +57,38 @@
         (f'Bearer {"k" * 8192}',),
     ],
 )
-def test_what_is_no_key_is_told_as_such(values: tuple[str, ...]) -> None:
-    """A caller that is told `unknown` would ask for another key in vain."""
-    assert _judge(*values) == 'missing'
+def test_header_without_key_is_reported_as_missing(
+    values: tuple[str, ...],
+) -> None:
+    """With `unknown` the caller would request another key for nothing."""
+    assert _check(*values) == 'missing'
 
 
-def test_the_same_key_twice_is_one_key() -> None:
-    """A proxy on the way may repeat a header."""
-    assert _judge('Bearer key-1', 'Bearer key-1') == 'held blue'
+def test_repeated_header_counts_once() -> None:
+    """A proxy in between may repeat a header."""
+    assert _check('Bearer key-1', 'Bearer key-1') == 'held blue'
 
 
-def test_a_key_that_was_added_a_moment_ago_meets_no_denial() -> None:
-    """The newest configuration may know it; this instance can not tell."""
-    assert _judge('Bearer new', age=2.6) == 'unknown'
-    assert _judge('Bearer new', age=2.8) == 'unproven'
-    assert _judge(age=2.8) == 'unproven'
+def test_key_is_not_denied_without_recent_proof() -> None:
+    """A newer configuration may contain a key that was just added."""
+    assert _check('Bearer new', age=2.6) == 'unknown'
+    assert _check('Bearer new', age=2.8) == 'unproven'
+    assert _check(age=2.8) == 'unproven'
 
 
-def test_a_key_that_was_taken_away_runs_nothing_after_its_bound() -> None:
-    """An instance that is cut off still holds the key."""
-    assert _judge('Bearer key-1', age=4.4) == 'held blue'
-    assert _judge('Bearer key-1', age=4.6) == 'unproven'
-    assert _judge('Bearer key-1', age=math.inf) == 'unproven'
+def test_revoked_key_is_not_accepted_after_its_bound() -> None:
+    """An instance that is cut off still has the key in its configuration."""
+    assert _check('Bearer key-1', age=4.4) == 'held blue'
+    assert _check('Bearer key-1', age=4.6) == 'unproven'
+    assert _check('Bearer key-1', age=math.inf) == 'unproven'
 
 
-def test_where_revocation_is_not_strict_cut_off_instances_serve() -> None:
-    """Operators that did not ask for it get no refusals in an outage."""
+def test_cut_off_instance_serves_without_strict_revocation() -> None:
+    """Without strict revocation an outage causes no refusals."""
     bounds = make_bounds(3.0, 5.0, strict=False)
-    assert _judge('Bearer key-1', age=60, bounds=bounds) == 'held blue'
+    assert _check('Bearer key-1', age=60, bounds=bounds) == 'held blue'
 
 
-def test_a_ring_keeps_no_key() -> None:
-    """A dump of the process or of its state must not show one."""
+def test_ring_stores_no_plain_key() -> None:
+    """A dump of the process or of its state must not contain keys."""
     assert 'key-1' not in repr(vars(_RING))
