--- a/guavagate/decisions/__init__.py
+++ b/guavagate/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions under load: pure modules; time is an argument, no I/O."""
+"""Decisions under load, without I/O; the time is always an argument."""
 
 from guavagate.decisions._policy import PoolSettings
 from guavagate.decisions._sampler import (
--- a/guavagate/decisions/_attempts.py
+++ b/guavagate/decisions/_attempts.py
@@ -1,4 +1,4 @@
-"""Where each piece of work has run and runs, and what else it may cost."""
+"""Where each work item has run and runs, and whether it may run again."""
 
 from typing import Final
 
@@ -20,12 +20,13 @@
 from guavagate.decisions.shares import Shares, get_requester
 from guavagate.models import RequestId, RunId, SamplerId, TeamId
 
-# Runs whose newest step is remembered, the least recently used goes first.
-MAX_RUNS: Final = 256
+# Trainer runs whose newest step is remembered; the least recently used is
+# removed first.
+MAX_REMEMBERED_RUNS: Final = 256
 
 
 class Attempts:
-    """The attempts at one piece of work."""
+    """The attempts at one work item."""
 
     __slots__ = (
         'arrival',
@@ -51,7 +52,7 @@
         self.samplers: list[SamplerId] = []
 
     def exclude(self, sampler: SamplerId, known: int) -> None:
-        """Don't try a sampler again, unless all have been tried."""
+        """Exclude a sampler from retries, unless all have been tried."""
         excluded = self.work.excluded | {sampler}
         if len(excluded) >= known:
             excluded = frozenset()
@@ -59,13 +60,13 @@
 
 
 class AttemptTable:
-    """All work that a pool holds, queued or running."""
+    """The work items of a pool, queued or running."""
 
     def __init__(self, fleet: Fleet, safeguards: frozenset[Safeguard]) -> None:
         self.shares = Shares()
         self.reserve = Reserve()
         self._newest_steps: LRUCache[tuple[TeamId, RunId], int] = LRUCache(
-            MAX_RUNS
+            MAX_REMEMBERED_RUNS
         )
         self._long_running: set[RequestId] = set()
         self.hedge_budget = retries.Budget(retries.HEDGE_SHARE)
@@ -75,11 +76,11 @@
         self._attempts: dict[RequestId, Attempts] = {}
 
     def get(self, work_id: RequestId) -> Attempts | None:
-        """Return the attempts at some work."""
+        """Return the attempts at a work item, if it is known."""
         return self._attempts.get(work_id)
 
     def record_arrival(self, attempts: Attempts) -> None:
-        """Count work that arrives, whether it is let in or not."""
+        """Count work that arrives, whether it is admitted or not."""
         now = attempts.arrival
         self.shares.record_arrival(attempts.requester, attempts.work, now)
         self.reserve.record_arrival(attempts.work, attempts.cost, now)
@@ -87,7 +88,7 @@
     def must_leave_headroom(
         self, attempts: Attempts, fitting: list[SamplerState]
     ) -> bool:
-        """Return whether the last slots are left to other callers."""
+        """Return whether free slots are reserved for other requesters."""
         if Safeguard.HEADROOM not in self._enabled:
             return False
         work = attempts.work
@@ -96,7 +97,7 @@
         return self.shares.exceeds_share(attempts.requester, work, free, slots)
 
     def must_leave_reserve(self, attempts: Attempts, now: float) -> bool:
-        """Return whether free slots are left to shorter work."""
+        """Return whether the free slots are reserved for shorter work."""
         work = attempts.work
         if Safeguard.RESERVE not in self._enabled:
             return False
@@ -109,25 +110,25 @@
         return len(self._long_running) >= slots - size
 
     def add(self, attempts: Attempts) -> None:
-        """Enter work that is let in."""
+        """Add admitted work."""
         self._attempts[attempts.work.id] = attempts
 
     def is_straggler(self, work: Work) -> bool:
-        """Return whether its step has no other work left to start."""
+        """Return whether a newer step of its run has started work already."""
         if work.run is None:
             return False
         newest = self._newest_steps.get((work.team, work.run), work.step)
         return work.step < newest
 
     def record_success(self) -> None:
-        """Count a success towards the budgets."""
+        """Credit a success to the retry and hedge budgets."""
         self.hedge_budget.earn()
         self._retry_budget.earn()
 
     def start(
         self, attempts: Attempts, state: SamplerState, now: float
     ) -> RunningWork:
-        """Count one attempt that starts."""
+        """Record an attempt that starts."""
         work = attempts.work
         cost, matched = estimate_sampler_cost(work, state)
         token_interval = (
@@ -157,7 +158,7 @@
     def stop(
         self, work_id: RequestId, sampler: SamplerId, now: float
     ) -> RunningWork | None:
-        """Count one attempt that has ended."""
+        """Record an attempt that has ended."""
         attempts = self._attempts.get(work_id)
         if attempts is None or sampler not in attempts.samplers:
             return None
@@ -170,7 +171,7 @@
         return state.stop(work_id, now)
 
     def close(self, work_id: RequestId, now: float) -> list[SamplerId]:
-        """Forget work; return where it still runs."""
+        """Remove work; return the samplers where it still runs."""
         attempts = self._attempts.get(work_id)
         if attempts is None:
             return []
@@ -183,7 +184,7 @@
     def check_retry(
         self, attempts: Attempts, *, started: bool
     ) -> RefusalReason | None:
-        """Return why failed work isn't tried again, if it isn't."""
+        """Return why failed work isn't retried, or nothing if it is."""
         idempotent = attempts.work.idempotent
         if not retries.may_retry(
             idempotent=idempotent, started=started, attempts=attempts.count
--- a/guavagate/decisions/_policy.py
+++ b/guavagate/decisions/_policy.py
@@ -1,4 +1,4 @@
-"""How a pool decides, and what is switched off to measure it."""
+"""Settings of a pool's policy, and the effect of disabled safeguards."""
 
 import msgspec
 
@@ -14,7 +14,7 @@
 
 
 class PoolSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """How a pool decides; the defaults are the product's."""
+    """Settings of a pool's policy; the defaults are used in production."""
 
     name: str = 'pool'
     safeguards: frozenset[Safeguard] = ALL_SAFEGUARDS
@@ -26,7 +26,7 @@
 def apply_safeguards(
     choose: Choose, safeguards: frozenset[Safeguard]
 ) -> Choose:
-    """Return the choice without what is switched off."""
+    """Replace the choice function if a safeguard it implements is disabled."""
     if choose is not choose_by_prefix:
         return choose
     if Safeguard.AFFINITY not in safeguards:
--- a/guavagate/decisions/_reasons.py
+++ b/guavagate/decisions/_reasons.py
@@ -1,4 +1,4 @@
-"""Decisions with their reasons, as the log and explain show them."""
+"""Builds decisions with their reasons, for the log and `explain`."""
 
 from collections.abc import Iterable
 
@@ -13,18 +13,18 @@
 )
 
 
-def queued(work: Work, wait: float, reason: str) -> Queued:
-    """Return that work waits."""
+def make_queued(work: Work, wait: float, reason: str) -> Queued:
+    """Return that the work is queued, with the reason."""
     decision = Decision(
         subject=work.id, kind='admission', choice='queued', reason=reason
     )
     return Queued(work_id=work.id, expected_wait=wait, decision=decision)
 
 
-def refused(
+def make_refused(
     work: Work, reason: RefusalReason, wait: float, retry_after: float
 ) -> Refused:
-    """Return that work is refused."""
+    """Return that the work is refused, with the reason."""
     decision = Decision(
         subject=work.id,
         kind='admission',
@@ -40,28 +40,28 @@
     )
 
 
-def placed(
+def make_placed(
     work: Work,
     chosen: SamplerState,
     reason: str,
     samplers: Iterable[SamplerState],
     kind: str = 'sampler',
 ) -> Decision:
-    """Return where work goes, and why not elsewhere."""
+    """Return where the work goes, and why not to the other samplers."""
     return Decision(
         subject=work.id,
         kind=kind,
         choice=chosen.id,
         reason=reason,
-        turned_down=_turn_down(work, chosen, samplers),
+        turned_down=_explain_others(work, chosen, samplers),
     )
 
 
-def _turn_down(
+def _explain_others(
     work: Work, chosen: SamplerState, samplers: Iterable[SamplerState]
 ) -> dict[str, str]:
-    # One plain loop: with a call for each sampler this was a fifth of the
-    # whole choice's time.
+    # One plain loop, as a function call for each sampler took a fifth of the
+    # time of a placement.
     turned_down: dict[str, str] = {}
     demands = has_constraints(work)
     for state in samplers:
--- a/guavagate/decisions/_speculation.py
+++ b/guavagate/decisions/_speculation.py
@@ -1,4 +1,4 @@
-"""Second copies of slow work: hedges for callers, the tail of a step."""
+"""Speculative runs of slow work: hedges for callers, and the tail of a step."""
 
 from guavagate.decisions import _reasons, ejection, retries, tail
 from guavagate.decisions._attempts import Attempts, AttemptTable
@@ -16,22 +16,22 @@
     *,
     idle: bool,
 ) -> list[RunningWork]:
-    """Return the work that a copy could speed up, the slowest first.
+    """Return the work that a speculative run could speed up, the slowest first.
 
     Parameters
     ----------
     idle
-        Whether nothing is queued; otherwise only samples that keep an older
-        step open are worth a slot.
+        Whether nothing is queued; otherwise only samples that delay an older
+        step are worth a slot.
     """
-    slow = []
+    candidates = []
     for state in fleet.samplers.values():
         for running in state.running.values():
             if not idle and not table.is_straggler(running.work):
                 continue
             if _is_slow(running, fleet, safeguards, now):
                 token_interval = _get_token_interval(fleet, state, running)
-                slow.append(
+                candidates.append(
                     (
                         tail.estimate_remaining_seconds(
                             running, token_interval, now
@@ -39,16 +39,18 @@
                         running,
                     )
                 )
-    slow.sort(key=lambda item: -item[0])
-    return [running for _, running in slow]
+    candidates.sort(key=lambda item: -item[0])
+    return [running for _, running in candidates]
 
 
 def start_speculative_runs(
-    fleet: Fleet, table: AttemptTable, slow: list[RunningWork], now: float
+    fleet: Fleet, table: AttemptTable, candidates: list[RunningWork], now: float
 ) -> list[Placement]:
-    """Start the copies that are worth it and find a free slot."""
-    copies = (_copy(fleet, table, running, now) for running in slow)
-    return [copy for copy in copies if copy is not None]
+    """Start the runs that are worthwhile and find a free slot."""
+    placements = (
+        _try_start(fleet, table, running, now) for running in candidates
+    )
+    return [each for each in placements if each is not None]
 
 
 def _get_token_interval(
@@ -79,10 +81,10 @@
         and running.token_interval > ejection.SLOW_STREAM_FACTOR * usual
     ):
         return True
-    return now - running.start > retries.HEDGE_AFTER * running.expected
+    return now - running.start > retries.HEDGE_AFTER_FACTOR * running.expected
 
 
-def _copy(
+def _try_start(
     fleet: Fleet,
     table: AttemptTable,
     running: RunningWork,
@@ -124,15 +126,15 @@
     now: float,
 ) -> Placement | None:
     work = attempts.work
-    # A step's copies only take slots that are idle, so no budget bounds them.
+    # Runs for a step's tail only use idle slots, so no budget limits them.
     if work.kind is Kind.INTERACTIVE and not table.hedge_budget.spend():
         return None
     attempts.has_speculative_run = True
     running = table.start(attempts, state, now)
-    decision = _reasons.placed(
+    decision = _reasons.make_placed(
         work,
         state,
-        'the first copy is expected to end later',
+        'the first run is expected to end later',
         fleet.samplers.values(),
         kind='copy',
     )
--- a/guavagate/decisions/_work.py
+++ b/guavagate/decisions/_work.py
@@ -1,4 +1,4 @@
-"""What is decided about, and what a decision looks like."""
+"""Work items, and the decisions about them."""
 
 import enum
 import math
@@ -16,32 +16,32 @@
     ZoneId,
 )
 
-# A prompt token costs a fiftieth of a generated one: prefill handles a prompt
-# in parallel, and published engines read 20 to 100 times as fast as they
-# write. Only the ratio matters here, and only for expected times.
+# Cost of a prompt token relative to a generated one. Prefill reads a prompt in
+# parallel, and published engines read 20 to 100 times as fast as they write.
+# Only the ratio matters, and only for expected times.
 PREFILL_SHARE: Final = 0.02
 
 
-class _Constant(enum.Enum):
-    """An enum whose members are looked up in C.
+class _FastHashEnum(enum.Enum):
+    """An enum whose members are hashed in C.
 
-    Its own hash is a Python function; with some ten look-ups a choice that
-    was a tenth of the choice's time. Members are singletons, so identity is
-    as good.
+    The hash of `enum.Enum` is a Python function; with some ten lookups per
+    placement it took a tenth of the placement's time. Members are singletons,
+    so hashing by identity is equivalent.
     """
 
     __hash__ = object.__hash__
 
 
-class Kind(_Constant):
-    """Whose work it is: a waiting caller's, or a trainer's."""
+class Kind(_FastHashEnum):
+    """Whether a caller waits for the work or a trainer."""
 
     INTERACTIVE = 'interactive'
     ROLLOUT = 'rollout'
 
 
-class Safeguard(_Constant):
-    """Each part of the policy that can be switched off to measure it."""
+class Safeguard(_FastHashEnum):
+    """Parts of the policy that can be switched off to measure their effect."""
 
     ADMISSION = 'admission'
     EXPIRY = 'expiry'
@@ -63,7 +63,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why work was refused; all of them mean that it was not run."""
+    """Why work was refused; in all cases it has not run."""
 
     TOO_LATE = 'deadline_unreachable'
     EXPIRED = 'deadline_passed_in_queue'
@@ -71,28 +71,28 @@
     NO_SAMPLER = 'no_sampler'
     RETRY_BUDGET = 'retry_budget_spent'
     NOT_REPEATABLE = 'not_repeatable'
-    LEAVING = 'home_leaving'
+    OWNER_LEAVING = 'home_leaving'
 
 
 class Work(msgspec.Struct, frozen=True, kw_only=True):
-    """One request or sample that wants a sampler.
+    """One request or sample that needs a sampler.
 
     Parameters
     ----------
     deadline
-        When the answer must be whole, in the clock's seconds.
+        When the answer must be complete, in seconds of the clock.
     prefix_keys
         Hashes of the prompt's growing prefixes, the shortest first.
     expected_tokens
         Estimated length of the answer; may be wrong by a factor of two.
     min_version
-        Oldest weight version that may produce it, if any is demanded.
+        Oldest weight version that may produce it, if one is required.
     idempotent
         Whether it may run again when it may have started.
     weight
         The caller's or run's weight within its team.
     step
-        A trainer's step; the older one is served first.
+        A trainer's step; older steps are served first.
     """
 
     id: RequestId
@@ -115,7 +115,7 @@
 
 
 class Decision(msgspec.Struct, frozen=True, kw_only=True):
-    """A choice with its reason, as the log and ``explain`` show it."""
+    """A choice with its reason, for the log and ``explain``."""
 
     subject: str
     kind: str
@@ -125,7 +125,7 @@
 
 
 class Queued(msgspec.Struct, frozen=True, kw_only=True):
-    """Work was taken; `expected_wait` is in seconds."""
+    """Work that was admitted; `expected_wait` is in seconds."""
 
     work_id: RequestId
     expected_wait: float
@@ -133,7 +133,7 @@
 
 
 class Refused(msgspec.Struct, frozen=True, kw_only=True):
-    """Work was refused and has not run; `retry_after` is in seconds."""
+    """Work that was refused and has not run; `retry_after` is in seconds."""
 
     work_id: RequestId
     reason: RefusalReason
@@ -142,9 +142,9 @@
 
 
 class Placement(msgspec.Struct, frozen=True, kw_only=True):
-    """Work may start on a sampler now; `duplicate` marks a second copy.
+    """Work that may start on a sampler; `duplicate` marks a speculative run.
 
-    `expected_pace` is in seconds per token of a healthy sampler.
+    `expected_token_interval` is in seconds per token of a healthy sampler.
     """
 
     work: Work
@@ -156,7 +156,7 @@
 
 
 def has_constraints(work: Work) -> bool:
-    """Return whether not every sampler may run the work."""
+    """Return whether only some samplers may run the work."""
     return bool(work.excluded or work.adapter or work.min_version is not None)
 
 
--- a/guavagate/decisions/fairness.py
+++ b/guavagate/decisions/fairness.py
@@ -2,14 +2,16 @@
 
 Load pattern: one caller sends twenty times its share, or a trainer submits
 2,048 samples at once, while others send a little.
-Without it: everybody waits behind the largest sender, whose queue decides
-all other callers' p99.
+
+Without it: everyone waits behind the largest sender, whose queue determines all
+other callers' p99.
 
 Start-time fair queueing: each flow has a start tag that grows by cost divided
-by weight as it is served, and the lowest tag is next, so a hot caller waits
-for itself. A flow that was idle re-enters at the present virtual time: idle
-time earns no credit. Its tag is kept only while it lies ahead of the virtual
-time, so memory follows the queued work and not the number of callers' names.
+by weight as it is served, and the lowest tag is next, so a caller with too many
+requests only delays itself. A flow that was idle re-enters at the current
+virtual time: idle time earns no credit. The tag of an idle flow is stored only
+while it is ahead of the virtual time, so memory grows with the queued work and
+not with the number of callers.
 """
 
 import heapq
@@ -20,9 +22,9 @@
 
 from guavagate.decisions._work import Kind, Work
 
-# Interactive callers wait in person; a rollout sample waits for its whole
-# step. Eight to one keeps a full pool answering callers at once, while one
-# ninth of all slots still goes to samples, so that a step always advances.
+# People wait for interactive work, while a rollout sample waits for the rest of
+# its step. Eight to one lets a full pool answer interactive callers at once,
+# and one ninth of all slots still goes to samples, so that each step advances.
 KIND_WEIGHTS: Final = {Kind.INTERACTIVE: 8.0, Kind.ROLLOUT: 1.0}
 
 _REBUILD_SLACK: Final = 64
@@ -31,7 +33,7 @@
 
 
 class FlowItem:
-    """One queued piece of work."""
+    """One queued work item."""
 
     __slots__ = (
         'cost',
@@ -56,7 +58,7 @@
 
 
 class Flow:
-    """One level of the tree: all queued work below a team or caller."""
+    """A node of the tree: all queued work of a kind, team or caller."""
 
     __slots__ = (
         'active_weight',
@@ -95,7 +97,7 @@
 
 
 class FairQueue:
-    """Holds queued work and yields it by weighted fair shares."""
+    """Queues work and returns it by weighted fair shares."""
 
     def __init__(self) -> None:
         self._sequence = itertools.count(1)
@@ -106,7 +108,7 @@
         self._size = 0
 
     def __len__(self) -> int:
-        """Return how much work is queued."""
+        """Return the number of queued items."""
         return self._size
 
     @property
@@ -115,13 +117,13 @@
         return self._root.backlog
 
     def count_flows(self) -> int:
-        """Return how many flows are remembered, the idle ones included."""
+        """Return the number of stored flows, idle ones included."""
         return _count_flows(self._root)
 
     def push(
         self, item: FlowItem, path: Path, weights: tuple[float, ...]
     ) -> None:
-        """Queue an item in the flow that its path names."""
+        """Queue an item in the flow that the path names."""
         flow = self._root
         for name, weight in zip(path, weights, strict=True):
             child = flow.children.get(name)
@@ -132,10 +134,10 @@
         self._insert(flow, item)
 
     def pop_urgent(self, now: float) -> FlowItem | None:
-        """Take work whose place in line has come by its deadline, if any.
+        """Pop an item that must start now to meet its deadline, if any.
 
-        What was let in is a promise. Its flows are charged as always, so the
-        others get their shares back afterwards.
+        Admitted work has been promised its deadline. Its flows are charged as
+        usual, so the others get their shares back afterwards.
         """
         while self._urgent_heap and self._urgent_heap[0][0] <= now:
             item = heapq.heappop(self._urgent_heap)[2]
@@ -147,7 +149,7 @@
         return None
 
     def pop(self) -> FlowItem | None:
-        """Take the next item and charge its flows, or return nothing."""
+        """Pop the next item and charge its flows, or return nothing."""
         flow = self._root
         while not flow.items:
             child = self._find_first(flow)
@@ -170,9 +172,9 @@
         *,
         suspend: bool,
     ) -> None:
-        """Return an item just taken, without charge.
+        """Queue a popped item again and undo its charge.
 
-        A held flow is passed over until `release`.
+        A suspended flow is skipped until `resume`.
         """
         self.push(item, path, weights)
         flow = item.leaf
@@ -184,7 +186,7 @@
             self._suspend(item.leaf)
 
     def find_overdue(self, now: float) -> FlowItem | None:
-        """Return queued work that must have started before now, if any."""
+        """Return an item that should have started before now, if any."""
         while self._deadline_heap and self._deadline_heap[0][0] < now:
             item = self._deadline_heap[0][2]
             if not item.removed:
@@ -193,16 +195,16 @@
         return None
 
     def resume(self) -> None:
-        """Let held flows take part again."""
+        """Include suspended flows again."""
         for flow in self._suspended:
             flow.suspended = False
             if flow.items and flow.parent is not None:
                 self._reorder(flow)
-                self._resume_ancestors(flow.parent)
+                self._resume_flow(flow.parent)
         self._suspended.clear()
 
     def remove(self, item: FlowItem) -> None:
-        """Take an item out without serving it."""
+        """Remove an item without serving it."""
         if item.removed:
             return
         item.removed = True
@@ -221,8 +223,8 @@
         """Return the queued cost that a new item would wait for.
 
         Under fair shares a flow waits for its own backlog, stretched by the
-        weights of all others that have any. That may be more than all that is
-        queued now: others' work to come has its share before it, too.
+        weights of all others with a backlog. The result may exceed all that is
+        queued now, since other flows' later work also gets its share first.
         """
         flow: Flow | None = self._root
         stretch: float = 1
@@ -254,8 +256,9 @@
                 self._deadline_heap, (item.latest_start, number, item)
             )
             heapq.heappush(self._urgent_heap, (item.urgent_from, number, item))
-        # Entries taken out stay in the heap until due; rebuild it when they
-        # are most of it, or a long deadline would keep every answer's item.
+        # Removed items stay in the heaps until they reach the top. Rebuild the
+        # heaps when most items are removed, or long deadlines would keep the
+        # items of all answers.
         if len(self._deadline_heap) > 2 * self._size + _REBUILD_SLACK:
             self._deadline_heap = [
                 queued
@@ -312,7 +315,7 @@
             if self._find_first(flow) is not None:
                 return
 
-    def _resume_ancestors(self, flow: Flow) -> None:
+    def _resume_flow(self, flow: Flow) -> None:
         while flow.parent is not None:
             flow.suspended = False
             self._reorder(flow)
@@ -334,7 +337,7 @@
 
     def _record_idle(self, parent: Flow, flow: Flow) -> None:
         if not parent.children:
-            # The end of a busy period: nobody is owed anything.
+            # The end of a busy period: no flow has service outstanding.
             parent.idle_tags.clear()
             parent.idle_heap.clear()
             parent.child_heap.clear()
--- a/guavagate/decisions/order.py
+++ b/guavagate/decisions/order.py
@@ -1,12 +1,13 @@
-"""The order of work within one caller's queue.
+"""Order of work within one caller's queue.
+
+Load pattern: a caller sends many short requests and sometimes a long job.
 
-Load pattern: a caller sends many short requests and now and then a long job.
 Without it: in order of arrival, a short request waits for the long jobs ahead
 of it, many times its own length.
 
 An order is a function from work, arrival and expected seconds to a key that
-stays the same while the work waits; the lowest key is next. The choice, by
-figures, is in docs/adr/0010-order-and-paper.md.
+doesn't change while the work waits; the lowest key is next. See
+docs/adr/0010-order-and-paper.md for the choice and its measurements.
 """
 
 from collections.abc import Callable
@@ -14,49 +15,49 @@
 
 from guavagate.decisions._work import Kind, Work
 
-# The target stretch: a request may wait this many times its own expected
-# time before a later one of the same size passes it. See the ADR's table.
+# A request may wait this many times its own expected time before a later one of
+# the same size passes it. See the table in the ADR.
 TARGET_STRETCH: Final = 1.0
 
-# Lengths are estimated within this factor.
+# Estimated lengths are right within this factor.
 LENGTH_ERROR: Final = 2.0
 
-# Steps and lengths are folded into one key; no step has this many tokens.
+# Combines step and length into one key; must exceed the tokens of any sample.
 _STEP_SPAN: Final = 1e9
 
 Order = Callable[[Work, float, float], float]
 
 
 def order_by_arrival(work: Work, arrival: float, expected: float) -> float:
-    """First in, first out."""
+    """Order by arrival, first in, first out."""
     return arrival
 
 
 def order_by_deadline(work: Work, arrival: float, expected: float) -> float:
-    """Earliest deadline first."""
+    """Order by deadline, earliest first."""
     return work.deadline
 
 
 def order_by_length(work: Work, arrival: float, expected: float) -> float:
-    """Shortest expected first; long jobs may starve."""
+    """Order by expected time, shortest first; long jobs may starve."""
     return expected
 
 
 def order_by_stretch(target: float = TARGET_STRETCH) -> Order:
-    """Deadline from a target stretch, after Saule, Bozdağ and Çatalyürek.
+    """Return an order by target stretch, after Saule, Bozdağ and Çatalyürek.
 
     Parameters
     ----------
     target
-        The stretch that every request is promised; zero orders by arrival,
-        a very large one by length.
+        The stretch promised to every request; zero orders by arrival, a very
+        large one by length.
     """
 
     def order(work: Work, arrival: float, expected: float) -> float:
         if work.kind is Kind.ROLLOUT:
             return order_rollout(work)
-        # What was admitted must not be overtaken until it is late: its last
-        # moment to start, with the length off by two, is its place in line.
+        # Other work must not overtake admitted work until that is late: it is
+        # due by its latest start, assuming twice the expected length.
         return min(
             arrival + target * expected,
             work.deadline - LENGTH_ERROR * expected,
@@ -66,9 +67,9 @@
 
 
 def order_rollout(work: Work) -> float:
-    """Older steps first; within a step the longest first.
+    """Order older steps first; within a step the longest sample first.
 
-    A long sample that starts last ends long after all others and stalls its
-    step while the samplers idle.
+    A long sample that starts last ends long after all others and delays its
+    step while the samplers are idle.
     """
     return work.step * _STEP_SPAN - work.expected_tokens
--- a/guavagate/decisions/placement.py
+++ b/guavagate/decisions/placement.py
@@ -1,17 +1,18 @@
-"""Which sampler a piece of work goes to.
+"""Chooses the sampler for a work item.
 
 Load pattern: a third of all requests share one prompt prefix; others share
-smaller ones; samplers come and go.
-Without it: least connections reads each prompt on every sampler; plain
-hashing keeps prefixes together but puts the hot one's whole load on a single
-sampler and moves nearly all prefixes when one leaves.
-
-Work goes to the sampler that holds the longest part of its prompt, among
-those whose load is within `LOAD_BOUND` of the mean; when none holds any, to
-the first within the bound in the prefix's rendezvous order, so that equal
-prompts meet and only the leaving sampler's prefixes move. A choice is a
-function, so that the candidates of docs/adr/0011-sampler-choice.md are
-measured in the same place.
+smaller ones; samplers join and leave.
+
+Without it: with least connections every sampler reads every prompt; plain
+hashing keeps prefixes together, but puts the whole load of the hot one on a
+single sampler and moves nearly all prefixes when a sampler leaves.
+
+Work goes to the sampler that has cached the longest part of its prompt, among
+those whose load is within `LOAD_BOUND` of the mean. If none has cached any of
+it, it goes to the first sampler within the bound in the prefix's rendezvous
+order. So equal prompts reach the same sampler, and only the prefixes of a
+leaving sampler move. A choice is a function, so that the alternatives in
+docs/adr/0011-sampler-choice.md are measured in the same place.
 """
 
 import math
@@ -24,8 +25,8 @@
 from guavagate.decisions._work import Work, estimate_cost
 from guavagate.models import SamplerId
 
-# The issue allows 1.25 times the mean load; what runs is counted in whole
-# pieces, which needs the difference.
+# The requirement is 1.25 times the mean load. Running work is counted in whole
+# items, which needs the margin.
 LOAD_BOUND: Final = 1.2
 _SEED_MASK: Final = 0xFFFFFFFFFFFFFFFF
 
@@ -35,7 +36,7 @@
 def choose_by_prefix(
     work: Work, samplers: Sequence[SamplerState]
 ) -> tuple[SamplerState, str]:
-    """Take the longest cached prefix in the load bound, else rendezvous."""
+    """Choose the longest cached prefix within the bound, else by rendezvous."""
     if not work.prefix_keys:
         return choose_least_loaded(work, samplers)
     within = _within_bound(work, samplers)
@@ -48,7 +49,10 @@
             best = state
             matched = count
     if matched:
-        return best, f'holds {matched} of {len(work.prefix_keys)} prefix keys'
+        return (
+            best,
+            f'{matched} of {len(work.prefix_keys)} prefix keys are cached',
+        )
     key = work.prefix_keys[0]
     best = max(within, key=lambda state: rank(key, state.id))
     return best, 'first of the prefix in rendezvous order'
@@ -57,20 +61,20 @@
 def choose_unbounded(
     work: Work, samplers: Sequence[SamplerState]
 ) -> tuple[SamplerState, str]:
-    """Take the longest cached prefix at any load, to show the bound."""
+    """Choose the longest cached prefix at any load, to measure the bound."""
     if not work.prefix_keys:
         return choose_least_loaded(work, samplers)
     matches = [state.prefixes.match(work.prefix_keys) for state in samplers]
     matched = max(matches)
     if matched:
-        return samplers[matches.index(matched)], 'holds the prefix'
+        return samplers[matches.index(matched)], 'the prefix is cached'
     return choose_rendezvous(work, samplers)
 
 
 def choose_rendezvous(
     work: Work, samplers: Sequence[SamplerState]
 ) -> tuple[SamplerState, str]:
-    """Hash the prompt's first prefix, by rendezvous."""
+    """Choose by rendezvous hash of the prompt's first prefix."""
     key = work.prefix_keys[0] if work.prefix_keys else hash_id(work.id)
     best = max(samplers, key=lambda state: rank(key, state.id))
     return best, 'rendezvous order'
@@ -79,7 +83,7 @@
 def choose_modulo(
     work: Work, samplers: Sequence[SamplerState]
 ) -> tuple[SamplerState, str]:
-    """Hash the prompt's first prefix to a position in the list."""
+    """Choose a position in the list by hash of the prompt's first prefix."""
     key = work.prefix_keys[0] if work.prefix_keys else hash_id(work.id)
     return samplers[key % len(samplers)], 'position by hash'
 
@@ -87,7 +91,7 @@
 def choose_least_loaded(
     work: Work, samplers: Sequence[SamplerState]
 ) -> tuple[SamplerState, str]:
-    """Take the least work for its share, the nearer one when they are equal."""
+    """Choose the lowest load per slot; prefer the work's zone among equals."""
     best = min(
         samplers,
         key=lambda state: (compute_load(state), state.info.zone != work.zone),
@@ -98,7 +102,7 @@
 def choose_least_of_two(
     work: Work, samplers: Sequence[SamplerState]
 ) -> tuple[SamplerState, str]:
-    """Take the less loaded of two given by the work's own hash."""
+    """Choose the less loaded of two samplers given by the work's own hash."""
     pick = hash_id(work.id)
     count = len(samplers)
     first = samplers[pick % count]
@@ -110,23 +114,23 @@
 def choose_least_connections(
     work: Work, samplers: Sequence[SamplerState]
 ) -> tuple[SamplerState, str]:
-    """Take the fewest running; the baseline."""
+    """Choose the fewest running requests; the baseline."""
     best = min(samplers, key=lambda state: len(state.running))
     return best, 'fewest connections'
 
 
 def rank(key: int, sampler: SamplerId) -> int:
-    """Return a sampler's place in a key's rendezvous order."""
+    """Return a sampler's rank in a key's rendezvous order."""
     return hash_id(sampler, key)
 
 
 def hash_id(name: str, seed: int = 0) -> int:
-    """Return an id's hash, the same on every instance."""
+    """Return the hash of an id, the same on every instance."""
     return xxhash.xxh3_64_intdigest(name.encode(), seed & _SEED_MASK)
 
 
 def compute_load(state: SamplerState) -> float:
-    """Return running work per slot that the sampler may use."""
+    """Return occupied slots per slot that the sampler may use."""
     if state.usable <= 0:
         return math.inf
     return state.occupied / state.usable
@@ -147,7 +151,7 @@
 
 
 def estimate_sampler_cost(work: Work, state: SamplerState) -> tuple[float, int]:
-    """Return the work's cost there and how many prefix keys it holds."""
+    """Return the cost on this sampler and the number of cached prefix keys."""
     keys = work.prefix_keys
     if not keys:
         return estimate_cost(work), 0
--- a/guavagate/decisions/pool.py
+++ b/guavagate/decisions/pool.py
@@ -123,7 +123,7 @@
     def offer(self, work: Work, now: float) -> Queued | Refused:
         """Queue work, or refuse it before any of it has run."""
         if self._table.get(work.id) is not None:
-            return _reasons.queued(work, 0, 'already here')
+            return _reasons.make_queued(work, 0, 'already queued or running')
         if not self._fleet.samplers:
             return self._refuse(work, RefusalReason.NO_SAMPLER, now)
         if len(self._queue) >= self._max_queued:
@@ -140,7 +140,7 @@
                 return self._refuse(work, reason, now)
         self._table.add(attempts)
         self._enqueue(attempts)
-        return _reasons.queued(work, wait, 'in time by the expected wait')
+        return _reasons.make_queued(work, wait, 'expected to meet its deadline')
 
     def adopt(self, work: Work, sampler: SamplerId, now: float) -> None:
         """Count work that already ran when this instance became queue owner."""
@@ -262,8 +262,8 @@
             return self._refuse(attempts.work, reason, now)
         attempts.exclude(sampler, len(self._fleet.samplers))
         self._enqueue(attempts)
-        return _reasons.queued(
-            attempts.work, self._expect_wait(attempts), 'tried again elsewhere'
+        return _reasons.make_queued(
+            attempts.work, self._expect_wait(attempts), 'retried elsewhere'
         )
 
     def cancel(self, work_id: RequestId, now: float) -> list[SamplerId]:
@@ -314,7 +314,7 @@
 
     def _expect_run_seconds(self, cost: float, wait: float) -> float:
         seconds = cost * self._fleet.token_interval
-        if wait < admission.QUEUE_S:
+        if wait < admission.MIN_QUEUE_WAIT_SECONDS:
             # A free slot delays nothing, and the length may be overestimated.
             return seconds / LENGTH_ERROR
         return seconds * self._fleet.length.high
@@ -383,7 +383,7 @@
         state, reason = self._choose(work, fitting)
         self._learn_wait(attempts, now)
         running = self._table.start(attempts, state, now)
-        decision = _reasons.placed(
+        decision = _reasons.make_placed(
             work, state, reason, self._fleet.samplers.values()
         )
         return Placement(
@@ -397,4 +397,4 @@
     def _refuse(self, work: Work, reason: RefusalReason, now: float) -> Refused:
         wait = self._expect_wait(Attempts(work, now))
         after = admission.compute_retry_after(wait, work.deadline - now)
-        return _reasons.refused(work, reason, wait, after)
+        return _reasons.make_refused(work, reason, wait, after)
--- a/guavagate/decisions/pools.py
+++ b/guavagate/decisions/pools.py
@@ -1,15 +1,16 @@
-"""Which pool of samplers an entry asks for a permit.
+"""Chooses the pool of samplers that an entry requests a permit from.
+
+Load pattern: 730 samplers behind 330 entries. If each entry chose among all
+samplers, it would need every sampler's load: 29 KB/s per instance.
 
-Load pattern: 730 samplers behind 330 entries. Were each entry to choose among
-all samplers, it would need every sampler's load, 29 KB/s at each node.
 Without the bound on the load: the pool of a hot prefix fills its queue while
-others idle.
+others are idle.
 
-Pools of at most sixteen samplers stand on a ring by consistent hashing; a
-prompt's first prefix gives the place to start, so that equal prompts meet in
-one cache. A pool fuller than `LOAD_BOUND` times the mean is passed over. For
-work without a prefix the first pool in the entry's own availability zone is
-taken. A ring, since rendezvous hashing took 50 us at 46 pools.
+Pools of at most sixteen samplers are placed on a consistent-hash ring. A
+prompt's first prefix gives the start on the ring, so that equal prompts share
+one cache. A pool with more than `LOAD_BOUND` times the mean load is skipped.
+Work without a prefix goes to the first pool in the entry's own zone. A ring is
+used because rendezvous hashing took 50 us at 46 pools.
 """
 
 import bisect
@@ -23,29 +24,29 @@
 from guavagate.decisions.placement import hash_id
 from guavagate.models import ZoneId
 
-# The consistent-hashing literature's usual bound: a quarter above the mean
-# costs few moved prefixes, and a hot one spreads over as many pools as needed.
+# The usual bound in the literature on consistent hashing: a quarter above the
+# mean moves few prefixes and spreads a hot one over as many pools as needed.
 LOAD_BOUND: Final = 1.25
-# Points of each pool on the ring: shares differ by a tenth or so at 128.
-POINTS: Final = 128
-# Pools looked at for one in the entry's own availability zone.
-_NEAR_TRIES: Final = 8
+# Points of each pool on the ring: at 128, shares differ by about a tenth.
+POINTS_PER_POOL: Final = 128
+# Pools examined to find one in the entry's own zone.
+_MAX_ZONE_TRIES: Final = 8
 _KEY_MASK: Final = 0xFFFFFFFFFFFFFFFF
-# Loads below this share of a pool's slots cost no wait: prefixes go first.
+# Below this share of a pool's slots work doesn't wait, so prefixes decide.
 IDLE_LOAD: Final = 0.7
-# A load learnt longer ago than this says nothing any more, in seconds.
-LOAD_MEMORY_S: Final = 5.0
+# Age at which a pool's load is disregarded; it counts less until then.
+LOAD_MEMORY_SECONDS: Final = 5.0
 
 
 class PoolView(msgspec.Struct, kw_only=True):
-    """A pool as an entry knows it from its permits' answers.
+    """An entry's view of a pool, from the answers to its permit requests.
 
     Parameters
     ----------
     load
         Running and queued work per slot.
     seen
-        When the load was learnt, in the clock's seconds.
+        When the load was reported, in seconds of the clock.
     """
 
     id: str
@@ -64,7 +65,7 @@
     """Choose one of a deployment's pools; `pools` must not be empty."""
     bound: float | None = None
     fallback: PoolView | None = None
-    for tried, pool in enumerate(_walk(work, pools)):
+    for tried, pool in enumerate(_walk_ring(work, pools)):
         load = decay_load(pool, now)
         if load > IDLE_LOAD and bound is None:
             bound = _find_bound(pools, now)
@@ -73,16 +74,16 @@
         if work.prefix_keys or pool.zone == work.zone:
             return pool, _decide(work, pool, 'first within the load bound')
         fallback = fallback or pool
-        if tried >= _NEAR_TRIES:
+        if tried >= _MAX_ZONE_TRIES:
             break
     if fallback is not None:
-        return fallback, _decide(work, fallback, 'no near pool has room')
+        return fallback, _decide(work, fallback, 'no pool in the zone has room')
     least = min(pools, key=lambda pool: decay_load(pool, now))
-    return least, _decide(work, least, 'all are over the load bound')
+    return least, _decide(work, least, 'all pools are over the load bound')
 
 
-def _walk(work: Work, pools: Sequence[PoolView]) -> Iterator[PoolView]:
-    """Yield the pools along the ring, each once."""
+def _walk_ring(work: Work, pools: Sequence[PoolView]) -> Iterator[PoolView]:
+    """Yield each pool once, in the order of the ring."""
     key = work.prefix_keys[0] if work.prefix_keys else hash_id(work.id)
     points, owners = _make_ring(tuple([pool.id for pool in pools]))
     start = bisect.bisect_left(points, key & _KEY_MASK)
@@ -94,8 +95,8 @@
 
 
 def decay_load(pool: PoolView, now: float) -> float:
-    """Return the pool's load, old knowledge counting less."""
-    left = 1 - (now - pool.seen) / LOAD_MEMORY_S
+    """Return the pool's load, reduced by the age of the report."""
+    left = 1 - (now - pool.seen) / LOAD_MEMORY_SECONDS
     if left <= 0:
         return 0
     return pool.load * min(left, 1)
@@ -112,10 +113,10 @@
 
 @functools.lru_cache(maxsize=64)
 def _make_ring(pools: tuple[str, ...]) -> tuple[list[int], list[int]]:
-    """Return the ring's points, sorted, and which pool owns each."""
+    """Return the ring's sorted points, and the pool index of each."""
     ring = sorted(
         (hash_id(pool, point), index)
         for index, pool in enumerate(pools)
-        for point in range(POINTS)
+        for point in range(POINTS_PER_POOL)
     )
     return [point for point, _ in ring], [index for _, index in ring]
--- a/guavagate/decisions/reserve.py
+++ b/guavagate/decisions/reserve.py
@@ -1,12 +1,13 @@
-"""Slots that long work may not take while short work keeps coming.
+"""Slots that long work may not take while short work keeps arriving.
 
-Load pattern: long jobs, or a trainer's samples, beside short requests. In a
-moment without short ones queued, long ones fill every slot.
-Without it: no order helps, since running work isn't interrupted. All slots
-are held for a long job's time, and the short requests that come meanwhile
-wait for many times their own length.
+Load pattern: long jobs, or a trainer's samples, beside short requests. While no
+short request is queued for a moment, long ones fill every slot.
 
-A share of the slots, sized by what short work lately used, is left to it.
+Without it: no order helps, since running work isn't interrupted. Long jobs
+occupy all slots until they end, and short requests that arrive meanwhile wait
+for many times their own length.
+
+Some slots, sized by the recent demand of short work, are reserved for it.
 """
 
 import math
@@ -14,20 +15,20 @@
 
 from guavagate.decisions._work import Kind, Work
 
-# Work beyond this multiple of the usual length (geometric mean) is long:
-# estimates off by two either way must not make it so.
+# Work beyond this multiple of the usual length (geometric mean) is long.
+# Estimates that are wrong by a factor of two either way must not make it long.
 LONG_FACTOR: Final = 4.0
-# At most this share of the slots, so that long work keeps most of them, and
-# half as much again as the short work used: its arrivals vary.
+# At most this share of the slots is reserved, so that long work gets most of
+# them. `DEMAND_MARGIN` adds to the demand of short work, as its arrivals vary.
 MAX_SHARE: Final = 0.5
-SPARE: Final = 1.25
-# Short work that came longer ago than some of these seconds reserves nothing.
-MEMORY_S: Final = 10.0
+DEMAND_MARGIN: Final = 1.25
+# Time constant with which the demand of short work decays.
+DEMAND_DECAY_SECONDS: Final = 10.0
 _SMOOTHING: Final = 0.02
 
 
 class Reserve:
-    """How long work usually is, and how much short work comes."""
+    """Usual length of work, and the recent demand of short work."""
 
     def __init__(self) -> None:
         self._mean_log_cost: float | None = None
@@ -47,7 +48,7 @@
             self._last_arrival_at = now
 
     def is_long(self, work: Work, cost: float) -> bool:
-        """Return whether work is long beside the usual requests."""
+        """Return whether work is long compared to the usual requests."""
         if work.kind is Kind.ROLLOUT:
             return True
         if self._mean_log_cost is None:
@@ -57,13 +58,13 @@
     def compute_slots(
         self, slots: int, token_interval: float, now: float
     ) -> float:
-        """Return how many slots are left to short work."""
-        used = self._decayed_demand(now) / MEMORY_S * token_interval
-        return min(SPARE * used, MAX_SHARE * slots)
+        """Return the number of slots reserved for short work."""
+        used = self._decayed_demand(now) / DEMAND_DECAY_SECONDS * token_interval
+        return min(DEMAND_MARGIN * used, MAX_SHARE * slots)
 
     def _decayed_demand(self, now: float) -> float:
         return self._demand * math.exp(
-            -(now - self._last_arrival_at) / MEMORY_S
+            -(now - self._last_arrival_at) / DEMAND_DECAY_SECONDS
         )
 
 
--- a/guavagate/decisions/tail.py
+++ b/guavagate/decisions/tail.py
@@ -1,44 +1,48 @@
-"""A step's tail, and a trainer's idle time against staleness.
+"""Shortens a step's tail, and weighs a trainer's idle time against staleness.
 
-Load pattern: 2,048 samples of which a few run ten times as long, on samplers
-of which one is slow just then.
-Without it: the step waits for its slowest sample while nearly all slots idle.
+Load pattern: 2,048 samples of which a few run ten times as long, on samplers of
+which one is slow at that time.
 
-Three measures: the longest expected start first (`order.order_rollout`); when
-nothing is queued, idle slots take second copies of what would end last, the
-first answer wins and the other is cancelled; and whether samples in flight
-may end on old weights is weighed by the deployment's own weights.
+Without it: the step waits for its slowest sample while nearly all slots are
+idle.
+
+Three measures: the sample with the longest expected time starts first
+(`order.order_rollout`). When nothing is queued, idle slots start speculative
+runs of what would end last; the first complete run wins and the other is
+cancelled. And the deployment's own weights decide whether samples in flight may
+end on old model weights.
 """
 
 from typing import Final
 
 from guavagate.decisions._sampler import RunningWork
 
-# A copy must be expected to take no more than this share of what the first
-# still needs: slow spells pass, and then a copy has cost a slot for nothing.
+# A speculative run must be expected to take at most this share of the time that
+# the first run still needs: slow periods pass, and a run started in vain costs
+# a slot.
 MAX_RUNTIME_RATIO: Final = 0.5
 
 
 def estimate_total_tokens(
     running: RunningWork, token_interval: float, now: float
 ) -> float:
-    """Return how many tokens running work is expected to have in all.
+    """Return the expected total number of tokens of running work.
 
     Parameters
     ----------
     token_interval
-        The seconds per token where it runs.
+        Seconds per token where it runs.
     """
     done = (now - running.start) / token_interval
-    # With lengths this uncertain, what has run beyond its estimate is
-    # expected to have about as much again before it.
+    # With lengths this uncertain, work that has exceeded its estimate is
+    # expected to need about as many tokens again as it has so far.
     return running.cost if done < running.cost else 2 * done
 
 
 def estimate_remaining_seconds(
     running: RunningWork, token_interval: float, now: float
 ) -> float:
-    """Return the seconds that work is expected to need still."""
+    """Return the seconds that running work is expected to need still."""
     tokens = estimate_total_tokens(running, token_interval, now)
     return tokens * token_interval - (now - running.start)
 
@@ -49,13 +53,15 @@
     other_interval: float,
     now: float,
 ) -> bool:
-    """Return whether a copy is expected to end well before the first.
+    """Return whether a second run should end well before the first.
 
-    The copy starts from nothing and has the same length, so it gains only
-    where the first runs slowly.
+    The second run starts from nothing and has the same length, so it gains time
+    only where the first is slow.
     """
-    copy = estimate_total_tokens(running, token_interval, now) * other_interval
-    return copy < MAX_RUNTIME_RATIO * estimate_remaining_seconds(
+    second_run = (
+        estimate_total_tokens(running, token_interval, now) * other_interval
+    )
+    return second_run < MAX_RUNTIME_RATIO * estimate_remaining_seconds(
         running, token_interval, now
     )
 
@@ -87,8 +93,8 @@
     Whether to swap now, the cost of swapping and the cost of waiting.
     """
     unit = max(step_seconds, 1e-9)
-    # Swapping cuts the samples into pieces: their prompts are read again and
-    # the trainer waits that much longer for its step.
+    # A swap interrupts the samples: their prompts are read again and the
+    # trainer waits that much longer for its step.
     swap = idle_weight * in_flight_share * min(seconds_left / unit, 1.0)
     wait = staleness_weight * versions_behind * seconds_left / unit
     return swap <= wait, swap, wait
