--- a/tests/decisions/__init__.py
+++ b/tests/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions under load."""
+"""Tests of guavagate.decisions."""
--- a/tests/decisions/test_background.py
+++ b/tests/decisions/test_background.py
@@ -1,4 +1,4 @@
-"""Callers beside a wave of background work, on upstreams that queue."""
+"""Tests of callers' waits beside a burst of background work."""
 
 import heapq
 import itertools
@@ -20,7 +20,7 @@
 
 
 class _Upstream:
-    """Admits in order of arrival, as the services behind routes do."""
+    """An upstream that admits requests in order of arrival."""
 
     def __init__(self, slowness: float = 1) -> None:
         self.slowness = slowness
@@ -30,11 +30,11 @@
         self.callers = float(0)
 
     def admit(self, work: float, arrived: float | None) -> None:
-        """Queue a request; `arrived` is nothing for background work."""
+        """Queue a request; `arrived` is None for background work."""
         self.waiting.append((work * self.slowness, arrived))
 
     def advance(self, now: float) -> list[float]:
-        """Return how long the callers' requests that ended now took."""
+        """Advance to `now`; return the durations of callers' ended requests."""
         ended = []
         while self.running and self.running[0][0] <= now:
             _, _, arrived = heapq.heappop(self.running)
@@ -57,10 +57,10 @@
     return len(upstream.running) + len(upstream.waiting)
 
 
-def _play(
+def _simulate(
     upstreams: list[_Upstream], gap: float, *, bounded: bool
 ) -> tuple[list[float], float]:
-    """Return what callers waited beside a wave of 96, and when it was over."""
+    """Return callers' durations beside a burst of 96, and the burst's end."""
     left = 96
     now = float(0)
     over = float(0)
@@ -91,22 +91,22 @@
     ('slowness', 'gap'),
     [((1, 1, 1), 0.15), ((1, 1, 4), 0.15), ((1,), 0.15), ((1, 1, 1), 0.02)],
 )
-def test_callers_find_a_place_beside_a_wave(
+def test_callers_find_a_free_slot_beside_a_burst(
     slowness: tuple[float, ...], gap: float
 ) -> None:
-    """96 texts end together; callers ask all the while.
+    """96 texts end together and request rewards while callers send requests.
 
-    Also with a slow upstream, one upstream left, and a crowd of callers. Sent
-    at once, the wave stands before every caller. The aim of 150 ms is met by
-    nine of ten callers with the bound, and the wave is over in at most twice
-    the time that it needs alone.
+    Sent all at once, the burst is queued before every caller. With the limit,
+    nine of ten callers get an answer within 150 ms, and the burst takes at
+    most twice as long as without it. Cases: all upstreams equal, one slow, only
+    one left, and many callers.
     """
-    waits, over = _play(
+    waits, over = _simulate(
         [_Upstream(each) for each in slowness], gap, bounded=True
     )
     late = sum(wait > 0.15 * max(slowness) for wait in waits) / len(waits)
     assert late <= 0.1
-    unbounded, alone = _play(
+    unbounded, alone = _simulate(
         [_Upstream(each) for each in slowness], gap, bounded=False
     )
     worst = max(unbounded)
@@ -115,8 +115,8 @@
     assert 0 < over <= 2 * alone
 
 
-def test_a_crowd_of_callers_is_made_room_for_and_forgotten() -> None:
-    """Ten callers use an upstream for a while; then there are none."""
+def test_limit_follows_the_number_of_callers() -> None:
+    """Ten callers use an upstream for a while and then stop."""
     callers = float(0)
     for _ in range(100):
         callers = average_caller_slots(callers, busy=14, background=4)
@@ -126,18 +126,18 @@
     assert limit_background(16, callers) == 16 - SPARE_SLOTS
 
 
-def test_one_busy_moment_does_not_stop_a_wave() -> None:
-    """One upstream of six places is left; five callers come together once.
+def test_short_peak_of_callers_does_not_stop_a_burst() -> None:
+    """Five callers arrive together once at the only upstream of six slots.
 
-    A step of 48 rewards needs most places: were the moment kept for seconds,
-    one place would be left to it and the step is late.
+    A step of 48 rewards needs most slots. If the peak were remembered for
+    seconds, one slot would be left to the step and it would be late.
     """
     callers = average_caller_slots(0, busy=6, background=1)
     assert limit_background(6, callers) >= 4
 
 
-def test_background_work_never_stops_for_good() -> None:
-    """Callers fill an upstream for minutes; a step still gets on there."""
+def test_background_work_is_never_stopped_completely() -> None:
+    """A step still advances on an upstream that callers fill for minutes."""
     callers = float(0)
     for _ in range(100):
         callers = average_caller_slots(callers, busy=40, background=0)
--- a/tests/decisions/test_patterns.py
+++ b/tests/decisions/test_patterns.py
@@ -1,7 +1,7 @@
-"""Tests of the load patterns, judged by what callers and trainers receive.
+"""Tests of load patterns by the results that callers and trainers get.
 
-Each runs the pool under virtual time with models of samplers, one seed. The
-figures over ten seeds are in docs/decisions.md.
+Each test runs the pool in virtual time with simulated samplers and one seed.
+docs/decisions.md has the figures over ten seeds.
 """
 
 import functools
@@ -28,8 +28,8 @@
         'sampler-leaves',
     ],
 )
-def test_the_aims_of_a_pattern_are_met(pattern: str) -> None:
-    """Each aim that the pattern states holds for this seed."""
+def test_pattern_meets_its_aims(pattern: str) -> None:
+    """All aims of the pattern are met with this seed."""
     figures = _run(pattern)
     missed = [
         aim.describe()
@@ -39,17 +39,17 @@
     assert not missed
 
 
-def test_the_same_seed_gives_the_same_figures() -> None:
-    """Every figure is equal to the last digit."""
+def test_same_seed_gives_same_figures() -> None:
+    """All figures are exactly equal."""
     job = Job(pattern='burst', policy='guavagate', seed=7)
     assert run_job(job) == run_job(job)
 
 
-def test_a_burst_without_admission_lets_in_what_it_can_not_answer() -> None:
-    """A burst of ten times the load comes for two seconds.
+def test_burst_without_admission_admits_too_much() -> None:
+    """A burst of ten times the load lasts two seconds.
 
-    Callers are refused at once, or answered in time. Without admission they
-    wait in the queue for most of their patience before they are refused.
+    Callers are refused at once or answered in time. Without admission they
+    wait in the queue until shortly before their deadline and are then refused.
     """
     with_it = _run('burst')
     without = _run('burst', 'without-admission')
@@ -62,61 +62,58 @@
 def test_overload_collapses_in_order_of_arrival() -> None:
     """Twice the capacity arrives for eighty seconds.
 
-    In order of arrival every request waits until it is late, and no sampler
-    idles meanwhile: hardly an answer is in time.
+    In order of arrival every request waits until it is late, so hardly any
+    answer is in time although no sampler is idle.
     """
     assert _run('overload', 'fifo')['in_time_of_capacity'] < 0.1
     assert _run('overload')['in_time_of_capacity'] >= 0.95
 
 
-def test_a_hot_caller_without_fair_queues_delays_the_others() -> None:
-    """One caller sends twenty times its share.
-
-    Without fair queues the others wait behind its requests.
-    """
+def test_hot_caller_without_fair_queues_delays_others() -> None:
+    """One caller sends twenty times its share, and others wait behind it."""
     without = _run('hot-caller', 'without-fairness')
     assert without['p99_of_calm'] > 2
 
 
-def test_a_hot_prefix_without_the_bound_overloads_its_sampler() -> None:
+def test_hot_prefix_without_load_bound_overloads_its_sampler() -> None:
     """A third of the requests share one prompt prefix."""
     without = _run('hot-key', 'without-bounded-load')
     assert without['load_worst_of_mean'] > 1.25
 
 
-def test_least_connections_reads_prompts_again() -> None:
-    """Without affinity, prefixes are read on every sampler."""
+def test_without_affinity_prompts_are_read_again() -> None:
+    """Every sampler reads every prefix."""
     without = _run('hot-key', 'without-affinity')
     assert without['hit_of_best'] < 0.9
 
 
-def test_a_slow_sampler_without_ejection_decides_the_tail() -> None:
-    """One of six samplers is ten times as slow from some moment on.
+def test_slow_sampler_without_ejection_determines_the_tail() -> None:
+    """One of six samplers becomes ten times as slow.
 
-    Without ejection a share of all requests still meets it, and hedges alone
-    can't catch them all.
+    Without ejection it still gets a share of all requests, and hedges alone
+    can't compensate for all of them.
     """
     assert _run('slow-upstream', 'without-ejection')['p99_of_five'] > 1.5
 
 
 def test_slow_requests_without_hedges_stay_slow() -> None:
-    """Those that run on a sampler when it becomes slow are the slowest."""
+    """The slowest requests are those on a sampler that becomes slow."""
     with_them = _run('slow-upstream')
     without = _run('slow-upstream', 'without-hedging')
     assert without['p999_s'] > 1.5 * with_them['p999_s']
 
 
-def test_retries_without_a_budget_are_extra_work() -> None:
+def test_retries_without_budget_cause_extra_work() -> None:
     """Half of the samplers fail for thirty seconds."""
     without = _run('retry-storm', 'without-retry-budget')
     assert without['extra_work'] > 0.15
 
 
-def test_a_stalled_sampler_without_copies_stalls_steps() -> None:
-    """Each sampler stops in turn for a minute, with samples on it.
+def test_stalled_sampler_without_speculation_stalls_steps() -> None:
+    """Each sampler in turn stalls for a minute with samples on it.
 
-    With second copies the trainer doesn't notice; without them it waits for
-    the minute to end.
+    With speculative runs the trainer is hardly delayed; without them it waits
+    until the minute is over.
     """
     with_them = _run('stalled-sampler')
     without = _run('stalled-sampler', 'without-tail')
@@ -126,17 +123,17 @@
 
 
 def test_two_trainers_share_by_their_weights() -> None:
-    """Three to one, in tokens; without fair queues one to one."""
+    """Their tokens are three to one; without fair queues one to one."""
     assert _run('two-trainers')['first_to_second'] == pytest.approx(3, rel=0.1)
     without = _run('two-trainers', 'without-fairness')
     assert without['first_to_second'] < 1.5
 
 
-def test_wrongly_configured_slots_are_found_out() -> None:
-    """Twice as many slots are configured as the engines hold.
+def test_wrongly_configured_slots_are_corrected() -> None:
+    """Twice as many slots are configured as fit in the engines' memory.
 
-    Engines swap streams in and out, all slow down together. The limit is
-    found within a minute, and callers get the samplers' whole capacity.
+    Engines swap streams in and out, and all streams slow down together. The
+    limit is found within a minute, and callers get the samplers' full capacity.
     """
     figures = _run('wrong-slots')
     without = _run('wrong-slots', 'without-limit')
