--- a/guavagate/auth/_keys.py
+++ b/guavagate/auth/_keys.py
@@ -3,9 +3,9 @@
 Failure pattern: an operator revokes a leaked key while some instances are cut
 off from the store, frozen, or follow a relay that is. Each of these still has a
 configuration in which the key is valid. So a key is accepted only while the
-configuration is proven to have been the newest a short time ago. A caller is
-told that its key is unknown only while no newer configuration can contain the
-key. In between, the key's state is `KeyState.UNPROVEN`.
+configuration is proven to have been the newest a short time ago. A key is
+reported as unknown only while no newer configuration can contain it. In
+between, its state is `KeyState.UNPROVEN`.
 """
 
 import enum
--- a/guavagate/decisions/_reasons.py
+++ b/guavagate/decisions/_reasons.py
@@ -63,9 +63,9 @@
     # One plain loop, as a function call for each sampler took a fifth of the
     # time of a placement.
     turned_down: dict[str, str] = {}
-    demands = has_constraints(work)
+    constrained = has_constraints(work)
     for state in samplers:
-        if demands or state.leaving:
+        if constrained or state.leaving:
             reason = state.find_block_reason(work)
             if reason:
                 turned_down[state.id] = reason
--- a/guavagate/decisions/_sampler.py
+++ b/guavagate/decisions/_sampler.py
@@ -30,7 +30,7 @@
     Parameters
     ----------
     at
-        When the engine made it, in seconds of the pool's clock; estimated.
+        When the engine made it, in seconds of the clock; a best estimate.
     """
 
     at: float
--- a/guavagate/decisions/_work.py
+++ b/guavagate/decisions/_work.py
@@ -63,7 +63,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why work was refused; in all cases it has not run."""
+    """Why work was refused; only an attempt that failed may have run."""
 
     TOO_LATE = 'deadline_unreachable'
     EXPIRED = 'deadline_passed_in_queue'
--- a/guavagate/decisions/order.py
+++ b/guavagate/decisions/order.py
@@ -56,8 +56,8 @@
     def order(work: Work, arrival: float, expected: float) -> float:
         if work.kind is Kind.ROLLOUT:
             return order_rollout(work)
-        # Other work must not overtake admitted work until that is late: it is
-        # due by its latest start, assuming twice the expected length.
+        # Admitted work must not be overtaken until it is late, so its key is at
+        # most its latest start, assuming twice the expected length.
         return min(
             arrival + target * expected,
             work.deadline - LENGTH_ERROR * expected,
--- a/guavagate/decisions/prefixes.py
+++ b/guavagate/decisions/prefixes.py
@@ -44,7 +44,7 @@
         return 0
 
     def store(self, keys: Iterable[int], now: float) -> None:
-        """Add prefixes that are cached from now on."""
+        """Mark prefixes as expected to be cached from now on."""
         for key in keys:
             self._last_used[key] = now
             self._last_used.move_to_end(key)
