--- a/tests/jobs/fleet.py
+++ b/tests/jobs/fleet.py
@@ -192,7 +192,7 @@
     return next(name for name in fleet.nodes if name != fleet.owner())
 
 
-def check_whole(fleet: JobFleet, at: str, items: int) -> None:
+def check_complete(fleet: JobFleet, at: str, items: int) -> None:
     """Check that each item is listed once, with its whole text."""
     known, results = fleet.read('job-1', at)
     assert known is LookupStatus.FOUND
--- a/tests/jobs/test_clocks.py
+++ b/tests/jobs/test_clocks.py
@@ -5,7 +5,7 @@
 from tests.jobs.fleet import JobFleet, find_other, make_job
 
 
-def test_a_job_from_a_machine_whose_clock_was_set_back_is_new() -> None:
+def test_entry_clock_set_back_does_not_age_a_new_job() -> None:
     """The entry's clock shows three seconds less than the owner's.
 
     By these clocks the step has used up half of its time when it comes; it
--- a/tests/jobs/test_job_store.py
+++ b/tests/jobs/test_job_store.py
@@ -25,7 +25,7 @@
         return task.get(block=False)
 
 
-def test_a_large_job_comes_back_whole() -> None:
+def test_large_job_is_read_back_completely() -> None:
     """Its items are over what one object may hold."""
     held = _PausedJobStore()
     job = make_job(groups=40, size=1)
@@ -47,7 +47,7 @@
     assert held.call(held.job_store.read, job.id).items == items  # type: ignore[attr-defined]
 
 
-def test_an_id_names_one_content() -> None:
+def test_id_with_different_content_is_refused() -> None:
     """Another job under a taken id is refused, and nothing of it runs."""
     held = _PausedJobStore()
     held.call(held.job_store.accept, make_job(), 5)
@@ -55,7 +55,7 @@
         held.call(held.job_store.accept, make_job(fingerprint='other'), 5)
 
 
-def test_an_acceptance_in_doubt_is_not_called_refused() -> None:
+def test_uncertain_acceptance_is_not_reported_as_refused() -> None:
     """The store answers nothing; the write may happen seconds later.
 
     "Not run" would be a lie then, so the caller is told that it is not
@@ -67,7 +67,7 @@
         held.call(held.job_store.accept, make_job(), 1)
 
 
-def test_a_lost_answer_is_still_an_acceptance() -> None:
+def test_lost_answer_still_accepts_the_job() -> None:
     """The first answer is lost; the repetition finds the job there."""
     held = _PausedJobStore()
     held.state.lose_next = 1
--- a/tests/jobs/test_owner.py
+++ b/tests/jobs/test_owner.py
@@ -5,7 +5,7 @@
 
 from guavagate.jobs import ItemId, JobId, LookupStatus
 from guavagate.jobs._models import job_path
-from tests.jobs.fleet import JobFleet, check_whole, find_other, make_job
+from tests.jobs.fleet import JobFleet, check_complete, find_other, make_job
 from tests.jobs.samplers import make_upstream
 
 _LATER = 20
@@ -17,15 +17,17 @@
     return JobFleet()
 
 
-def test_any_instance_reads_what_the_owner_listed(fleet: JobFleet) -> None:
+def test_any_instance_reads_results_committed_by_the_owner(
+    fleet: JobFleet,
+) -> None:
     """A job accepted at one instance is run by the owner, read anywhere."""
     assert fleet.submit(make_job(), find_other(fleet))
     fleet.clock.advance(_LATER)
     for name in fleet.nodes:
-        check_whole(fleet, name, 6)
+        check_complete(fleet, name, 6)
 
 
-def test_a_repeated_submission_is_the_same_job(fleet: JobFleet) -> None:
+def test_repeated_submission_is_accepted_once(fleet: JobFleet) -> None:
     """The trainer got no answer and sends its job to another instance.
 
     The id is taken by the same content, so it is accepted once and its items
@@ -34,10 +36,10 @@
     fleet.submit(make_job(), 'a')
     assert not fleet.submit(make_job(), 'b')
     fleet.clock.advance(_LATER)
-    check_whole(fleet, 'c', 6)
+    check_complete(fleet, 'c', 6)
 
 
-def test_a_killed_owner_loses_no_job_and_doubles_no_result(
+def test_killed_owner_loses_no_job_and_duplicates_no_result(
     fleet: JobFleet,
 ) -> None:
     """The owner is killed with some results listed.
@@ -59,10 +61,10 @@
     fleet.clock.advance(_LATER)
     _, after = fleet.read('job-1', survivor)
     assert after[: len(before)] == before
-    check_whole(fleet, survivor, 16)
+    check_complete(fleet, survivor, 16)
 
 
-def test_a_paused_owner_wakes_and_lists_nothing_twice(
+def test_resumed_owner_commits_nothing_twice(
     fleet: JobFleet,
 ) -> None:
     """The owner is paused, another finishes its job, then it wakes.
@@ -78,10 +80,10 @@
     fleet.world.resume(first)
     fleet.clock.advance(_LATER)
     for name in fleet.nodes:
-        check_whole(fleet, name, 6)
+        check_complete(fleet, name, 6)
 
 
-def test_two_owners_at_once_list_each_item_once(fleet: JobFleet) -> None:
+def test_two_concurrent_owners_commit_each_item_once(fleet: JobFleet) -> None:
     """Two instances believe that they own the job and run all its items."""
     fleet.submit(make_job(groups=6), 'a')
     for node in fleet.nodes.values():
@@ -89,10 +91,10 @@
         node.owner.start()
     fleet.clock.advance(_LATER)
     for name in fleet.nodes:
-        check_whole(fleet, name, 12)
+        check_complete(fleet, name, 12)
 
 
-def test_nothing_is_shown_that_is_not_durable(fleet: JobFleet) -> None:
+def test_readers_see_only_durable_results(fleet: JobFleet) -> None:
     """The store is down when results are there.
 
     A reader that saw one of them could lose it with the owner. Nothing is
@@ -106,10 +108,10 @@
     assert not shown
     fleet.world.store.outage = False
     fleet.clock.advance(_LATER)
-    check_whole(fleet, fleet.owner(), 6)
+    check_complete(fleet, fleet.owner(), 6)
 
 
-def test_lost_answers_of_the_store_double_nothing(fleet: JobFleet) -> None:
+def test_lost_store_answers_duplicate_no_results(fleet: JobFleet) -> None:
     """Half of the writes take effect though their answer is lost."""
     fleet.world.store.lose_answers = 0.5
     assert fleet.submit(make_job(groups=6), 'a')
@@ -117,10 +119,10 @@
     fleet.world.store.lose_answers = 0
     fleet.clock.advance(_LATER)
     for name in fleet.nodes:
-        check_whole(fleet, name, 12)
+        check_complete(fleet, name, 12)
 
 
-def test_an_ended_job_runs_no_more(fleet: JobFleet) -> None:
+def test_ended_job_stops_running(fleet: JobFleet) -> None:
     """The trainer ends a job at an instance that does not own it.
 
     The end goes through the store, so the owner hears of it whatever becomes
@@ -141,7 +143,7 @@
     assert sum(samplers.made.values()) == made
 
 
-def test_a_missing_job_is_told_from_one_not_known_now(
+def test_missing_job_is_distinguished_from_an_uncertain_one(
     fleet: JobFleet,
 ) -> None:
     """That there is no such job is said by the store, not by a lagging view."""
@@ -163,10 +165,10 @@
     owner.samplers.pace['x'] = 0.2
     fleet.submit(make_job(), 'a')
     fleet.clock.advance(6)
-    check_whole(fleet, 'a', 6)
+    check_complete(fleet, 'a', 6)
 
 
-def test_closed_jobs_go_when_their_time_to_be_read_is_over(
+def test_closed_jobs_are_removed_after_their_retention(
     fleet: JobFleet,
 ) -> None:
     """Kept for ever, they would fill the store and every owner's memory.
@@ -175,13 +177,13 @@
     """
     fleet.submit(make_job(), 'a')
     fleet.clock.advance(100)
-    check_whole(fleet, 'a', 6)
+    check_complete(fleet, 'a', 6)
     fleet.clock.advance(100)
     assert not fleet.world.store.objects
     assert fleet.read('job-1', fleet.owner())[0] is LookupStatus.MISSING
 
 
-def test_a_sampler_that_serves_an_older_version_than_it_told(
+def test_events_of_an_older_version_than_registered_are_dropped(
     fleet: JobFleet,
 ) -> None:
     """It registered version 2 and makes events under version 1.
@@ -197,12 +199,12 @@
     fleet.clock.advance(1)
     owner.samplers.versions['x'] = 2  # type: ignore[assignment]
     fleet.clock.advance(_LATER)
-    check_whole(fleet, 'a', 6)
+    check_complete(fleet, 'a', 6)
     _, results = fleet.read('job-1', 'a')
     assert {tuple(each.versions) for each in results} == {(2,)}
 
 
-def test_runs_of_a_samplers_former_start_go_on_elsewhere(
+def test_runs_of_a_restarted_sampler_resume_elsewhere(
     fleet: JobFleet,
 ) -> None:
     """A sampler crashes behind a cut and starts again under its id.
@@ -228,10 +230,10 @@
     assert min(after for _, _, after in again) > 0
     owner.samplers.silent.clear()
     fleet.clock.advance(_LATER)
-    check_whole(fleet, 'a', 6)
+    check_complete(fleet, 'a', 6)
 
 
-def test_a_woken_owner_shows_what_others_have_listed(
+def test_resumed_owner_serves_results_committed_by_others(
     fleet: JobFleet,
 ) -> None:
     """The owner is frozen with some results listed; then it wakes.
@@ -268,7 +270,7 @@
             assert rest == shown[after : after + len(rest)]
 
 
-def test_a_clock_set_back_hides_no_results(fleet: JobFleet) -> None:
+def test_owner_clock_set_back_hides_no_results(fleet: JobFleet) -> None:
     """The owner's time of day jumps back by seconds, and its watch breaks.
 
     A job that others have worked on meanwhile seems to be submitted just now,
@@ -294,7 +296,7 @@
     assert len(page.results) == 6
 
 
-def test_readers_in_doubt_are_not_told_that_there_is_nothing(
+def test_uncertain_owner_does_not_report_missing_results(
     fleet: JobFleet,
 ) -> None:
     """An owner is in doubt, the store is slow, and two readers ask at once.
@@ -326,7 +328,7 @@
     assert len(page.results) == 1
 
 
-def test_a_reader_in_doubt_is_served_while_the_store_is_away(
+def test_reader_is_served_when_an_outage_delays_reconciliation(
     fleet: JobFleet,
 ) -> None:
     """The members change during an outage, and readers wait for results.
@@ -351,7 +353,7 @@
     assert page.results
 
 
-def test_a_new_owner_begins_with_the_oldest_step(fleet: JobFleet) -> None:
+def test_new_owner_starts_with_the_oldest_step(fleet: JobFleet) -> None:
     """The owner is killed with one step nearly whole and a new one just sent.
 
     The next owner reads the new step first. Were it to begin at once, the new
--- a/tests/jobs/test_ownership.py
+++ b/tests/jobs/test_ownership.py
@@ -24,7 +24,7 @@
         return Ownership(members, name, self.boots.get)
 
 
-def test_all_restart_and_the_former_owner_goes_on() -> None:
+def test_former_owner_continues_after_a_restart_of_all() -> None:
     """It held the lease for orders when all processes were killed.
 
     Any other would first wait until its orders are a lease time old, while
@@ -40,7 +40,7 @@
         assert ownership.find_owner(_SERVICE) == former
 
 
-def test_one_restarts_and_the_owner_stays_what_it_is() -> None:
+def test_restart_of_one_instance_does_not_change_the_owner() -> None:
     """What it recalls of the time before must not differ from the others."""
     fleet = _Fleet()
     first = fleet.look(_NAMES[0]).find_owner(_SERVICE)
@@ -52,7 +52,7 @@
         assert ownership.find_owner(_SERVICE) == first
 
 
-def test_the_former_owner_is_gone_for_good() -> None:
+def test_former_owner_that_is_gone_is_ignored() -> None:
     """All were killed, and its machine does not come back."""
     fleet = _Fleet()
     ownership = fleet.look(_NAMES[0])
--- a/tests/jobs/test_result_log.py
+++ b/tests/jobs/test_result_log.py
@@ -36,7 +36,7 @@
         return list(task.get(block=False))
 
 
-def test_the_second_writer_adopts_what_the_first_listed() -> None:
+def test_second_writer_adopts_results_of_the_first() -> None:
     """Two owners list the same item; the position goes to the first."""
     logs = _Logs()
     logs.append(0, _make_result('i', 'first'))
@@ -46,7 +46,7 @@
     assert texts == ['first', 't']
 
 
-def test_a_lost_answer_is_settled_under_the_same_number() -> None:
+def test_lost_answer_is_reconciled_under_the_same_number() -> None:
     """The chunk was written, its answer lost; it is not listed again."""
     logs = _Logs()
     logs.state.lose_next = 1
@@ -55,7 +55,7 @@
     assert [each.id for each in logs.logs[0].results] == ['i', 'j']
 
 
-def test_a_chunk_in_doubt_is_tried_again_unchanged() -> None:
+def test_uncertain_chunk_is_retried_unchanged() -> None:
     """The store gives no answer for long, and the write may still happen.
 
     What comes next must not go under the same number with other content: the
@@ -74,7 +74,7 @@
     assert len(logs.state.objects) == 2
 
 
-def test_a_chunk_that_a_look_up_shows_is_not_listed_again() -> None:
+def test_uncertain_chunk_found_by_a_load_is_not_committed_again() -> None:
     """An owner lists a result, is cut off from the store, and looks up.
 
     Its write has happened and all answers were lost, so the chunk is in doubt.
@@ -97,7 +97,7 @@
     assert len(logs.state.objects) == 2
 
 
-def test_an_item_that_stands_twice_in_the_store_is_read_once() -> None:
+def test_item_committed_twice_is_read_once() -> None:
     """Two chunks name one item; every reader keeps the first place.
 
     Positions are counted from the chunks by each reader for itself, so all of
--- a/tests/jobs/test_silence.py
+++ b/tests/jobs/test_silence.py
@@ -6,7 +6,7 @@
 from guavagate.models import UpstreamId
 from guavagate.ports.sampler import SamplerReport
 from guavagate.ports.upstreams import Upstream
-from tests.jobs.fleet import JobFleet, Node, check_whole, make_job
+from tests.jobs.fleet import JobFleet, Node, check_complete, make_job
 
 LENGTH = 60
 
@@ -56,7 +56,7 @@
     fleet.clock.advance(1)
     assert _count_on(node, 'x') == 0
     fleet.clock.advance(4)
-    check_whole(fleet, 'a', 8)
+    check_complete(fleet, 'a', 8)
 
 
 def test_a_dark_sampler_gets_nothing_until_it_answers(fleet: JobFleet) -> None:
--- a/tests/jobs/test_snapshots.py
+++ b/tests/jobs/test_snapshots.py
@@ -13,7 +13,7 @@
 from guavagate.jobs._work import JobWork, Text
 from guavagate.measure.fakes import MemoryStore
 from guavagate.models import WeightVersion
-from tests.jobs.fleet import JobFleet, Node, check_whole, make_job
+from tests.jobs.fleet import JobFleet, Node, check_complete, make_job
 from tests.jobs.samplers import SERVICE
 
 
@@ -42,7 +42,7 @@
     return [progress.text.last for progress in work.items.values()]
 
 
-def test_texts_go_on_after_a_restart_of_all(tmp_path: pathlib.Path) -> None:
+def test_texts_resume_after_a_restart_of_all(tmp_path: pathlib.Path) -> None:
     """Every process is killed with long texts in the making.
 
     No other instance is left that had a copy. The owner is asked again, as it
@@ -63,10 +63,10 @@
     assert len(resumed) == 6
     assert min(resumed) > 15
     fleet.clock.advance(5)
-    check_whole(fleet, 'a', 6)
+    check_complete(fleet, 'a', 6)
 
 
-def test_what_is_listed_is_not_kept(tmp_path: pathlib.Path) -> None:
+def test_committed_items_are_not_saved(tmp_path: pathlib.Path) -> None:
     """A result is durable elsewhere; its text is of no more use here."""
     work = _make_work()
     _grow(work, 5)
@@ -76,7 +76,9 @@
     assert _restart(tmp_path, _make_work()) == [0, 5, 5, 5, 5, 5]
 
 
-def test_a_text_of_too_old_a_version_is_left(tmp_path: pathlib.Path) -> None:
+def test_text_of_too_old_a_version_is_not_restored(
+    tmp_path: pathlib.Path,
+) -> None:
     """A file of long ago; the step accepts newer weights only."""
     work = _make_work()
     _grow(work, 5)
@@ -86,7 +88,7 @@
 
 
 @pytest.mark.parametrize('keep', [0, 1, 7, 40])
-def test_a_torn_file_is_left_out(tmp_path: pathlib.Path, keep: int) -> None:
+def test_torn_file_is_ignored(tmp_path: pathlib.Path, keep: int) -> None:
     """Power was lost in a write, on a disk that tears it all the same."""
     work = _make_work()
     _grow(work, 5)
@@ -96,7 +98,7 @@
     assert set(_restart(tmp_path, _make_work())) == {0}
 
 
-def test_a_wiped_disk_costs_texts_and_nothing_else(
+def test_missing_directory_loses_only_texts(
     tmp_path: pathlib.Path,
 ) -> None:
     """The folder itself is gone; saving and loading go on."""
@@ -111,7 +113,7 @@
     assert set(_restart(gone, _make_work())) == {5}
 
 
-def test_a_disk_that_fails_is_told_of_once(
+def test_failing_disk_is_logged_once(
     tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     """It is full for minutes; one line tells, not two a second."""
@@ -128,7 +130,7 @@
     assert len(told) == 1
 
 
-def test_a_stalled_disk_holds_up_nothing(tmp_path: pathlib.Path) -> None:
+def test_stalled_disk_blocks_nothing(tmp_path: pathlib.Path) -> None:
     """A write hangs for seconds; later ones are left out, not queued."""
     hung: list[Callable[[], None]] = []
     snapshots = TextSnapshots(str(tmp_path), hung.append)
@@ -145,7 +147,7 @@
     assert set(_restart(tmp_path, _make_work())) == {3}
 
 
-def test_without_a_disk_nothing_is_kept() -> None:
+def test_nothing_is_saved_without_a_data_directory() -> None:
     """Most instances have none."""
     snapshots = TextSnapshots('', _run)
     work = _make_work()
@@ -157,7 +159,7 @@
     assert {each.text.last for each in fresh.items.values()} == {0}
 
 
-def test_a_file_of_another_shape_is_left_out(tmp_path: pathlib.Path) -> None:
+def test_file_of_another_format_is_ignored(tmp_path: pathlib.Path) -> None:
     """Another release has written it."""
     work = _make_work()
     _grow(work, 5)
--- a/tests/jobs/test_teams.py
+++ b/tests/jobs/test_teams.py
@@ -33,7 +33,7 @@
     return {page[0], body[0], known}
 
 
-def test_another_teams_job_is_not_there() -> None:
+def test_job_of_another_team_is_missing() -> None:
     """Also for an id that exists; a key of the team itself finds all."""
     fleet = JobFleet()
     fleet.submit(make_job(team=_BLUE), 'a')
@@ -43,7 +43,7 @@
         assert _look(fleet, name, _BLUE) == {LookupStatus.FOUND}
 
 
-def test_another_teams_job_is_not_there_when_the_owner_is_lost() -> None:
+def test_job_of_another_team_is_missing_without_the_owner() -> None:
     """Whoever is asked then reads the store itself."""
     fleet = JobFleet()
     fleet.submit(make_job(team=_BLUE), 'a')
@@ -54,7 +54,7 @@
     assert _look(fleet, other, _BLUE) == {LookupStatus.FOUND}
 
 
-def test_an_id_that_another_team_took_is_taken() -> None:
+def test_id_used_by_another_team_is_refused() -> None:
     """Neither may the other's job be accepted as its own, word for word."""
     fleet = JobFleet()
     fleet.submit(make_job(team=_BLUE), 'a')
@@ -63,7 +63,7 @@
         fleet.submit(make_job(team=_RED), 'b')
 
 
-def test_a_record_of_a_release_without_teams_is_anybodys() -> None:
+def test_record_of_a_release_without_teams_is_open_to_all() -> None:
     """It was accepted, and must be read and ended all the same."""
     record = msgspec.json.decode(msgspec.json.encode(make_job()))
     record.pop('team')
@@ -79,7 +79,7 @@
     assert msgspec.json.decode(record, type=Job).team == _BLUE
 
 
-def test_an_items_run_names_the_jobs_team() -> None:
+def test_run_names_the_team_of_its_job() -> None:
     """Samplers are told whose request it is, at each run."""
     fleet = JobFleet()
     fleet.submit(make_job(team=_BLUE), 'a')
--- a/tests/jobs/test_texts.py
+++ b/tests/jobs/test_texts.py
@@ -9,7 +9,7 @@
 from guavagate.jobs._work import JobWork, Text
 from guavagate.models import InstanceId, WeightVersion
 from guavagate.ports.sampler import TextEvent
-from tests.jobs.fleet import JobFleet, check_whole, find_other, make_job
+from tests.jobs.fleet import JobFleet, check_complete, find_other, make_job
 from tests.jobs.samplers import SERVICE
 
 _LATER = 20
@@ -21,7 +21,7 @@
     return JobFleet()
 
 
-def test_an_item_goes_on_after_its_last_whole_event(fleet: JobFleet) -> None:
+def test_item_resumes_after_its_last_complete_event(fleet: JobFleet) -> None:
     """A sampler dies in the middle of its items; no event is made twice."""
     owner = fleet.nodes[fleet.owner()]
     owner.samplers.length = 40
@@ -30,12 +30,12 @@
     fleet.clock.advance(1)
     owner.samplers.down.add('x')
     fleet.clock.advance(_LATER)
-    check_whole(fleet, 'a', 6)
+    check_complete(fleet, 'a', 6)
     assert any(after for _, _, after in owner.samplers.started)
     assert max(owner.samplers.made.values()) <= 41
 
 
-def test_an_ended_jobs_texts_are_gone_on_with(fleet: JobFleet) -> None:
+def test_resubmitted_items_resume_their_partial_texts(fleet: JobFleet) -> None:
     """A group that was not whole comes again in the next job.
 
     Its items go on after the last event of the earlier job. Started anew,
@@ -50,11 +50,11 @@
     fleet.clock.advance(0.2)
     fleet.submit(make_job(), 'a')
     fleet.clock.advance(_LATER)
-    check_whole(fleet, 'a', 6)
+    check_complete(fleet, 'a', 6)
     assert max(owner.samplers.made.values()) <= 41
 
 
-def test_a_result_from_an_earlier_job_counts_no_time() -> None:
+def test_result_of_an_earlier_job_adds_no_item_time() -> None:
     """Four of a group's six items were done when their job was ended.
 
     In the next job they are done without having run. Counted from the start of
@@ -68,14 +68,14 @@
     fleet.clock.advance(0.2)
     fleet.submit(make_job(groups=1, size=6), 'a')
     fleet.clock.advance(_LATER)
-    check_whole(fleet, 'a', 6)
+    check_complete(fleet, 'a', 6)
     shown = node.metrics.render('')[0].decode()
     taken = re.findall(r'item_seconds_sum\S* (\S+)', shown)
     assert taken
     assert sum(map(float, taken)) < _LATER
 
 
-def test_a_text_under_too_old_a_version_is_made_anew(
+def test_text_of_too_old_a_version_is_restarted(
     fleet: JobFleet,
 ) -> None:
     """The next job asks for newer weights than those of the kept texts."""
@@ -91,12 +91,12 @@
         owner.states.record_version(sampler, 'm0', 2)  # type: ignore[arg-type]
     fleet.submit(make_job(min_version=2), 'a')
     fleet.clock.advance(_LATER)
-    check_whole(fleet, 'a', 6)
+    check_complete(fleet, 'a', 6)
     _, results = fleet.read('job-1', 'a')
     assert {tuple(each.versions) for each in results} == {(2,)}
 
 
-def test_the_next_owner_goes_on_with_texts_in_the_making(
+def test_next_owner_resumes_partial_texts(
     fleet: JobFleet,
 ) -> None:
     """The owner is killed when long texts are nearly made; none is listed.
@@ -113,12 +113,12 @@
     fleet.world.kill(first)
     fleet.nodes.pop(first)
     fleet.clock.advance(_LATER)
-    check_whole(fleet, find_other(fleet), 4)
+    check_complete(fleet, find_other(fleet), 4)
     made = fleet.nodes[fleet.owner()].samplers.made
     assert max(made.values()) <= 30
 
 
-def test_a_text_made_anew_is_not_joined_to_its_copy() -> None:
+def test_restarted_text_is_not_joined_to_its_replica() -> None:
     """The owner drops a text that is too old, and makes it anew.
 
     Told what it has grown by, a peer would put new events behind old ones, and
@@ -193,7 +193,7 @@
     assert text.versions == [1]
 
 
-def test_a_copy_that_comes_late_changes_nothing(fleet: JobFleet) -> None:
+def test_late_replica_message_is_ignored(fleet: JobFleet) -> None:
     """A copy is delayed on the link, and the text is made anew meanwhile.
 
     It tells what the old text had grown by, and comes after the new one.
@@ -219,7 +219,7 @@
     assert text.events == ['new/1', 'new/2', 'new/3']
 
 
-def test_a_copy_is_bounded_and_the_longest_texts_come_first(
+def test_replica_message_is_bounded_and_has_the_longest_texts_first(
     fleet: JobFleet,
 ) -> None:
     """More was made than one copy may hold; the rest comes with the next."""
@@ -240,7 +240,7 @@
         assert list(copies[job.id]) == copied
 
 
-def test_a_copy_under_too_old_a_version_is_left(fleet: JobFleet) -> None:
+def test_replica_of_too_old_a_version_is_not_restored(fleet: JobFleet) -> None:
     """A peer kept a text of version 1; the job wants version 2 by now."""
     node = fleet.nodes['a']
     job = make_job(groups=1, size=1, min_version=2)
@@ -256,7 +256,7 @@
     assert not other.items[ItemId('0-0')].text.events
 
 
-def test_a_stream_that_skips_an_event_is_gone_on_with_at_the_gap(
+def test_stream_that_skips_an_event_resumes_at_the_gap(
     fleet: JobFleet,
 ) -> None:
     """A sampler's third event never comes; its fourth does.
@@ -267,4 +267,4 @@
     owner.samplers.skipped = {(name, 3) for name in 'xyz'}
     fleet.submit(make_job(), 'a')
     fleet.clock.advance(_LATER)
-    check_whole(fleet, 'a', 6)
+    check_complete(fleet, 'a', 6)
