--- a/tests/jobs/fleet.py
+++ b/tests/jobs/fleet.py
@@ -1,4 +1,4 @@
-"""Instances that own jobs, over fakes of everything around them."""
+"""Instances that own jobs, with fakes of all their dependencies."""
 
 from guavagate.jobs import (
     GroupId,
@@ -33,7 +33,7 @@
     rated: bool = False,
     **fields: object,
 ) -> Job:
-    """Return a job whose items are named by their place."""
+    """Return a job whose items are named by group and number."""
     items = [
         JobItem(
             id=ItemId(f'{group}-{number}'),
@@ -65,7 +65,7 @@
 
 
 class Node:
-    """One instance with its owner and its reader."""
+    """One instance with its job owner and job reader."""
 
     def __init__(self, fleet: 'JobFleet', name: str) -> None:
         world = fleet.world
@@ -120,7 +120,7 @@
 
 
 class JobFleet:
-    """Several instances; each works when the membership makes it owner."""
+    """Several instances; each runs jobs while the membership makes it owner."""
 
     def __init__(
         self,
@@ -141,10 +141,10 @@
         for name in names:
             self.nodes[name] = Node(self, name)
         for node in self.nodes.values():
-            self.follow(node)
+            self.follow_membership(node)
 
-    def follow(self, node: Node) -> None:
-        """Start and stop a node's owner as the membership says."""
+    def follow_membership(self, node: Node) -> None:
+        """Start and stop a node's owner when the membership changes."""
 
         def refresh() -> None:
             if node.ownership.is_owner(SERVICE):
@@ -164,7 +164,7 @@
         return bool(task.get(block=False))
 
     def stamp(self, job: Job) -> Job:
-        """Return a job as submitted now."""
+        """Return a copy of a job that is submitted now."""
         import msgspec
 
         return msgspec.structs.replace(job, submitted_at=self.clock.wall())
@@ -177,7 +177,7 @@
     def read(
         self, job: str, at: str, after: int = 0
     ) -> tuple[object, list[Result]]:
-        """Return what an instance says of a job's results."""
+        """Return a job's look-up status and results as read at an instance."""
         node = self.nodes[at]
         task = node.clock.spawn(
             node.reader.read, [SERVICE], JobId(job), after, 0
@@ -193,7 +193,7 @@
 
 
 def check_complete(fleet: JobFleet, at: str, items: int) -> None:
-    """Check that each item is listed once, with its whole text."""
+    """Check that each item is committed once, with its complete text."""
     known, results = fleet.read('job-1', at)
     assert known is LookupStatus.FOUND
     assert len({each.id for each in results}) == len(results) == items
--- a/tests/jobs/test_clocks.py
+++ b/tests/jobs/test_clocks.py
@@ -1,4 +1,4 @@
-"""Jobs that come from machines whose clocks are off."""
+"""Jobs accepted at instances whose clocks are wrong."""
 
 import msgspec
 
@@ -6,10 +6,10 @@
 
 
 def test_entry_clock_set_back_does_not_age_a_new_job() -> None:
-    """The entry's clock shows three seconds less than the owner's.
+    """The clock of the entry is three seconds behind the clock of the owner.
 
-    By these clocks the step has used up half of its time when it comes; it
-    would be put behind steps that were submitted before it.
+    By these clocks, the step has used half of its time on arrival and would be
+    scheduled after steps that were submitted before it.
     """
     fleet = JobFleet()
     owner = fleet.nodes[fleet.owner()]
--- a/tests/jobs/test_job_store.py
+++ b/tests/jobs/test_job_store.py
@@ -1,4 +1,4 @@
-"""Accepted jobs, as they lie in the store."""
+"""Accepted jobs in the store."""
 
 import pytest
 
@@ -19,15 +19,15 @@
         self.job_store = JobStore(store, self.clock, 'test')
 
     def call(self, run: object, *args: object) -> object:
-        """Run a call to its end in virtual time."""
+        """Run a call to completion in virtual time."""
         task = self.clock.spawn(run, *args)  # type: ignore[arg-type]
         self.clock.run_until(task.ready, 30)
         return task.get(block=False)
 
 
 def test_large_job_is_read_back_completely() -> None:
-    """Its items are over what one object may hold."""
-    held = _PausedJobStore()
+    """The items of the job exceed the size limit of one object."""
+    setup = _PausedJobStore()
     job = make_job(groups=40, size=1)
     items = [
         JobItem(
@@ -40,35 +40,34 @@
         for each in job.items
     ]
     job = make_job(items=items)
-    assert held.call(held.job_store.accept, job, 5)
+    assert setup.call(setup.job_store.accept, job, 5)
     assert all(
-        len(each.value) < 1_000_000 for each in held.state.objects.values()
+        len(each.value) < 1_000_000 for each in setup.state.objects.values()
     )
-    assert held.call(held.job_store.read, job.id).items == items  # type: ignore[attr-defined]
+    assert setup.call(setup.job_store.read, job.id).items == items  # type: ignore[attr-defined]
 
 
 def test_id_with_different_content_is_refused() -> None:
-    """Another job under a taken id is refused, and nothing of it runs."""
-    held = _PausedJobStore()
-    held.call(held.job_store.accept, make_job(), 5)
+    """A different job under a used id is refused, and none of it runs."""
+    setup = _PausedJobStore()
+    setup.call(setup.job_store.accept, make_job(), 5)
     with pytest.raises(JobConflictError):
-        held.call(held.job_store.accept, make_job(fingerprint='other'), 5)
+        setup.call(setup.job_store.accept, make_job(fingerprint='other'), 5)
 
 
 def test_uncertain_acceptance_is_not_reported_as_refused() -> None:
-    """The store answers nothing; the write may happen seconds later.
+    """The store does not answer; the write may take effect seconds later.
 
-    "Not run" would be a lie then, so the caller is told that it is not
-    known.
+    Reporting "not run" would be wrong, so the acceptance is uncertain.
     """
-    held = _PausedJobStore()
-    held.state.outage = True
+    setup = _PausedJobStore()
+    setup.state.outage = True
     with pytest.raises(MaybeWrittenError):
-        held.call(held.job_store.accept, make_job(), 1)
+        setup.call(setup.job_store.accept, make_job(), 1)
 
 
 def test_lost_answer_still_accepts_the_job() -> None:
-    """The first answer is lost; the repetition finds the job there."""
-    held = _PausedJobStore()
-    held.state.lose_next = 1
-    assert held.call(held.job_store.accept, make_job(), 5)
+    """The first answer is lost; the retry finds the job in the store."""
+    setup = _PausedJobStore()
+    setup.state.lose_next = 1
+    assert setup.call(setup.job_store.accept, make_job(), 5)
--- a/tests/jobs/test_owner.py
+++ b/tests/jobs/test_owner.py
@@ -1,4 +1,4 @@
-"""Jobs while their owners die, pause and disagree, and the store fails."""
+"""Jobs whose owners fail, freeze or disagree, and store outages."""
 
 import msgspec
 import pytest
@@ -8,7 +8,7 @@
 from tests.jobs.fleet import JobFleet, check_complete, find_other, make_job
 from tests.jobs.samplers import make_upstream
 
-_LATER = 20
+_COMPLETION_SECONDS = 20
 
 
 @pytest.fixture
@@ -20,32 +20,32 @@
 def test_any_instance_reads_results_committed_by_the_owner(
     fleet: JobFleet,
 ) -> None:
-    """A job accepted at one instance is run by the owner, read anywhere."""
+    """A job accepted at one instance is run by the owner and read anywhere."""
     assert fleet.submit(make_job(), find_other(fleet))
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     for name in fleet.nodes:
         check_complete(fleet, name, 6)
 
 
 def test_repeated_submission_is_accepted_once(fleet: JobFleet) -> None:
-    """The trainer got no answer and sends its job to another instance.
+    """The trainer got no answer and submits its job at another instance.
 
-    The id is taken by the same content, so it is accepted once and its items
-    run once.
+    The id exists with the same content, so the job is accepted once and its
+    items run once.
     """
     fleet.submit(make_job(), 'a')
     assert not fleet.submit(make_job(), 'b')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, 'c', 6)
 
 
 def test_killed_owner_loses_no_job_and_duplicates_no_result(
     fleet: JobFleet,
 ) -> None:
-    """The owner is killed with some results listed.
+    """The owner is killed with some results committed.
 
-    The next owner reads the list, runs only what is missing, and positions
-    that were read before stay as they were.
+    The next owner loads them and runs only the missing items. Positions that
+    were read before do not change.
     """
     fleet.length = 40
     for node in fleet.nodes.values():
@@ -58,7 +58,7 @@
     assert 0 < len(before) < 16
     fleet.world.kill(first)
     fleet.nodes.pop(first)
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     _, after = fleet.read('job-1', survivor)
     assert after[: len(before)] == before
     check_complete(fleet, survivor, 16)
@@ -67,38 +67,38 @@
 def test_resumed_owner_commits_nothing_twice(
     fleet: JobFleet,
 ) -> None:
-    """The owner is paused, another finishes its job, then it wakes.
+    """The owner is paused, another finishes its job, then it resumes.
 
-    It still believes in its results and lists them. The number of its next
-    chunk is taken; it takes that chunk over and drops its own.
+    It still considers its results valid and commits them. The number of its
+    next chunk exists, so it adopts that chunk and drops its own results.
     """
     first = fleet.owner()
     fleet.submit(make_job(), find_other(fleet))
     fleet.clock.advance(0.2)
     fleet.world.pause(first)
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     fleet.world.resume(first)
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     for name in fleet.nodes:
         check_complete(fleet, name, 6)
 
 
 def test_two_concurrent_owners_commit_each_item_once(fleet: JobFleet) -> None:
-    """Two instances believe that they own the job and run all its items."""
+    """All instances believe they own the job and run all its items."""
     fleet.submit(make_job(groups=6), 'a')
     for node in fleet.nodes.values():
         node.ownership.is_owner = lambda _: True  # type: ignore[method-assign, assignment]
         node.owner.start()
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     for name in fleet.nodes:
         check_complete(fleet, name, 12)
 
 
 def test_readers_see_only_durable_results(fleet: JobFleet) -> None:
-    """The store is down when results are there.
+    """The store is unavailable when results are ready.
 
-    A reader that saw one of them could lose it with the owner. Nothing is
-    listed until the store takes it.
+    A result shown to a reader could be lost with the owner. Readers see a
+    result only once the store has it.
     """
     fleet.submit(make_job(), find_other(fleet))
     fleet.clock.advance(0.1)
@@ -107,17 +107,17 @@
     _, shown = fleet.read('job-1', fleet.owner())
     assert not shown
     fleet.world.store.outage = False
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, fleet.owner(), 6)
 
 
 def test_lost_store_answers_duplicate_no_results(fleet: JobFleet) -> None:
-    """Half of the writes take effect though their answer is lost."""
+    """Half of the writes take effect although their answer is lost."""
     fleet.world.store.lose_answers = 0.5
     assert fleet.submit(make_job(groups=6), 'a')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     fleet.world.store.lose_answers = 0
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     for name in fleet.nodes:
         check_complete(fleet, name, 12)
 
@@ -125,8 +125,8 @@
 def test_ended_job_stops_running(fleet: JobFleet) -> None:
     """The trainer ends a job at an instance that does not own it.
 
-    The end goes through the store, so the owner hears of it whatever becomes
-    of the instance that took it; items that run are cut, none starts.
+    The end is written to the store, so the owner learns of it whatever happens
+    to that instance. Running items are cancelled and none starts.
     """
     for node in fleet.nodes.values():
         node.samplers.length = 400
@@ -146,7 +146,7 @@
 def test_missing_job_is_distinguished_from_an_uncertain_one(
     fleet: JobFleet,
 ) -> None:
-    """That there is no such job is said by the store, not by a lagging view."""
+    """Only the store can say that a job is missing, not a lagging view."""
     fleet.clock.advance(1)
     assert fleet.read('job-9', 'a')[0] is LookupStatus.MISSING
     fleet.world.store.outage = True
@@ -154,10 +154,10 @@
 
 
 def test_an_item_moves_from_a_slow_sampler(fleet: JobFleet) -> None:
-    """One sampler turns four times as slow with items on it.
+    """One sampler becomes four times slower while items run on it.
 
-    They go on at a faster one that idles; the step is not as slow as the
-    slowest sampler.
+    They resume at a faster idle one, so the slowest sampler does not determine
+    the time of the step.
     """
     owner = fleet.nodes[fleet.owner()]
     owner.samplers.length = 60
@@ -171,9 +171,9 @@
 def test_closed_jobs_are_removed_after_their_retention(
     fleet: JobFleet,
 ) -> None:
-    """Kept for ever, they would fill the store and every owner's memory.
+    """Without removal, they would fill the store and every owner's memory.
 
-    Within the time that was promised all of it stays.
+    Within the retention time, the results stay readable.
     """
     fleet.submit(make_job(), 'a')
     fleet.clock.advance(100)
@@ -186,10 +186,10 @@
 def test_events_of_an_older_version_than_registered_are_dropped(
     fleet: JobFleet,
 ) -> None:
-    """It registered version 2 and makes events under version 1.
+    """A sampler registered version 2 but sends events of version 1.
 
-    The step accepts 2 and newer: what was made under 1 is dropped, and listed
-    texts name 2 alone.
+    The step accepts versions from 2 on. Events of version 1 are dropped, and
+    committed texts name version 2 only.
     """
     owner = fleet.nodes[fleet.owner()]
     for sampler in 'xyz':
@@ -198,7 +198,7 @@
     fleet.submit(make_job(min_version=2), 'a')
     fleet.clock.advance(1)
     owner.samplers.versions['x'] = 2  # type: ignore[assignment]
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, 'a', 6)
     _, results = fleet.read('job-1', 'a')
     assert {tuple(each.versions) for each in results} == {(2,)}
@@ -207,11 +207,11 @@
 def test_runs_of_a_restarted_sampler_resume_elsewhere(
     fleet: JobFleet,
 ) -> None:
-    """A sampler crashes behind a cut and starts again under its id.
+    """A sampler crashes behind a network partition and restarts with its id.
 
-    Its streams are silent for good. The registration of the new start tells;
-    the runs go on at once after their last whole event, not after the time
-    that a silent sampler is allowed.
+    Its streams stall for ever. The registration of the new process reveals the
+    restart, so the runs resume at once after their last complete event and do
+    not wait for the stall limit.
     """
     fleet.length = 40
     owner = fleet.nodes[fleet.owner()]
@@ -229,19 +229,19 @@
     assert again
     assert min(after for _, _, after in again) > 0
     owner.samplers.silent.clear()
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, 'a', 6)
 
 
 def test_resumed_owner_serves_results_committed_by_others(
     fleet: JobFleet,
 ) -> None:
-    """The owner is frozen with some results listed; then it wakes.
+    """The owner is frozen with some results committed, and resumes later.
 
-    Meanwhile the next owner lists the rest, readers see it, and the trainer
-    ends the job. The woken one is asked again, as the most senior. It has
-    nothing left to list, so no chunk that is taken tells it what it missed,
-    and positions that were read before would be gone for good.
+    Meanwhile the next owner commits the rest, readers see it, and the trainer
+    ends the job. The resumed owner receives reads again, as it has run longest.
+    It has nothing left to commit, so it finds no chunk of the other owner, and
+    positions that were read before would be lost for good.
     """
     fleet.length = 40
     for node in fleet.nodes.values():
@@ -253,7 +253,7 @@
     _, before = fleet.read('job-1', reader)
     assert 0 < len(before) < 16
     fleet.world.pause(first)
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     _, shown = fleet.read('job-1', reader)
     assert len(shown) == 16
     node = fleet.nodes[reader]
@@ -264,66 +264,67 @@
     assert fleet.owner() == first
     for name in fleet.nodes:
         for after in (*range(15, -1, -1), 15):
-            known, rest = fleet.read('job-1', name, after)
-            assert known is LookupStatus.FOUND
+            status, rest = fleet.read('job-1', name, after)
+            assert status is LookupStatus.FOUND
             assert rest
             assert rest == shown[after : after + len(rest)]
 
 
 def test_owner_clock_set_back_hides_no_results(fleet: JobFleet) -> None:
-    """The owner's time of day jumps back by seconds, and its watch breaks.
+    """The owner's wall clock jumps back by seconds, and its watch breaks.
 
-    A job that others have worked on meanwhile seems to be submitted just now,
-    so its list is not read when it is taken in. What was listed must be found
-    all the same once it is asked for.
+    A job that others worked on meanwhile seems to be new, so its log is not
+    read when it is loaded. Its committed results must be found nevertheless
+    once they are read.
     """
     fleet.submit(make_job(), 'a')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     other = fleet.nodes[find_other(fleet)]
-    held = other.owner._active_jobs
-    held.owning = True
+    active_jobs = other.owner._active_jobs
+    active_jobs.owning = True
     reading = other.clock.spawn(
         other.job_store.object_store.get, job_path(JobId('job-1'))
     )
     fleet.clock.run_until(reading.ready, 5)
     stored = reading.get(block=False)
-    taking = other.clock.spawn(held.load_stored, stored, True)
-    fleet.clock.run_until(taking.ready, 5)
-    asking = other.clock.spawn(held.read, JobId('job-1'), 0, 0)
-    fleet.clock.run_until(asking.ready, 5)
-    known, page = asking.get(block=False)
-    assert known is LookupStatus.FOUND
+    loading = other.clock.spawn(active_jobs.load_stored, stored, True)
+    fleet.clock.run_until(loading.ready, 5)
+    page_read = other.clock.spawn(active_jobs.read, JobId('job-1'), 0, 0)
+    fleet.clock.run_until(page_read.ready, 5)
+    status, page = page_read.get(block=False)
+    assert status is LookupStatus.FOUND
     assert len(page.results) == 6
 
 
 def test_uncertain_owner_does_not_report_missing_results(
     fleet: JobFleet,
 ) -> None:
-    """An owner is in doubt, the store is slow, and two readers ask at once.
+    """A job is uncertain, the store is slow, and two readers read at once.
 
-    Neither is told that there is nothing while the look-up is on its way: an
-    owner that does not know has the store asked. It knows soon after.
+    Neither gets an empty page while the reconciliation runs: an uncertain owner
+    makes readers read the store. Soon after, the owner has the results.
     """
     fleet.submit(make_job(), 'a')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     owner = fleet.nodes[fleet.owner()]
-    held = owner.owner._active_jobs
-    job = held.get(JobId('job-1'))
+    active_jobs = owner.owner._active_jobs
+    job = active_jobs.get(JobId('job-1'))
     assert job is not None
     job.work.log = owner.job_store.open_log(JobId('job-1'))
-    held.mark_uncertain()
+    active_jobs.mark_uncertain()
     fleet.world.store.slow = 0.35
-    asking = [
-        owner.clock.spawn(held.read, JobId('job-1'), 5, 0) for _ in range(2)
+    reads = [
+        owner.clock.spawn(active_jobs.read, JobId('job-1'), 5, 0)
+        for _ in range(2)
     ]
-    fleet.clock.run_until(lambda: all(each.ready() for each in asking), 5)
-    assert {each.get(block=False)[0] for each in asking} == {
+    fleet.clock.run_until(lambda: all(each.ready() for each in reads), 5)
+    assert {each.get(block=False)[0] for each in reads} == {
         LookupStatus.UNCERTAIN
     }
     fleet.clock.advance(1)
     fleet.world.store.slow = 0
-    known, page = held.read(JobId('job-1'), 5, 0)
-    assert known is LookupStatus.FOUND
+    status, page = active_jobs.read(JobId('job-1'), 5, 0)
+    assert status is LookupStatus.FOUND
     assert page is not None
     assert len(page.results) == 1
 
@@ -331,10 +332,10 @@
 def test_reader_is_served_when_an_outage_delays_reconciliation(
     fleet: JobFleet,
 ) -> None:
-    """The members change during an outage, and readers wait for results.
+    """The members change during a store outage while readers wait for results.
 
-    What comes to be listed as the store is back reaches them at once; they do
-    not wait behind a look-up that the outage holds up.
+    Results that are committed when the store is back reach them at once; they
+    do not wait for a reconciliation that the outage delays.
     """
     fleet.submit(make_job(), find_other(fleet))
     fleet.clock.advance(0.1)
@@ -347,18 +348,18 @@
     fleet.world.store.outage = False
     fleet.clock.advance(1.5)
     assert reading.ready()
-    known, page = reading.get(block=False)
-    assert known is LookupStatus.FOUND
+    status, page = reading.get(block=False)
+    assert status is LookupStatus.FOUND
     assert page is not None
     assert page.results
 
 
 def test_new_owner_starts_with_the_oldest_step(fleet: JobFleet) -> None:
-    """The owner is killed with one step nearly whole and a new one just sent.
+    """The owner is killed with one step nearly complete and one just submitted.
 
-    The next owner reads the new step first. Were it to begin at once, the new
-    step would take every slot, and the last items of the old one, which its
-    trainer waits for, would be made after them.
+    The next owner loads the new step first. If it started at once, the new step
+    would take every slot, and the last items of the old one, for which its
+    trainer waits, would run after them.
     """
     fleet.length = 40
     for node in fleet.nodes.values():
--- a/tests/jobs/test_result_log.py
+++ b/tests/jobs/test_result_log.py
@@ -1,4 +1,4 @@
-"""The numbered chunks of a job's results."""
+"""Numbered chunks of a job's results."""
 
 import pytest
 
@@ -30,14 +30,14 @@
         ]
 
     def append(self, writer: int, *results: Result) -> list[Result]:
-        """List results as one writer."""
+        """Commit results as one writer."""
         task = self.clock.spawn(self.logs[writer].append, list(results))
         self.clock.run_until(task.ready, 10)
         return list(task.get(block=False))
 
 
 def test_second_writer_adopts_results_of_the_first() -> None:
-    """Two owners list the same item; the position goes to the first."""
+    """Two owners commit the same item; the first one gets the position."""
     logs = _Logs()
     logs.append(0, _make_result('i', 'first'))
     added = logs.append(1, _make_result('i', 'second'), _make_result('j'))
@@ -47,7 +47,7 @@
 
 
 def test_lost_answer_is_reconciled_under_the_same_number() -> None:
-    """The chunk was written, its answer lost; it is not listed again."""
+    """The chunk was written but its answer lost; it is not committed again."""
     logs = _Logs()
     logs.state.lose_next = 1
     logs.append(0, _make_result('i'))
@@ -56,10 +56,10 @@
 
 
 def test_uncertain_chunk_is_retried_unchanged() -> None:
-    """The store gives no answer for long, and the write may still happen.
+    """The store does not answer for long, and the write may still take effect.
 
-    What comes next must not go under the same number with other content: the
-    late write would then stand where readers were shown something else.
+    The next commit must not use the same number with other content: the late
+    write would take the number under which readers read other results.
     """
     logs = _Logs()
     logs.state.outage = True
@@ -75,11 +75,11 @@
 
 
 def test_uncertain_chunk_found_by_a_load_is_not_committed_again() -> None:
-    """An owner lists a result, is cut off from the store, and looks up.
+    """An owner commits a result, loses the store, and loads the log again.
 
-    Its write has happened and all answers were lost, so the chunk is in doubt.
-    The look-up shows it under its number. Tried again unchanged it would go
-    under the next one, and the trainer would read the item at two positions.
+    Its write took effect but all answers were lost, so the chunk is uncertain.
+    The load finds it under its number. A retry would commit it under the next
+    number, and the trainer would read the item at two positions.
     """
     logs = _Logs()
     log = logs.logs[0]
@@ -98,10 +98,10 @@
 
 
 def test_item_committed_twice_is_read_once() -> None:
-    """Two chunks name one item; every reader keeps the first place.
+    """Two chunks contain one item; every reader keeps the first position.
 
-    Positions are counted from the chunks by each reader for itself, so all of
-    them leave out the same ones, whoever wrote them and why.
+    Each reader counts positions from the chunks by itself, so all of them must
+    skip the same duplicates, whoever wrote them.
     """
     logs = _Logs()
     logs.append(0, _make_result('i', 'first'))
@@ -116,5 +116,5 @@
     reader = logs.logs[1]
     task = logs.clock.spawn(reader.load)
     logs.clock.run_until(task.ready, 5)
-    shown = [(each.id, each.text) for each in reader.results]
-    assert shown == [('i', 'first'), ('j', 't')]
+    read_back = [(each.id, each.text) for each in reader.results]
+    assert read_back == [('i', 'first'), ('j', 't')]
--- a/tests/jobs/test_snapshots.py
+++ b/tests/jobs/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Texts on an instance's own disk: restarts of all, and disks that fail."""
+"""Snapshots of texts on the local disk: restarts and failing disks."""
 
 import pathlib
 from collections.abc import Callable
@@ -30,12 +30,12 @@
 
 def _grow(work: JobWork, events: int, version: int = 1) -> None:
     for progress in work.items.values():
-        made = [f'{progress.item.id}/{n}' for n in range(1, events + 1)]
-        progress.text = Text(made, [WeightVersion(version)], events)
+        lines = [f'{progress.item.id}/{n}' for n in range(1, events + 1)]
+        progress.text = Text(lines, [WeightVersion(version)], events)
 
 
 def _restart(path: pathlib.Path, work: JobWork) -> list[int]:
-    """Return how much of each text a new start has."""
+    """Return the events of each text that a new process restores."""
     snapshots = TextSnapshots(str(path), _run)
     snapshots.load(SERVICE)
     snapshots.restore(work)
@@ -43,10 +43,10 @@
 
 
 def test_texts_resume_after_a_restart_of_all(tmp_path: pathlib.Path) -> None:
-    """Every process is killed with long texts in the making.
+    """Every process is killed while long texts are generated.
 
-    No other instance is left that had a copy. The owner is asked again, as it
-    held the lease, and each text goes on after its last event that was kept.
+    No other instance is left with a replica. The former owner continues, as it
+    held the lease, and each text resumes after its last saved event.
     """
     fleet = JobFleet(names='a', length=60, folders={'a': str(tmp_path)})
     node = fleet.nodes['a']
@@ -67,7 +67,7 @@
 
 
 def test_committed_items_are_not_saved(tmp_path: pathlib.Path) -> None:
-    """A result is durable elsewhere; its text is of no more use here."""
+    """A committed result is durable in the store; its text is not needed."""
     work = _make_work()
     _grow(work, 5)
     first = next(iter(work.items))
@@ -79,7 +79,7 @@
 def test_text_of_too_old_a_version_is_not_restored(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A file of long ago; the step accepts newer weights only."""
+    """The file is old, and the step accepts newer weights only."""
     work = _make_work()
     _grow(work, 5)
     TextSnapshots(str(tmp_path), _run).save(SERVICE, [work])
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize('keep', [0, 1, 7, 40])
 def test_torn_file_is_ignored(tmp_path: pathlib.Path, keep: int) -> None:
-    """Power was lost in a write, on a disk that tears it all the same."""
+    """A power loss during a write tears the file despite the atomic replace."""
     work = _make_work()
     _grow(work, 5)
     TextSnapshots(str(tmp_path), _run).save(SERVICE, [work])
@@ -101,7 +101,7 @@
 def test_missing_directory_loses_only_texts(
     tmp_path: pathlib.Path,
 ) -> None:
-    """The folder itself is gone; saving and loading go on."""
+    """The data directory is gone; saving and loading do not fail."""
     gone = tmp_path / 'gone'
     snapshots = TextSnapshots(str(gone), _run)
     work = _make_work()
@@ -116,22 +116,22 @@
 def test_failing_disk_is_logged_once(
     tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """It is full for minutes; one line tells, not two a second."""
+    """A disk that is full for minutes is logged once, not twice a second."""
     snapshots = TextSnapshots(str(tmp_path / 'gone'), _run)
     work = _make_work()
     _grow(work, 1)
     for _ in range(5):
         snapshots.save(SERVICE, [work])
-    told = [
+    logged = [
         each
         for each in caplog.records
         if events.TEXTS_NOT_KEPT.text in each.getMessage()
     ]
-    assert len(told) == 1
+    assert len(logged) == 1
 
 
 def test_stalled_disk_blocks_nothing(tmp_path: pathlib.Path) -> None:
-    """A write hangs for seconds; later ones are left out, not queued."""
+    """A write hangs for seconds; later ones are skipped, not queued."""
     hung: list[Callable[[], None]] = []
     snapshots = TextSnapshots(str(tmp_path), hung.append)
     work = _make_work()
@@ -148,7 +148,7 @@
 
 
 def test_nothing_is_saved_without_a_data_directory() -> None:
-    """Most instances have none."""
+    """Most instances have no data directory."""
     snapshots = TextSnapshots('', _run)
     work = _make_work()
     _grow(work, 1)
@@ -160,7 +160,7 @@
 
 
 def test_file_of_another_format_is_ignored(tmp_path: pathlib.Path) -> None:
-    """Another release has written it."""
+    """Another release wrote the file."""
     work = _make_work()
     _grow(work, 5)
     TextSnapshots(str(tmp_path), _run).save(SERVICE, [work])
--- a/tests/jobs/test_teams.py
+++ b/tests/jobs/test_teams.py
@@ -1,4 +1,4 @@
-"""Jobs of teams: who may see, send again and end them."""
+"""Jobs of teams: who may read, resubmit and end them."""
 
 import msgspec
 import pytest
@@ -12,50 +12,50 @@
 
 
 class _OldJob(msgspec.Struct, frozen=True, kw_only=True):
-    """What a release that knows no teams reads of a record."""
+    """The fields of a record that a release without teams reads."""
 
     id: str
     fingerprint: str
 
 
-def _look(fleet: JobFleet, at: str, team: TeamId) -> set[LookupStatus]:
-    """Return what a team's caller finds of a job at an instance."""
+def _look_up(fleet: JobFleet, at: str, team: TeamId) -> set[LookupStatus]:
+    """Return the look-up statuses that a team's caller gets for a job."""
     node = fleet.nodes[at]
     job = make_job().id
     item = make_job().items[0].id
-    asked = [
+    lookups = [
         node.clock.spawn(node.reader.read, [SERVICE], job, 0, 0, team),
         node.clock.spawn(node.reader.read_item, [SERVICE], job, item, team),
         node.clock.spawn(node.reader.exists, [SERVICE], job, team),
     ]
-    fleet.clock.run_until(lambda: all(each.ready() for each in asked), 5)
-    page, body, known = (each.get(block=False) for each in asked)
+    fleet.clock.run_until(lambda: all(each.ready() for each in lookups), 5)
+    page, body, known = (each.get(block=False) for each in lookups)
     return {page[0], body[0], known}
 
 
 def test_job_of_another_team_is_missing() -> None:
-    """Also for an id that exists; a key of the team itself finds all."""
+    """Other teams do not find the job although its id exists; its own does."""
     fleet = JobFleet()
     fleet.submit(make_job(team=_BLUE), 'a')
     fleet.clock.advance(3)
     for name in fleet.nodes:
-        assert _look(fleet, name, _RED) == {LookupStatus.MISSING}
-        assert _look(fleet, name, _BLUE) == {LookupStatus.FOUND}
+        assert _look_up(fleet, name, _RED) == {LookupStatus.MISSING}
+        assert _look_up(fleet, name, _BLUE) == {LookupStatus.FOUND}
 
 
 def test_job_of_another_team_is_missing_without_the_owner() -> None:
-    """Whoever is asked then reads the store itself."""
+    """Without the owner, an instance reads the store itself."""
     fleet = JobFleet()
     fleet.submit(make_job(team=_BLUE), 'a')
     fleet.clock.advance(3)
     other = find_other(fleet)
     fleet.world.kill(fleet.owner())
-    assert _look(fleet, other, _RED) == {LookupStatus.MISSING}
-    assert _look(fleet, other, _BLUE) == {LookupStatus.FOUND}
+    assert _look_up(fleet, other, _RED) == {LookupStatus.MISSING}
+    assert _look_up(fleet, other, _BLUE) == {LookupStatus.FOUND}
 
 
 def test_id_used_by_another_team_is_refused() -> None:
-    """Neither may the other's job be accepted as its own, word for word."""
+    """Even identical content is not accepted as the other team's job."""
     fleet = JobFleet()
     fleet.submit(make_job(team=_BLUE), 'a')
     assert not fleet.submit(make_job(team=_BLUE), 'b')
@@ -64,7 +64,7 @@
 
 
 def test_record_of_a_release_without_teams_is_open_to_all() -> None:
-    """It was accepted, and must be read and ended all the same."""
+    """Such a job was accepted and must remain readable and endable."""
     record = msgspec.json.decode(msgspec.json.encode(make_job()))
     record.pop('team')
     job = msgspec.convert(record, Job)
@@ -73,14 +73,14 @@
 
 
 def test_a_release_without_teams_reads_new_records() -> None:
-    """Both run side by side while a fleet is replaced."""
+    """Both releases run side by side during a rolling update."""
     record = msgspec.json.encode(make_job(team=_BLUE))
     assert msgspec.json.decode(record, type=_OldJob).id == 'job-1'
     assert msgspec.json.decode(record, type=Job).team == _BLUE
 
 
 def test_run_names_the_team_of_its_job() -> None:
-    """Samplers are told whose request it is, at each run."""
+    """Each request to a sampler names the team."""
     fleet = JobFleet()
     fleet.submit(make_job(team=_BLUE), 'a')
     fleet.clock.advance(3)
--- a/tests/jobs/test_texts.py
+++ b/tests/jobs/test_texts.py
@@ -1,4 +1,4 @@
-"""Texts that go on elsewhere: after a cut, an end, or their owner's death."""
+"""Texts that resume after a failed sampler, an ended job or a lost owner."""
 
 import re
 
@@ -12,7 +12,7 @@
 from tests.jobs.fleet import JobFleet, check_complete, find_other, make_job
 from tests.jobs.samplers import SERVICE
 
-_LATER = 20
+_COMPLETION_SECONDS = 20
 
 
 @pytest.fixture
@@ -22,24 +22,24 @@
 
 
 def test_item_resumes_after_its_last_complete_event(fleet: JobFleet) -> None:
-    """A sampler dies in the middle of its items; no event is made twice."""
+    """A sampler fails while its items run; no event is generated twice."""
     owner = fleet.nodes[fleet.owner()]
     owner.samplers.length = 40
     fleet.length = 40
     fleet.submit(make_job(), 'a')
     fleet.clock.advance(1)
     owner.samplers.down.add('x')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, 'a', 6)
     assert any(after for _, _, after in owner.samplers.started)
     assert max(owner.samplers.made.values()) <= 41
 
 
 def test_resubmitted_items_resume_their_partial_texts(fleet: JobFleet) -> None:
-    """A group that was not whole comes again in the next job.
+    """The next job resubmits a group that was incomplete.
 
-    Its items go on after the last event of the earlier job. Started anew,
-    the longest would be the last one again.
+    Its items resume after the last event of the earlier job. If restarted, the
+    longest item would be the last one again.
     """
     owner = fleet.nodes[fleet.owner()]
     owner.samplers.length = 40
@@ -49,7 +49,7 @@
     owner.clock.spawn(owner.job_store.end, JobId('job-0'), 2.5)
     fleet.clock.advance(0.2)
     fleet.submit(make_job(), 'a')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, 'a', 6)
     assert max(owner.samplers.made.values()) <= 41
 
@@ -57,8 +57,8 @@
 def test_result_of_an_earlier_job_adds_no_item_time() -> None:
     """Four of a group's six items were done when their job was ended.
 
-    In the next job they are done without having run. Counted from the start of
-    the clock, each would put hours into the histogram of items' times.
+    In the next job they are done without having run. Measured from the start of
+    the clock, each would add hours to the histogram of item times.
     """
     fleet = JobFleet(samplers='x', length=40)
     node = fleet.nodes[fleet.owner()]
@@ -67,18 +67,18 @@
     node.clock.spawn(node.job_store.end, JobId('job-0'), 2.5)
     fleet.clock.advance(0.2)
     fleet.submit(make_job(groups=1, size=6), 'a')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, 'a', 6)
-    shown = node.metrics.render('')[0].decode()
-    taken = re.findall(r'item_seconds_sum\S* (\S+)', shown)
-    assert taken
-    assert sum(map(float, taken)) < _LATER
+    exposition = node.metrics.render('')[0].decode()
+    sums = re.findall(r'item_seconds_sum\S* (\S+)', exposition)
+    assert sums
+    assert sum(map(float, sums)) < _COMPLETION_SECONDS
 
 
 def test_text_of_too_old_a_version_is_restarted(
     fleet: JobFleet,
 ) -> None:
-    """The next job asks for newer weights than those of the kept texts."""
+    """The next job requires newer weights than those of the partial texts."""
     owner = fleet.nodes[fleet.owner()]
     owner.samplers.length = 40
     fleet.length = 40
@@ -90,7 +90,7 @@
         owner.samplers.versions[sampler] = 2  # type: ignore[assignment]
         owner.states.record_version(sampler, 'm0', 2)  # type: ignore[arg-type]
     fleet.submit(make_job(min_version=2), 'a')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, 'a', 6)
     _, results = fleet.read('job-1', 'a')
     assert {tuple(each.versions) for each in results} == {(2,)}
@@ -99,10 +99,10 @@
 def test_next_owner_resumes_partial_texts(
     fleet: JobFleet,
 ) -> None:
-    """The owner is killed when long texts are nearly made; none is listed.
+    """The owner is killed when long texts are nearly complete but uncommitted.
 
-    Made anew from the first event they would come too late for their step. The
-    next owner has been told of them and asks samplers for the rest.
+    Restarted from the first event, they would be too late for their step. The
+    next owner has replicas of them and requests the rest from samplers.
     """
     fleet.length = 60
     for node in fleet.nodes.values():
@@ -112,36 +112,36 @@
     fleet.clock.advance(2.8)
     fleet.world.kill(first)
     fleet.nodes.pop(first)
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, find_other(fleet), 4)
     made = fleet.nodes[fleet.owner()].samplers.made
     assert max(made.values()) <= 30
 
 
 def test_restarted_text_is_not_joined_to_its_replica() -> None:
-    """The owner drops a text that is too old, and makes it anew.
+    """The owner drops a text that is too old, and restarts it.
 
-    Told what it has grown by, a peer would put new events behind old ones, and
-    the next owner would go on with a text that no sampler has made.
+    A peer that appends the new events to the old ones would give the next owner
+    a text that no sampler generated.
     """
     fleet = JobFleet(names='abc', samplers='x', length=60)
     owner, survivor = fleet.owner(), find_other(fleet)
     fleet.submit(make_job(groups=1, size=1), survivor)
     fleet.clock.advance(1.3)
     node = fleet.nodes[owner]
-    held = node.owner._active_jobs.get(JobId('job-1'))
-    assert held is not None
-    progress = held.work.items[ItemId('0-0')]
+    active = node.owner._active_jobs.get(JobId('job-1'))
+    assert active is not None
+    progress = active.work.items[ItemId('0-0')]
     old = list(progress.text.events)
     assert len(old) > 10
     progress.text = Text()
     for number in range(1, 40):
         progress.text.add(TextEvent(number, f'new/{number}', WeightVersion(1)))
     task = node.clock.spawn(
-        node.replicas.send, SERVICE, [held.work], [InstanceId(survivor)]
+        node.replicas.send, SERVICE, [active.work], [InstanceId(survivor)]
     )
     fleet.clock.run_until(task.ready, 2)
-    work = JobWork(held.work.job, held.work.log, 0, 0)
+    work = JobWork(active.work.job, active.work.log, 0, 0)
     fleet.nodes[survivor].replicas.restore(work)
     assert work.items[ItemId('0-0')].text.events == progress.text.events
 
@@ -149,7 +149,7 @@
 def _send(
     fleet: JobFleet, sender: str, work: JobWork, replicas: TextReplicas
 ) -> None:
-    """Have an instance tell one other of a job's texts."""
+    """Send the replicas of a job's texts from one instance to instance b."""
     node = fleet.nodes[sender]
     task = node.clock.spawn(replicas.send, SERVICE, [work], [InstanceId('b')])
     fleet.clock.run_until(task.ready, 2)
@@ -158,7 +158,7 @@
 def _make_work(
     fleet: JobFleet, mark: str, events: int, version: int = 1
 ) -> JobWork:
-    """Return a job of one item with so many events of a text."""
+    """Return a job of one item whose text has the given number of events."""
     job = make_job(groups=1, size=1)
     work = JobWork(job, fleet.nodes['b'].job_store.open_log(job.id), 0, 0)
     _grow(work, mark, events, version)
@@ -168,16 +168,16 @@
 def _grow(work: JobWork, mark: str, events: int, version: int = 1) -> None:
     progress = work.items[ItemId('0-0')]
     for number in range(progress.text.last + 1, events + 1):
-        made = TextEvent(number, f'{mark}/{number}', WeightVersion(version))
-        progress.text.add(made)
+        added = TextEvent(number, f'{mark}/{number}', WeightVersion(version))
+        progress.text.add(added)
 
 
 def test_texts_of_two_owners_are_never_joined(fleet: JobFleet) -> None:
-    """Two instances believe to own a service, and both tell a third.
+    """Two instances believe they own a service and send replicas to a third.
 
-    Each has samplers make a text of the same item, under versions of its own.
-    What one adds put behind what the other told would be a text that nobody
-    made, and its versions not those that made it.
+    Each has its own text of the same item, under its own versions. Events of
+    one appended to the other would form a text that no sampler generated, with
+    the wrong versions.
     """
     one, other = fleet.nodes['a'].replicas, fleet.nodes['c'].replicas
     first = _make_work(fleet, 'a', 10)
@@ -194,25 +194,25 @@
 
 
 def test_late_replica_message_is_ignored(fleet: JobFleet) -> None:
-    """A copy is delayed on the link, and the text is made anew meanwhile.
+    """A message is delayed on the link while the text is restarted.
 
-    It tells what the old text had grown by, and comes after the new one.
+    It has events of the old text and arrives after those of the new one.
     """
     peer = fleet.nodes['b'].replicas
     sender = InstanceId('a')
     job, item = JobId('job-1'), ItemId('0-0')
 
-    def tell(number: int, after: int, events: list[str]) -> None:
+    def receive(number: int, after: int, events: list[str]) -> None:
         part = TextPart(job, item, number, after, events, [WeightVersion(1)])
         peer._on_copy(
             sender,
             TextCopy(service=SERVICE, boot=7, jobs=[job], parts=[part]),
         )
 
-    tell(1, 0, ['old/1', 'old/2'])
-    tell(2, 0, ['new/1', 'new/2', 'new/3'])
-    tell(1, 2, ['old/3', 'old/4'])
-    tell(2, 1, ['new/2'])
+    receive(1, 0, ['old/1', 'old/2'])
+    receive(2, 0, ['new/1', 'new/2', 'new/3'])
+    receive(1, 2, ['old/3', 'old/4'])
+    receive(2, 1, ['new/2'])
     work = _make_work(fleet, '', 0)
     peer.restore(work)
     text = work.items[item].text
@@ -222,26 +222,26 @@
 def test_replica_message_is_bounded_and_has_the_longest_texts_first(
     fleet: JobFleet,
 ) -> None:
-    """More was made than one copy may hold; the rest comes with the next."""
+    """The texts exceed the limit of one message; the next one has the rest."""
     node = fleet.nodes['a']
     job = make_job(groups=1, size=3)
     work = JobWork(job, node.job_store.open_log(job.id), 0, 0)
     for number, progress in enumerate(work.items.values(), 1):
         for event in range(1, number + 1):
-            made = TextEvent(event, 'x' * 30_000, WeightVersion(1))
-            progress.text.add(made)
+            added = TextEvent(event, 'x' * 30_000, WeightVersion(1))
+            progress.text.add(added)
     peer = fleet.nodes['b'].replicas
-    for copied in (['0-2'], ['0-2', '0-1', '0-0']):
+    for expected in (['0-2'], ['0-2', '0-1', '0-0']):
         task = node.clock.spawn(
             node.replicas.send, SERVICE, [work], [InstanceId('b')]
         )
         fleet.clock.run_until(task.ready, 2)
-        copies = next(iter(peer._received.values()))
-        assert list(copies[job.id]) == copied
+        replicas = next(iter(peer._received.values()))
+        assert list(replicas[job.id]) == expected
 
 
 def test_replica_of_too_old_a_version_is_not_restored(fleet: JobFleet) -> None:
-    """A peer kept a text of version 1; the job wants version 2 by now."""
+    """A peer stores a text of version 1; the job requires version 2."""
     node = fleet.nodes['a']
     job = make_job(groups=1, size=1, min_version=2)
     work = JobWork(job, node.job_store.open_log(job.id), 0, 0)
@@ -259,12 +259,12 @@
 def test_stream_that_skips_an_event_resumes_at_the_gap(
     fleet: JobFleet,
 ) -> None:
-    """A sampler's third event never comes; its fourth does.
+    """A sampler's third event never arrives, but its fourth does.
 
-    Joined as they come, the text would lack a piece and look whole.
+    Joined in order of arrival, the text would lack an event and look complete.
     """
     owner = fleet.nodes[fleet.owner()]
     owner.samplers.skipped = {(name, 3) for name in 'xyz'}
     fleet.submit(make_job(), 'a')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, 'a', 6)
