--- a/guavagate/jobs/_active.py
+++ b/guavagate/jobs/_active.py
@@ -297,7 +297,7 @@
         except StoreError as error:
             _LOGGER.debug('%s stays uncertain: %s', active.work.job.id, error)
             return
-        active.work.note_listed()
+        active.work.apply_listed()
         # Writes in flight when the job ended may still take effect.
         ending = active.ended_at is not None and (
             started_at < active.ended_at + WRITE_TIMEOUT_SECONDS
@@ -346,7 +346,7 @@
         committer = Committer(self._clock, work, changed.set)
         active = ActiveJob(work, committer, changed, int(fresh))
         self._jobs[job.id] = active
-        self._cadences[job.model].note(job.step, work.since)
+        self._cadences[job.model].note(job.step, work.opened_at)
         write(
             _LOGGER,
             events.OWNED,
@@ -358,7 +358,9 @@
             wanted=job.target_groups,
             items=len(job.items),
             listed=len(log.committed),
-            told=sum(bool(each.text.last) for each in work.items.values()),
+            told=sum(
+                bool(each.text.last_number) for each in work.items.values()
+            ),
             age=round(age, 2),
         )
         if job.id in self._ended:
@@ -377,7 +379,7 @@
         work.ended = True
         active.invalidations += 1
         active.ended_at = self._clock.now()
-        seconds = self._clock.now() - work.since
+        seconds = self._clock.now() - work.opened_at
         write(
             _LOGGER,
             events.ENDED,
--- a/guavagate/jobs/_committer.py
+++ b/guavagate/jobs/_committer.py
@@ -69,7 +69,7 @@
                 )
                 self._clock.sleep(RETRY_INTERVAL_SECONDS)
                 continue
-            work.note_listed()
+            work.apply_listed()
             write(
                 _LOGGER,
                 events.LISTED,
--- a/guavagate/jobs/_dispatch.py
+++ b/guavagate/jobs/_dispatch.py
@@ -20,7 +20,7 @@
 )
 from guavagate.jobs._silence import find_silent
 from guavagate.jobs._slots import find_usual_pace, list_slots, share_slots
-from guavagate.jobs._work import JobWork, Progress
+from guavagate.jobs._work import ItemProgress, JobWork
 from guavagate.metrics import Metrics, names
 from guavagate.models import ServiceId
 from guavagate.ports.sampler import SamplerClient
@@ -72,7 +72,7 @@
         self._looked_at = clock.now()
         self._listens_since = clock.now()
 
-    def note_text(self, work: JobWork, progress: Progress) -> None:
+    def note_text(self, work: JobWork, progress: ItemProgress) -> None:
         """Take in a text that is whole, for what is expected of others."""
         self._lengths.note(work.job.model, progress)
 
@@ -90,7 +90,7 @@
         for progress in slow:
             self._move(progress)
 
-    def _expect_seconds(self, work: JobWork, progress: Progress) -> float:
+    def _expect_seconds(self, work: JobWork, progress: ItemProgress) -> float:
         """Return how long an item still takes at the usual pace, or 0."""
         model = work.job.model
         if not self._lengths.is_known(model):
@@ -112,7 +112,7 @@
             return
         pace = self._find_pace()
         for name, runs in find_silent(works, self._states, pace, now).items():
-            heard_at = max(progress.heard_at for progress in runs)
+            heard_at = max(progress.last_event_at for progress in runs)
             write(
                 _LOGGER,
                 events.SAMPLER_SILENT,
@@ -196,7 +196,7 @@
             return
         progress = work.items[placement.item]
         progress.sampler = upstream.id
-        progress.started = now
+        progress.started_at = now
         state = self._states.get(upstream.id)
         state.in_flight += 1
         write(
@@ -206,19 +206,19 @@
             item=progress.item.id,
             group=progress.item.group,
             sampler=upstream.id,
-            after=progress.text.last,
+            after=progress.text.last_number,
             held=state.in_flight,
         )
         self._clock.spawn(self._runner.run, work, progress, upstream)
 
-    def _move(self, progress: Progress) -> None:
+    def _move(self, progress: ItemProgress) -> None:
         """Have an item that lags go on at a faster sampler."""
         write(
             _LOGGER,
             events.ITEM_MOVED,
             item=progress.item.id,
             sampler=progress.sampler,
-            after=progress.text.last,
+            after=progress.text.last_number,
         )
         progress.moves += 1
         progress.cancel()
--- a/guavagate/jobs/_forecast.py
+++ b/guavagate/jobs/_forecast.py
@@ -23,7 +23,7 @@
 
 from guavagate.jobs._lengths import Lengths
 from guavagate.jobs._models import GroupId
-from guavagate.jobs._work import JobWork, Progress
+from guavagate.jobs._work import ItemProgress, JobWork
 
 # A trainer reads about twice a second and takes what it reads then.
 READ_SLACK_SECONDS: Final = 0.5
@@ -51,7 +51,7 @@
     job: JobWork
     group: GroupId
     rank: int
-    waiting: list[Progress]
+    waiting: list[ItemProgress]
     work: float = 0
     longest: float = 0
     late: bool = False
@@ -130,7 +130,7 @@
 
 
 def _rank(plan: GroupPlan) -> tuple[float, float, int]:
-    return plan.due, plan.job.since, plan.rank
+    return plan.due, plan.job.opened_at, plan.rank
 
 
 def _plan_job(
@@ -147,7 +147,7 @@
         if plan is None:
             plan = GroupPlan(work, group, len(plans), [])
             plans[group] = plan
-        if progress.done or progress.text.whole:
+        if progress.done or progress.text.complete:
             continue
         waits = progress.is_waiting(now)
         if waits:
--- a/guavagate/jobs/_lengths.py
+++ b/guavagate/jobs/_lengths.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from guavagate.jobs._work import Progress
+from guavagate.jobs._work import ItemProgress
 
 # Texts that are remembered of a model: those of a few steps.
 MOST_TEXTS: Final = 256
@@ -78,24 +78,24 @@
             lambda: _Seen(deque(), deque())
         )
 
-    def note(self, model: str, progress: Progress) -> None:
+    def note(self, model: str, progress: ItemProgress) -> None:
         """Take in a text that has ended."""
         tokens = progress.item.expected_tokens
-        self._seen[model].note(progress.text.last, tokens)
+        self._seen[model].note(progress.text.last_number, tokens)
 
     def is_known(self, model: str) -> bool:
         """Return whether enough texts of a model have ended."""
         seen = self._seen.get(model)
         return seen is not None and len(seen.events) >= LEAST_TEXTS
 
-    def expect(self, model: str, progress: Progress) -> Length:
+    def expect(self, model: str, progress: ItemProgress) -> Length:
         """Return what is still to be made of an item; at least one event.
 
         A text that is longer already than what was expected of it goes on for
         a while: the estimate was wrong, and nothing says by how much.
         """
         seen = self._seen[model]
-        made = progress.text.last
+        made = progress.text.last_number
         usual = seen.mean
         # Without an estimate a text is most likely a usual one: taken for a
         # long one, each group would seem late from its start.
--- a/guavagate/jobs/_owner.py
+++ b/guavagate/jobs/_owner.py
@@ -32,7 +32,7 @@
 from guavagate.jobs._runner import ItemRunner
 from guavagate.jobs._snapshots import TextSnapshots
 from guavagate.jobs._store import JobStore, decode_job
-from guavagate.jobs._work import JobWork, Progress
+from guavagate.jobs._work import ItemProgress, JobWork
 from guavagate.metrics import Metrics, names
 from guavagate.models import InstanceId, ServiceId, TeamId
 from guavagate.ports.rewards import RewardClient
@@ -200,7 +200,7 @@
         self._replicas.restore(work)
         self._snapshots.restore(work)
 
-    def _on_text_complete(self, work: JobWork, progress: Progress) -> None:
+    def _on_text_complete(self, work: JobWork, progress: ItemProgress) -> None:
         self._dispatcher.note_text(work, progress)
         self._rewards.take_whole(work, progress)
 
@@ -298,13 +298,13 @@
         for work in self._active_jobs.list_open():
             for progress in work.items.values():
                 runs_there = progress.sampler == upstream.id
-                if runs_there and now - progress.heard_at > STALL_SECONDS:
+                if runs_there and now - progress.last_event_at > STALL_SECONDS:
                     progress.cancel()
 
     def _fail_expired_items(self, work: JobWork, now: float) -> None:
         # Measured from the load, not from the submission: clocks of instances
         # may differ by seconds, and an item must not expire too early.
-        if now - work.taken_at < work.job.item_ttl + TTL_SLACK_SECONDS:
+        if now - work.acquired_at < work.job.item_ttl + TTL_SLACK_SECONDS:
             return
         for progress in work.items.values():
             if not progress.done:
@@ -318,10 +318,10 @@
             return
         progress = work.items[result.id]
         seconds = float(0)
-        if progress.started is not None:
-            seconds = self._clock.now() - progress.started
+        if progress.started_at is not None:
+            seconds = self._clock.now() - progress.started_at
             self._metrics.observe(names.ITEM_SECONDS, seconds)
-        urgent = work.finish(result)
+        urgent = work.add_result(result)
         write(
             _LOGGER,
             events.ITEM_DONE,
@@ -330,7 +330,7 @@
             state=result.state.value,
             versions=result.versions,
             sampler=progress.sampler,
-            events=progress.text.last,
+            events=progress.text.last_number,
             moves=progress.moves,
             seconds=round(seconds, 2),
             longest_gap=round(progress.longest_gap, 2),
--- a/guavagate/jobs/_partial_texts.py
+++ b/guavagate/jobs/_partial_texts.py
@@ -48,10 +48,10 @@
         }
         for progress in work.items.values():
             item = progress.item
-            if work.is_whole(item.group):
+            if work.is_group_complete(item.group):
                 continue
             result = completed.get(item.id)
-            if result is not None or progress.text.last:
+            if result is not None or progress.text.last_number:
                 self._items[item.id] = _StoredItem(
                     work.job.team, item, progress.text, result
                 )
@@ -77,8 +77,9 @@
             if stored.result is not None and same_reward:
                 if _meets_min_version(stored.result.versions, job.min_version):
                     results.append(stored.result)
-            elif stored.text.last > progress.text.last and stored.text.fits(
-                job.min_version, None
+            elif (
+                stored.text.last_number > progress.text.last_number
+                and stored.text.meets_version_bounds(job.min_version, None)
             ):
                 progress.text = stored.text
         return results
--- a/guavagate/jobs/_replicas.py
+++ b/guavagate/jobs/_replicas.py
@@ -18,7 +18,7 @@
 
 from guavagate.exceptions import LinkError
 from guavagate.jobs._models import ItemId, JobId
-from guavagate.jobs._work import JobWork, Progress, Text
+from guavagate.jobs._work import ItemProgress, JobWork, Text
 from guavagate.links import Bus, Message, expect
 from guavagate.models import InstanceId, ServiceId, WeightVersion
 
@@ -171,7 +171,7 @@
 
     def _select_updates(
         self, works: list[JobWork], sent: dict[_Key, _SentText]
-    ) -> list[tuple[Progress, TextPart]]:
+    ) -> list[tuple[ItemProgress, TextPart]]:
         """Return the parts of uncommitted texts that a peer lacks."""
         updates = [
             (progress, part)
@@ -180,9 +180,9 @@
             if progress.item.id not in work.log.committed
             and (part := self._make_part(work.job.id, progress, sent))
         ]
-        updates.sort(key=lambda each: -each[0].text.last)
+        updates.sort(key=lambda each: -each[0].text.last_number)
         left = MAX_MESSAGE_CHARACTERS
-        chosen: list[tuple[Progress, TextPart]] = []
+        chosen: list[tuple[ItemProgress, TextPart]] = []
         for progress, part in updates:
             left -= sum(map(len, part.events))
             if left < 0 and chosen:
@@ -191,14 +191,17 @@
         return chosen
 
     def _make_part(
-        self, job: JobId, progress: Progress, sent: dict[_Key, _SentText]
+        self, job: JobId, progress: ItemProgress, sent: dict[_Key, _SentText]
     ) -> TextPart | None:
         """Return the part of a text that a peer lacks, all if it restarted."""
         known = sent.get((job, progress.item.id))
         text = progress.text
         if known is None or known.text is not text:
             known = _SentText(text, next(self._numbers), 0)
-        if text.last == known.event_count and text.whole == known.complete:
+        if (
+            text.last_number == known.event_count
+            and text.complete == known.complete
+        ):
             return None
         return TextPart(
             job,
@@ -207,7 +210,7 @@
             known.event_count,
             text.events[known.event_count :],
             list(text.versions),
-            text.whole,
+            text.complete,
         )
 
 
@@ -217,8 +220,11 @@
     if progress is None or progress.done:
         return
     current = progress.text
-    longer = (text.last, text.whole) > (current.last, current.whole)
-    if longer and text.fits(work.job.min_version, None):
+    longer = (text.last_number, text.complete) > (
+        current.last_number,
+        current.complete,
+    )
+    if longer and text.meets_version_bounds(work.job.min_version, None):
         progress.text = text
 
 
@@ -234,7 +240,7 @@
     events = replica.text.events
     fits = replica.number == part.number and part.after <= len(events)
     end = part.after + len(part.events)
-    if not fits or (end, part.whole) <= (len(events), replica.text.whole):
+    if not fits or (end, part.whole) <= (len(events), replica.text.complete):
         return
     events = [*events[: part.after], *part.events]
     replica.text = Text(events, list(part.versions), len(events), part.whole)
--- a/guavagate/jobs/_rewards.py
+++ b/guavagate/jobs/_rewards.py
@@ -15,7 +15,7 @@
 from guavagate.events import jobs as events
 from guavagate.events import write
 from guavagate.jobs._models import GroupId, Result, ResultState
-from guavagate.jobs._work import JobWork, Progress
+from guavagate.jobs._work import ItemProgress, JobWork
 from guavagate.metrics import Metrics, names
 from guavagate.models import ServiceId
 from guavagate.ports.rewards import (
@@ -55,19 +55,19 @@
         self._finish = finish
         self._wake = wake
 
-    def take_whole(self, work: JobWork, progress: Progress) -> None:
+    def take_whole(self, work: JobWork, progress: ItemProgress) -> None:
         """Take a text that is whole; one without a reward is a result."""
         if progress.item.reward is None:
             self._finish(work, _complete(progress, ''))
             return
-        progress.whole_at = self._clock.now()
+        progress.completed_at = self._clock.now()
         write(
             _LOGGER,
             events.TEXT_WHOLE,
             job=work.job.id,
             item=progress.item.id,
             reward=progress.item.reward.id,
-            events=progress.text.last,
+            events=progress.text.last_number,
         )
         self._wake()
 
@@ -93,7 +93,7 @@
                 )
 
     def _ask(
-        self, work: JobWork, progress: Progress, route: RewardRoute
+        self, work: JobWork, progress: ItemProgress, route: RewardRoute
     ) -> None:
         began = self._clock.now()
         reward = progress.item.reward
@@ -118,14 +118,14 @@
     def _note_given(
         self,
         work: JobWork,
-        progress: Progress,
+        progress: ItemProgress,
         outcome: RewardOutcome,
         seconds: float,
     ) -> None:
         assert progress.item.reward is not None
         waited = float(0)
-        if progress.whole_at is not None:
-            waited = self._clock.now() - progress.whole_at
+        if progress.completed_at is not None:
+            waited = self._clock.now() - progress.completed_at
         write(
             _LOGGER,
             events.REWARD_GIVEN,
@@ -140,15 +140,15 @@
     def _note_failed(
         self,
         work: JobWork,
-        progress: Progress,
+        progress: ItemProgress,
         route: RewardRoute,
         outcome: RewardOutcome,
         seconds: float,
     ) -> None:
         assert progress.item.reward is not None
-        progress.reward_tries += 1
-        pause = RETRY_SECONDS * 2 ** (min(progress.reward_tries, 4) - 1)
-        progress.reward_after = self._clock.now() + min(
+        progress.reward_attempts += 1
+        pause = RETRY_SECONDS * 2 ** (min(progress.reward_attempts, 4) - 1)
+        progress.reward_retry_at = self._clock.now() + min(
             pause, LONGEST_RETRY_SECONDS
         )
         most = max(work.job.max_attempts, route.most_failures)
@@ -168,11 +168,11 @@
             result = Result(progress.item.id, ResultState.ERRORED, '', [])
             self._finish(work, result)
 
-    def _note_no_route(self, progress: Progress, now: float) -> None:
-        progress.reward_after = now + NO_ROUTE_SECONDS
-        if progress.reward_tries:
+    def _note_no_route(self, progress: ItemProgress, now: float) -> None:
+        progress.reward_retry_at = now + NO_ROUTE_SECONDS
+        if progress.reward_attempts:
             return
-        progress.reward_tries = 1
+        progress.reward_attempts = 1
         reward = progress.item.reward
         assert reward is not None
         write(
@@ -187,23 +187,27 @@
 
 def order_unrated(
     works: Sequence[JobWork], now: float
-) -> list[tuple[JobWork, Progress]]:
+) -> list[tuple[JobWork, ItemProgress]]:
     """Return the whole texts without a reward, in the order to ask for it."""
-    ordered: list[tuple[JobWork, Progress]] = []
+    ordered: list[tuple[JobWork, ItemProgress]] = []
     for work in sorted(works, key=lambda each: each.due):
-        unrated = [each for each in work.items.values() if each.is_unrated(now)]
+        unrated = [
+            each
+            for each in work.items.values()
+            if each.is_ready_for_reward(now)
+        ]
         if unrated:
             ordered += [(work, each) for each in _order(work, unrated)]
     return ordered
 
 
-def _order(work: JobWork, unrated: list[Progress]) -> list[Progress]:
+def _order(work: JobWork, unrated: list[ItemProgress]) -> list[ItemProgress]:
     rank: dict[GroupId, int] = {}
     in_making: dict[GroupId, int] = {}
     for progress in work.items.values():
         group = progress.item.group
         rank.setdefault(group, len(rank))
-        made = progress.done or progress.text.whole
+        made = progress.done or progress.text.complete
         in_making[group] = in_making.get(group, 0) + (not made)
     return sorted(
         unrated,
@@ -215,7 +219,7 @@
     )
 
 
-def _complete(progress: Progress, signature: str) -> Result:
+def _complete(progress: ItemProgress, signature: str) -> Result:
     text = progress.text
     return Result(
         progress.item.id,
--- a/guavagate/jobs/_runner.py
+++ b/guavagate/jobs/_runner.py
@@ -16,7 +16,7 @@
 )
 from guavagate.jobs._models import Result, ResultState
 from guavagate.jobs._pace import PaceMeter
-from guavagate.jobs._work import JobWork, Progress, Text
+from guavagate.jobs._work import ItemProgress, JobWork, Text
 from guavagate.ports.sampler import (
     ItemFailedError,
     ItemImpossibleError,
@@ -40,7 +40,7 @@
 BROKEN_SECONDS: Final = 0.5
 
 Finish = Callable[[JobWork, Result], None]
-TakeWhole = Callable[[JobWork, Progress], None]
+TakeWhole = Callable[[JobWork, ItemProgress], None]
 
 
 class ItemRunner:
@@ -63,12 +63,12 @@
         self._finish = finish
 
     def run(
-        self, work: JobWork, progress: Progress, upstream: Upstream
+        self, work: JobWork, progress: ItemProgress, upstream: Upstream
     ) -> None:
         """Run an item until it is done or breaks off; frees its slot."""
         began = self._clock.now()
         progress.task = getcurrent()
-        progress.heard_at = began
+        progress.last_event_at = began
         progress.cancelled = False
         problem = ''
         try:
@@ -89,13 +89,13 @@
                 job=work.job.id,
                 item=progress.item.id,
                 sampler=upstream.id,
-                after=progress.text.last,
+                after=progress.text.last_number,
                 seconds=round(self._clock.now() - began, 3),
                 problem=problem,
             )
 
     def _stream(
-        self, work: JobWork, progress: Progress, upstream: Upstream
+        self, work: JobWork, progress: ItemProgress, upstream: Upstream
     ) -> None:
         job = work.job
         self._keep_fitting(work, progress, upstream)
@@ -105,7 +105,7 @@
             path=progress.item.path,
             headers=progress.item.headers,
             body=progress.item.body,
-            resume_after=progress.text.last,
+            resume_after=progress.text.last_number,
             team=job.team,
         )
         with self._clock.timeout(HEAD_SECONDS, _silence(upstream)):
@@ -120,11 +120,11 @@
             run.cancel()
         self._upstreams.record_success(upstream.id, 0)
         if not progress.done:
-            progress.text.whole = True
+            progress.text.complete = True
             self._take_whole(work, progress)
 
     def _take_events(
-        self, work: JobWork, progress: Progress, upstream: Upstream
+        self, work: JobWork, progress: ItemProgress, upstream: Upstream
     ) -> None:
         assert progress.run is not None
         stream = progress.run.events()
@@ -141,27 +141,27 @@
             if pace is not None:
                 self._states.record_event_interval(upstream.id, pace)
             last_at = now
-            progress.heard_at = now
+            progress.last_event_at = now
             self._take_event(work, progress, upstream, event)
 
     def _take_event(
         self,
         work: JobWork,
-        progress: Progress,
+        progress: ItemProgress,
         upstream: Upstream,
         event: TextEvent,
     ) -> None:
         job = work.job
-        if event.number != progress.text.last + 1:
+        if event.number != progress.text.last_number + 1:
             raise UpstreamError(
                 f'{upstream.id} sent event {event.number} after'
-                f' {progress.text.last}',
+                f' {progress.text.last_number}',
                 'check the sampler; the item goes on after the last whole one',
             )
         self._states.record_version(upstream.id, job.model, event.version)
         progress.text.add(event)
         only = event.version if job.single_version else None
-        if not progress.text.fits(job.min_version, only):
+        if not progress.text.meets_version_bounds(job.min_version, only):
             progress.text = Text()
             raise UpstreamError(
                 f'{upstream.id} made an event under version {event.version}',
@@ -169,17 +169,17 @@
             )
 
     def _keep_fitting(
-        self, work: JobWork, progress: Progress, upstream: Upstream
+        self, work: JobWork, progress: ItemProgress, upstream: Upstream
     ) -> None:
         """Start anew what may not be gone on with here."""
         job = work.job
         only = None
         if job.single_version:
             only = self._states.get(upstream.id).versions.get(job.model)
-        if not progress.text.fits(job.min_version, only):
+        if not progress.text.meets_version_bounds(job.min_version, only):
             progress.text = Text()
 
-    def _free(self, progress: Progress, upstream: Upstream) -> None:
+    def _free(self, progress: ItemProgress, upstream: Upstream) -> None:
         progress.run = None
         progress.task = None
         progress.sampler = None
@@ -187,7 +187,7 @@
         self._states.notify()
 
     def _note_failed(
-        self, work: JobWork, progress: Progress, error: Exception
+        self, work: JobWork, progress: ItemProgress, error: Exception
     ) -> None:
         """Note that a sampler ran an item and it failed."""
         progress.failures += 1
@@ -198,7 +198,7 @@
             self._finish(work, result)
 
     def _note_broken(
-        self, progress: Progress, upstream: Upstream, error: UpstreamError
+        self, progress: ItemProgress, upstream: Upstream, error: UpstreamError
     ) -> None:
         now = self._clock.now()
         progress.retry_at = now
--- a/guavagate/jobs/_schedule.py
+++ b/guavagate/jobs/_schedule.py
@@ -20,7 +20,7 @@
 from guavagate.jobs._forecast import GroupPlan
 from guavagate.jobs._lengths import Lengths
 from guavagate.jobs._models import ItemId, JobId
-from guavagate.jobs._work import JobWork, Progress
+from guavagate.jobs._work import ItemProgress, JobWork
 from guavagate.models import UpstreamId, WeightVersion
 from guavagate.rollouts import ModelDemand
 
@@ -58,7 +58,7 @@
 
 
 # How long an item still takes at the usual pace, in seconds; 0: not known.
-ExpectSeconds = Callable[[JobWork, Progress], float]
+ExpectSeconds = Callable[[JobWork, ItemProgress], float]
 
 
 class Placement(msgspec.Struct, frozen=True):
@@ -95,7 +95,7 @@
     samplers: Sequence[SamplerSlots],
     now: float,
     expect_seconds: ExpectSeconds,
-) -> list[Progress]:
+) -> list[ItemProgress]:
     """Return the items to take from slow samplers to faster, free ones.
 
     Load pattern: one sampler turns slow, or is slower than others anyway, and
@@ -123,7 +123,7 @@
                 left = expect_seconds(work, progress)
                 candidates.append((left, work, progress, here))
     candidates.sort(key=lambda each: -each[0] * each[3].pace)
-    found: list[Progress] = []
+    found: list[ItemProgress] = []
     for left, work, progress, here in candidates:
         there = _find(work, progress, samplers)
         if there is not None and _is_worth(progress, here, there, left, now):
@@ -144,13 +144,13 @@
         demand.required = max(demand.required, work.job.min_version)
         demand.waiting += len(waiting)
         if waiting:
-            since = now - work.since
+            since = now - work.opened_at
             demand.waiting_seconds = max(demand.waiting_seconds, since)
     return demands
 
 
 def _is_worth(
-    progress: Progress,
+    progress: ItemProgress,
     here: SamplerSlots,
     there: SamplerSlots,
     left: float,
@@ -162,13 +162,13 @@
     item that has just moved stays for a while: paces are told by single events,
     and with its moves used up within a moment it would end on a slow sampler.
     """
-    if progress.started is None or progress.moves > MOST_MOVES:
+    if progress.started_at is None or progress.moves > MOST_MOVES:
         return False
     ratio = here.pace / there.pace
     least = MOVE_RATIO if progress.moves < MOST_MOVES else CRAWL_RATIO
     if ratio < least:
         return False
-    settled = now - progress.started > MOVE_AFTER_SECONDS
+    settled = now - progress.started_at > MOVE_AFTER_SECONDS
     if left and (settled or not progress.moves):
         return left * (here.pace - there.pace) >= MOVE_GAIN_SECONDS
     return settled and not left
@@ -176,7 +176,7 @@
 
 def order_items(
     plans: Sequence[GroupPlan], lengths: Lengths
-) -> list[tuple[GroupPlan, Progress]]:
+) -> list[tuple[GroupPlan, ItemProgress]]:
     """Return the items that wait, in the order to start them."""
     rows = [
         (_order(plan, progress, lengths), plan, progress)
@@ -188,7 +188,7 @@
 
 
 def _order(
-    plan: GroupPlan, progress: Progress, lengths: Lengths
+    plan: GroupPlan, progress: ItemProgress, lengths: Lengths
 ) -> tuple[float, ...]:
     """Return the key of an item that waits; the least one starts first."""
     length = lengths.expect(plan.job.job.model, progress).long
@@ -196,12 +196,12 @@
     if plan.behind:
         return (*head, plan.work, plan.due, plan.rank, -length)
     if plan.crowded:
-        return (*head, plan.due, plan.job.since, plan.rank, -length)
-    return (*head, plan.due, plan.job.since, -length, plan.rank)
+        return (*head, plan.due, plan.job.opened_at, plan.rank, -length)
+    return (*head, plan.due, plan.job.opened_at, -length, plan.rank)
 
 
 def _find(
-    work: JobWork, progress: Progress, samplers: Sequence[SamplerSlots]
+    work: JobWork, progress: ItemProgress, samplers: Sequence[SamplerSlots]
 ) -> SamplerSlots | None:
     model = work.job.model
     oldest = work.job.min_version
--- a/guavagate/jobs/_silence.py
+++ b/guavagate/jobs/_silence.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from typing import Final
 
-from guavagate.jobs._work import JobWork, Progress
+from guavagate.jobs._work import ItemProgress, JobWork
 from guavagate.models import UpstreamId
 from guavagate.rollouts import SamplerStates
 
@@ -28,7 +28,7 @@
     states: SamplerStates,
     event_seconds: float,
     now: float,
-) -> dict[UpstreamId, list[Progress]]:
+) -> dict[UpstreamId, list[ItemProgress]]:
     """Return the runs of each sampler whose streams have all fallen silent.
 
     Parameters
@@ -36,7 +36,7 @@
     event_seconds
         What an event usually takes; 0 where no sampler has shown it yet.
     """
-    runs: dict[UpstreamId, list[Progress]] = {}
+    runs: dict[UpstreamId, list[ItemProgress]] = {}
     for work in works:
         for progress in work.items.values():
             if progress.sampler is not None and progress.task is not None:
@@ -47,6 +47,6 @@
         sampler: held
         for sampler, held in runs.items()
         if len(held) >= LEAST_STREAMS
-        and now - max(each.heard_at for each in held) > quiet
+        and now - max(each.last_event_at for each in held) > quiet
         and not states.get(sampler).loading
     }
--- a/guavagate/jobs/_snapshots.py
+++ b/guavagate/jobs/_snapshots.py
@@ -90,11 +90,12 @@
                 progress.item.id,
                 progress.text.events,
                 progress.text.versions,
-                progress.text.whole,
+                progress.text.complete,
             )
             for work in works
             for progress in work.items.values()
-            if progress.text.last and progress.item.id not in work.log.committed
+            if progress.text.last_number
+            and progress.item.id not in work.log.committed
         ]
         content = msgspec.msgpack.encode(texts)
         self._busy = True
--- a/guavagate/jobs/_work.py
+++ b/guavagate/jobs/_work.py
@@ -12,7 +12,7 @@
 from guavagate.models import UpstreamId, WeightVersion
 from guavagate.ports.sampler import ItemRun, TextEvent
 
-LINE: Final = '\n'
+EVENT_SEPARATOR: Final = '\n'
 
 
 class Text(msgspec.Struct):
@@ -23,17 +23,19 @@
 
     events: list[str] = []
     versions: list[WeightVersion] = []
-    last: int = 0
-    whole: bool = False
+    last_number: int = 0
+    complete: bool = False
 
     def add(self, event: TextEvent) -> None:
         """Take the next event."""
         self.events.append(event.text)
-        self.last = event.number
+        self.last_number = event.number
         if event.version not in self.versions:
             self.versions.append(event.version)
 
-    def fits(self, oldest: WeightVersion, only: WeightVersion | None) -> bool:
+    def meets_version_bounds(
+        self, oldest: WeightVersion, only: WeightVersion | None
+    ) -> bool:
         """Return whether it may be gone on with.
 
         Parameters
@@ -47,10 +49,10 @@
 
     def join(self) -> str:
         """Return the text as it is listed."""
-        return LINE.join(self.events)
+        return EVENT_SEPARATOR.join(self.events)
 
 
-class Progress(msgspec.Struct):
+class ItemProgress(msgspec.Struct):
     """How far an item is; `moves` counts the times it changed samplers.
 
     `started` is nothing for one that did not run here: its result was listed
@@ -64,17 +66,17 @@
     run: ItemRun | None = None
     task: Task | None = None
     cancelled: bool = False
-    started: float | None = None
+    started_at: float | None = None
     failures: int = 0
     moves: int = 0
     longest_gap: float = 0
-    heard_at: float = 0
+    last_event_at: float = 0
     retry_at: float = 0
-    whole_at: float | None = None
+    completed_at: float | None = None
     reward_task: Task | None = None
     reward_failures: int = 0
-    reward_tries: int = 0
-    reward_after: float = 0
+    reward_attempts: int = 0
+    reward_retry_at: float = 0
     done: bool = False
 
     def cancel(self) -> None:
@@ -90,15 +92,15 @@
 
     def is_waiting(self, now: float) -> bool:
         """Return whether the item may be started."""
-        if self.done or self.text.whole:
+        if self.done or self.text.complete:
             return False
         return self.sampler is None and now >= self.retry_at
 
-    def is_unrated(self, now: float) -> bool:
+    def is_ready_for_reward(self, now: float) -> bool:
         """Return whether the reward of a whole text may be asked for."""
-        if self.done or not self.text.whole:
+        if self.done or not self.text.complete:
             return False
-        return self.reward_task is None and now >= self.reward_after
+        return self.reward_task is None and now >= self.reward_retry_at
 
 
 class JobWork:
@@ -109,23 +111,23 @@
     ) -> None:
         self.job = job
         self.log = log
-        self.since = now - age
-        self.taken_at = now
-        self.due = self.since + job.objective
+        self.opened_at = now - age
+        self.acquired_at = now
+        self.due = self.opened_at + job.objective
         self.ended = False
         self.pending: list[Result] = []
-        self.items = {each.id: Progress(item=each) for each in job.items}
+        self.items = {each.id: ItemProgress(item=each) for each in job.items}
         self._groups = _count_groups(job.items)
         self.complete_groups = 0
         for result in log.results:
-            self._finish(result.id)
+            self._mark_done(result.id)
 
     @property
     def open(self) -> bool:
         """Return whether items are still to be run."""
         return not self.ended and len(self.log.committed) < len(self.items)
 
-    def finish(self, result: Result) -> bool:
+    def add_result(self, result: Result) -> bool:
         """Take an item's result; return whether it is worth listing now.
 
         The trainer goes on when enough groups are complete, so the result
@@ -137,26 +139,26 @@
             return False
         self.pending.append(result)
         before = self.complete_groups
-        self._finish(result.id)
+        self._mark_done(result.id)
         completes = self.complete_groups > before
         return completes and self.complete_groups >= self.job.target_groups
 
-    def note_listed(self) -> None:
+    def apply_listed(self) -> None:
         """Drop what others have listed meanwhile."""
         listed = self.log.committed
         self.pending = [each for each in self.pending if each.id not in listed]
         for item in listed:
-            self._finish(item)
+            self._mark_done(item)
 
     def count_missing(self, group: GroupId) -> int:
         """Return how many items of a group are not done."""
         return self._groups[group]
 
-    def is_whole(self, group: GroupId) -> bool:
+    def is_group_complete(self, group: GroupId) -> bool:
         """Return whether all items of a group are done."""
         return self._groups[group] == 0
 
-    def _finish(self, item: ItemId) -> None:
+    def _mark_done(self, item: ItemId) -> None:
         progress = self.items.get(item)
         if progress is None or progress.done:
             return
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -111,7 +111,7 @@
     Safeguard(
         'a copy is used where its versions fit',
         'guavagate/jobs/_replicas.py',
-        'if longer and text.fits(work.job.min_version, None):',
+        'if longer and text.meets_version_bounds(work.job.min_version, None):',
         'if longer:',
         'tests/jobs/test_texts.py',
     ),
@@ -125,16 +125,16 @@
     Safeguard(
         'a whole text is told as whole',
         'guavagate/jobs/_replicas.py',
-        '            text.whole,\n        )',
+        '            text.complete,\n        )',
         '            False,\n        )',
         'tests/jobs/test_rewards.py',
     ),
     Safeguard(
         'a reward is asked for once a text is whole',
         'guavagate/jobs/_work.py',
-        'if self.done or not self.text.whole:\n            return False\n'
+        'if self.done or not self.text.complete:\n            return False\n'
         '        return self.reward_task',
-        'if self.done or not self.text.last:\n            return False\n'
+        'if self.done or not self.text.last_number:\n            return False\n'
         '        return self.reward_task',
         'tests/jobs/test_rewards.py',
     ),
@@ -197,7 +197,7 @@
     Safeguard(
         "each event's version is within the bound",
         'guavagate/jobs/_runner.py',
-        'if not progress.text.fits(job.min_version, only):\n'
+        'if not progress.text.meets_version_bounds(job.min_version, only):\n'
         '            progress.text = Text()\n'
         '            raise',
         'if False:\n            progress.text = Text()\n            raise',
@@ -206,7 +206,7 @@
     Safeguard(
         'events in order',
         'guavagate/jobs/_runner.py',
-        'if event.number != progress.text.last + 1:',
+        'if event.number != progress.text.last_number + 1:',
         'if False:',
         'tests/jobs/test_texts.py',
     ),
--- a/tests/jobs/load_model.py
+++ b/tests/jobs/load_model.py
@@ -25,7 +25,7 @@
 )
 from guavagate.jobs._result_log import ResultLog
 from guavagate.jobs._schedule import SamplerSlots, find_slow, place
-from guavagate.jobs._work import JobWork, Progress
+from guavagate.jobs._work import ItemProgress, JobWork
 from guavagate.measure.fakes import MemoryStore
 from guavagate.models import ServiceId, UpstreamId, WeightVersion
 from guavagate.ports.sampler import TextEvent
@@ -94,7 +94,7 @@
         self._hinted = hinted
         self._events: dict[ItemId, float] = {}
         self._made: dict[ItemId, float] = {}
-        self._running: list[tuple[Trainer, Step, Progress, int]] = []
+        self._running: list[tuple[Trainer, Step, ItemProgress, int]] = []
         self._ids = 0
         self._last_step_at = float(0)
 
@@ -153,7 +153,7 @@
         work = JobWork(job, log, now, 0)
         for progress in work.items.values():
             made = self._made.get(progress.item.id, 0)
-            progress.text.last = int(made)
+            progress.text.last_number = int(made)
             if made >= self._events[progress.item.id]:
                 self._finish(work, progress)
         return work
@@ -207,8 +207,8 @@
             if pace:
                 seconds = EVENT_SECONDS * pace * (1 + FULL_SLOWER * fill)
                 self._made[item] = self._made.get(item, 0) + TICK / seconds
-                progress.heard_at = now
-            progress.text.last = int(self._made.get(item, 0))
+                progress.last_event_at = now
+            progress.text.last_number = int(self._made.get(item, 0))
             if self._made.get(item, 0) >= self._events[item]:
                 self._lengths.note(step.work.job.model, progress)
                 self._finish(step.work, progress)
@@ -217,14 +217,14 @@
             still.append(entry)
         self._running = still
 
-    def _free(self, progress: Progress, sampler: int) -> None:
+    def _free(self, progress: ItemProgress, sampler: int) -> None:
         self._held[sampler] -= 1
         progress.sampler = None
         progress.run = None
 
-    def _finish(self, work: JobWork, progress: Progress) -> None:
+    def _finish(self, work: JobWork, progress: ItemProgress) -> None:
         result = Result(progress.item.id, ResultState.COMPLETED, '', [])
-        work.finish(result)
+        work.add_result(result)
         work.log.committed.add(progress.item.id)
 
     def _take(self, trainer: Trainer, now: float) -> None:
@@ -232,7 +232,7 @@
         for step in list(trainer.steps):
             work = step.work
             for group in {each.group for each in work.job.items}:
-                if work.is_whole(group):
+                if work.is_group_complete(group):
                     step.whole_at.setdefault(group, now)
             over = now - step.asked_at >= DEADLINE
             if len(step.whole_at) >= trainer.shape.groups or over:
@@ -282,7 +282,7 @@
             sampler = int(placement.sampler)
             self._held[sampler] += 1
             progress.sampler = placement.sampler
-            progress.started = now
+            progress.started_at = now
             progress.cancelled = False
             progress.run = _Run()
             self._running.append((trainer, step, progress, sampler))
@@ -291,7 +291,7 @@
             progress.moves += 1
             progress.cancelled = True
 
-    def _expect_seconds(self, work: JobWork, progress: Progress) -> float:
+    def _expect_seconds(self, work: JobWork, progress: ItemProgress) -> float:
         model = work.job.model
         if not self._lengths.is_known(model):
             return 0
--- a/tests/jobs/test_clocks.py
+++ b/tests/jobs/test_clocks.py
@@ -23,4 +23,4 @@
     fleet.clock.advance(0.1)
     works = owner.owner._active_jobs.list_open()
     assert [work.job.id for work in works] == ['job-1']
-    assert works[0].since >= before
+    assert works[0].opened_at >= before
--- a/tests/jobs/test_forecast.py
+++ b/tests/jobs/test_forecast.py
@@ -38,7 +38,7 @@
     lengths = Lengths()
     work = make_work('seen', tokens=tokens, groups=LEAST_TEXTS, size=1)
     for progress in work.items.values():
-        progress.text.last = events
+        progress.text.last_number = events
         lengths.note(MODEL, progress)
     return lengths
 
--- a/tests/jobs/test_lengths.py
+++ b/tests/jobs/test_lengths.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from guavagate.jobs._work import Progress
+from guavagate.jobs._work import ItemProgress
 from tests.jobs.samplers import MODEL
 from tests.jobs.test_forecast import make_lengths, make_work
 
 
-def _make_progress(tokens: int) -> Progress:
+def _make_progress(tokens: int) -> ItemProgress:
     """Return an item of which nothing is made yet."""
     return next(iter(make_work('a', tokens=tokens).items.values()))
 
@@ -23,7 +23,7 @@
     """The estimate was wrong; some more is to be expected."""
     lengths = make_lengths(events=25, tokens=1000)
     progress = _make_progress(600)
-    progress.text.last = 40
+    progress.text.last_number = 40
     assert lengths.expect(MODEL, progress).usual > 0
 
 
@@ -39,7 +39,7 @@
     lengths = make_lengths(events=25, tokens=0)
     work = make_work('seen', tokens=0, groups=10, size=1)
     for progress in work.items.values():
-        progress.text.last = 120
+        progress.text.last_number = 120
         lengths.note(MODEL, progress)
     length = lengths.expect(MODEL, _make_progress(0))
     assert length.long == 60
--- a/tests/jobs/test_rewards.py
+++ b/tests/jobs/test_rewards.py
@@ -206,8 +206,8 @@
     log = ResultLog(world.store_of('a'), world.clock, job.id, 'a')
     work = JobWork(job, log, 0, 0)
     for name in ('0-0', '1-0', '1-1', '2-0', '2-1'):
-        work.items[name].text.whole = True  # type: ignore[index]
-    work.finish(Result('2-1', ResultState.COMPLETED, '', []))  # type: ignore[arg-type]
+        work.items[name].text.complete = True  # type: ignore[index]
+    work.add_result(Result('2-1', ResultState.COMPLETED, '', []))  # type: ignore[arg-type]
     ordered = [each.item.id for _, each in order_unrated([work], 0)]
     assert ordered == ['2-0', '1-0', '1-1', '0-0']
 
--- a/tests/jobs/test_schedule.py
+++ b/tests/jobs/test_schedule.py
@@ -14,7 +14,7 @@
 from guavagate.jobs._schedule import find_slow as find_slow_known
 from guavagate.jobs._schedule import place as place_planned
 from guavagate.jobs._slots import share_slots
-from guavagate.jobs._work import JobWork, Progress
+from guavagate.jobs._work import ItemProgress, JobWork
 from guavagate.measure.fakes import MemoryStore
 from guavagate.models import UpstreamId, WeightVersion
 from tests.jobs.fleet import make_job
@@ -57,7 +57,7 @@
     samplers: list[SamplerSlots],
     now: float,
     left: float = 0,
-) -> list[Progress]:
+) -> list[ItemProgress]:
     """Find what to move; `left` is what each item still takes, if known."""
     return find_slow_known(works, samplers, now, lambda *_: left)
 
@@ -110,7 +110,7 @@
     samplers = [_make_sampler('slow', pace=3), _make_sampler('x')]
     first.sampler = UpstreamId('slow')
     first.run = object()  # type: ignore[assignment]
-    first.started = 90
+    first.started_at = 90
     assert not find_slow([work], samplers, 100)
     second.done = True
     assert find_slow([work], samplers, 100) == [first]
@@ -126,7 +126,7 @@
     progress = next(iter(work.items.values()))
     progress.sampler = UpstreamId('slow')
     progress.run = object()  # type: ignore[assignment]
-    progress.started = 99.5
+    progress.started_at = 99.5
     samplers = [_make_sampler('slow', pace=1.35), _make_sampler('x')]
     assert not find_slow([work], samplers, 100, left=1)
     assert find_slow([work], samplers, 100, left=6) == [progress]
@@ -142,7 +142,7 @@
     progress = next(iter(work.items.values()))
     progress.sampler = UpstreamId('slow')
     progress.run = object()  # type: ignore[assignment]
-    progress.started = 99.8
+    progress.started_at = 99.8
     progress.moves = 1
     samplers = [_make_sampler('slow', pace=1.35), _make_sampler('x')]
     assert not find_slow([work], samplers, 100, left=6)
@@ -155,7 +155,7 @@
     progress = next(iter(work.items.values()))
     progress.sampler = UpstreamId('slow')
     progress.run = object()  # type: ignore[assignment]
-    progress.started = 90
+    progress.started_at = 90
     other = _make_work('job-2', model='other')
     samplers = [_make_sampler('slow', pace=3), _make_sampler('x')]
     assert find_slow([work, other], samplers, 100) == [progress]
@@ -167,7 +167,7 @@
     progress = next(iter(work.items.values()))
     progress.sampler = UpstreamId('slow')
     progress.run = object()  # type: ignore[assignment]
-    progress.started = 90
+    progress.started_at = 90
     samplers = [_make_sampler('slow', pace=3), _make_sampler('x')]
     assert find_slow([work], samplers, 100)
     progress.moves = 3
@@ -218,7 +218,7 @@
     progress = next(iter(work.items.values()))
     progress.sampler = UpstreamId('slow')
     progress.run = object()  # type: ignore[assignment]
-    progress.started = 90
+    progress.started_at = 90
     progress.moves = 2
     samplers = [_make_sampler('slow', pace=1.5), _make_sampler('x')]
     assert not find_slow([work], samplers, 100)
--- a/tests/jobs/test_snapshots.py
+++ b/tests/jobs/test_snapshots.py
@@ -39,7 +39,7 @@
     snapshots = TextSnapshots(str(path), _run)
     snapshots.load(SERVICE)
     snapshots.restore(work)
-    return [progress.text.last for progress in work.items.values()]
+    return [progress.text.last_number for progress in work.items.values()]
 
 
 def test_texts_resume_after_a_restart_of_all(tmp_path: pathlib.Path) -> None:
@@ -156,7 +156,7 @@
     snapshots.load(SERVICE)
     fresh = _make_work()
     snapshots.restore(fresh)
-    assert {each.text.last for each in fresh.items.values()} == {0}
+    assert {each.text.last_number for each in fresh.items.values()} == {0}
 
 
 def test_file_of_another_format_is_ignored(tmp_path: pathlib.Path) -> None:
--- a/tests/jobs/test_texts.py
+++ b/tests/jobs/test_texts.py
@@ -32,7 +32,7 @@
     fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, 'a', 6)
     assert any(after for _, _, after in owner.samplers.started)
-    assert max(owner.samplers.made.values()) <= 41
+    assert max(owner.samplers.generated.values()) <= 41
 
 
 def test_resubmitted_items_resume_their_partial_texts(fleet: JobFleet) -> None:
@@ -51,7 +51,7 @@
     fleet.submit(make_job(), 'a')
     fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, 'a', 6)
-    assert max(owner.samplers.made.values()) <= 41
+    assert max(owner.samplers.generated.values()) <= 41
 
 
 def test_result_of_an_earlier_job_adds_no_item_time() -> None:
@@ -114,7 +114,7 @@
     fleet.nodes.pop(first)
     fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, find_other(fleet), 4)
-    made = fleet.nodes[fleet.owner()].samplers.made
+    made = fleet.nodes[fleet.owner()].samplers.generated
     assert max(made.values()) <= 30
 
 
@@ -167,7 +167,7 @@
 
 def _grow(work: JobWork, mark: str, events: int, version: int = 1) -> None:
     progress = work.items[ItemId('0-0')]
-    for number in range(progress.text.last + 1, events + 1):
+    for number in range(progress.text.last_number + 1, events + 1):
         added = TextEvent(number, f'{mark}/{number}', WeightVersion(version))
         progress.text.add(added)
 
