--- a/guavagate/jobs/_active.py
+++ b/guavagate/jobs/_active.py
@@ -139,7 +139,7 @@
         now = self._clock.now()
         demands = count_demands(self.list_open(), now)
         for model, cadence in self._cadences.items():
-            due = cadence.expect_next()
+            due = cadence.predict_next()
             if due is not None:
                 demand = demands.setdefault(model, ModelDemand())
                 demand.seconds_to_next_job = due - now
@@ -346,7 +346,7 @@
         committer = Committer(self._clock, work, changed.set)
         active = ActiveJob(work, committer, changed, int(fresh))
         self._jobs[job.id] = active
-        self._cadences[job.model].note(job.step, work.opened_at)
+        self._cadences[job.model].observe(job.step, work.opened_at)
         write(
             _LOGGER,
             events.OWNED,
--- a/guavagate/jobs/_cadence.py
+++ b/guavagate/jobs/_cadence.py
@@ -17,7 +17,7 @@
     period: float | None = None
     newest_step: int = 0
 
-    def note(self, step: int, submitted: float) -> None:
+    def observe(self, step: int, submitted: float) -> None:
         """Take in that a step was submitted."""
         if self.first_step is None or step < self.first_step:
             self.first_step = step
@@ -31,7 +31,7 @@
             shown = (submitted - self.first_at) / steps
             self.period = min(shown, self.period or shown)
 
-    def expect_next(self) -> float | None:
+    def predict_next(self) -> float | None:
         """Return when the next step is due, if that can be told."""
         if self.first_step is None or self.period is None:
             return None
--- a/guavagate/jobs/_dispatch.py
+++ b/guavagate/jobs/_dispatch.py
@@ -9,17 +9,21 @@
 from guavagate.events import write
 from guavagate.exceptions import UpstreamError
 from guavagate.jobs._forecast import Forecast, GroupPlan, forecast
-from guavagate.jobs._lengths import Lengths
+from guavagate.jobs._lengths import LengthEstimator
 from guavagate.jobs._models import GroupId, JobId
 from guavagate.jobs._runner import ItemRunner
 from guavagate.jobs._schedule import (
     Placement,
     SamplerSlots,
-    find_slow,
+    find_moves,
     place,
 )
-from guavagate.jobs._silence import find_silent
-from guavagate.jobs._slots import find_usual_pace, list_slots, share_slots
+from guavagate.jobs._slots import (
+    find_median_interval,
+    list_slots,
+    sum_slots_by_model,
+)
+from guavagate.jobs._stalls import find_unresponsive
 from guavagate.jobs._work import ItemProgress, JobWork
 from guavagate.metrics import Metrics, names
 from guavagate.models import ServiceId
@@ -67,14 +71,14 @@
         self._runner = runner
         self._slots = slots
         self._metrics = metrics
-        self._lengths = Lengths()
+        self._lengths = LengthEstimator()
         self._behind: set[tuple[JobId, GroupId]] = set()
         self._looked_at = clock.now()
         self._listens_since = clock.now()
 
-    def note_text(self, work: JobWork, progress: ItemProgress) -> None:
+    def record_text(self, work: JobWork, progress: ItemProgress) -> None:
         """Take in a text that is whole, for what is expected of others."""
-        self._lengths.note(work.job.model, progress)
+        self._lengths.record(work.job.model, progress)
 
     def dispatch(self, works: Sequence[JobWork], now: float) -> None:
         """Start what has a free slot, and move what lags or hears nothing."""
@@ -84,22 +88,25 @@
         by_id = {work.job.id: work for work in works}
         for placement in place(planned.groups, samplers, self._lengths):
             self._start(by_id[placement.job], placement, now)
-        slow = find_slow(
-            works, self._list_samplers(now), now, self._expect_seconds
+        slow = find_moves(
+            works, self._list_samplers(now), now, self._estimate_seconds
         )
         for progress in slow:
             self._move(progress)
 
-    def _expect_seconds(self, work: JobWork, progress: ItemProgress) -> float:
+    def _estimate_seconds(self, work: JobWork, progress: ItemProgress) -> float:
         """Return how long an item still takes at the usual pace, or 0."""
         model = work.job.model
         if not self._lengths.is_known(model):
             return 0
-        return self._lengths.expect(model, progress).long * self._find_pace()
+        return (
+            self._lengths.estimate(model, progress).conservative
+            * self._find_pace()
+        )
 
     def _find_pace(self) -> float:
         serving = self._upstreams.serving(self._service)
-        return find_usual_pace(serving, self._states)
+        return find_median_interval(serving, self._states)
 
     def _leave_silent(self, works: Sequence[JobWork], now: float) -> None:
         """Have texts on samplers that have gone dark go on elsewhere."""
@@ -111,7 +118,9 @@
         if now - self._listens_since < LATE_LOOK_SECONDS:
             return
         pace = self._find_pace()
-        for name, runs in find_silent(works, self._states, pace, now).items():
+        for name, runs in find_unresponsive(
+            works, self._states, pace, now
+        ).items():
             heard_at = max(progress.last_event_at for progress in runs)
             write(
                 _LOGGER,
@@ -143,15 +152,21 @@
         self._states.notify()
 
     def _list_samplers(
-        self, now: float, *, soon: bool = False
+        self, now: float, *, include_upcoming: bool = False
     ) -> list[SamplerSlots]:
         serving = self._upstreams.serving(self._service)
-        return list_slots(serving, self._states, self._slots(), now, soon=soon)
+        return list_slots(
+            serving,
+            self._states,
+            self._slots(),
+            now,
+            include_upcoming=include_upcoming,
+        )
 
     def _forecast(self, works: Sequence[JobWork], now: float) -> Forecast:
         planned = forecast(
             works,
-            share_slots(self._list_samplers(now, soon=True)),
+            sum_slots_by_model(self._list_samplers(now, include_upcoming=True)),
             self._find_pace(),
             self._lengths,
             now,
@@ -162,21 +177,21 @@
     def _note_behind(self, planned: Forecast, now: float) -> None:
         """Tell of each group once when it goes behind, and forget the rest."""
         behind = {
-            (each.job.job.id, each.group): each
+            (each.work.job.id, each.group): each
             for each in planned.groups
-            if each.behind
+            if each.deferred
         }
         for key, plan in behind.items():
             if key not in self._behind:
                 self._metrics.count(names.GROUPS_BEHIND)
                 self._tell_behind(plan, planned, now)
-        waiting = {(each.job.job.id, each.group) for each in planned.groups}
+        waiting = {(each.work.job.id, each.group) for each in planned.groups}
         self._behind = (self._behind & waiting) | behind.keys()
 
     def _tell_behind(
         self, plan: GroupPlan, planned: Forecast, now: float
     ) -> None:
-        job = plan.job.job
+        job = plan.work.job
         write(
             _LOGGER,
             events.GROUP_BEHIND,
@@ -185,8 +200,8 @@
             model=job.model,
             waiting=len(plan.waiting),
             left=round(plan.due - now, 2),
-            longest=round(plan.longest, 2),
-            work=round(plan.work, 1),
+            longest=round(plan.longest_seconds, 2),
+            work=round(plan.slot_seconds, 1),
             backlog=round(planned.backlogs.get(job.model, 0), 2),
         )
 
--- a/guavagate/jobs/_pace.py
+++ b/guavagate/jobs/_event_interval.py
@@ -12,16 +12,16 @@
 from typing import Final
 
 # Of one stream; a clump is rarely longer.
-BATCH_EVENTS: Final = 8
+MAX_BATCH_EVENTS: Final = 8
 # A sampler that has turned slow is noticed after so long, with few events.
-BATCH_SECONDS: Final = 0.4
-LEAST_EVENTS: Final = 2
+MIN_BATCH_SECONDS: Final = 0.4
+MIN_BATCH_EVENTS: Final = 2
 # A gap this long between two events is a load of weights or a preemption and
 # says nothing of the sampler's pace.
 STALL_SECONDS: Final = 0.4
 
 
-class PaceMeter:
+class EventIntervalMeter:
     """Measures one stream; times on the runtime's clock, in seconds."""
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self._last = float(0)
         self._events = 0
 
-    def note(self, now: float) -> float | None:
+    def record_event(self, now: float) -> float | None:
         """Take in an event; return seconds an event once they are known."""
         since, last = self._since, self._last
         self._last = now
@@ -38,8 +38,8 @@
             return None
         self._events += 1
         took = now - since
-        enough = self._events >= LEAST_EVENTS and took >= BATCH_SECONDS
-        if not enough and self._events < BATCH_EVENTS:
+        enough = self._events >= MIN_BATCH_EVENTS and took >= MIN_BATCH_SECONDS
+        if not enough and self._events < MAX_BATCH_EVENTS:
             return None
         pace = took / self._events
         self._begin(now)
--- a/guavagate/jobs/_forecast.py
+++ b/guavagate/jobs/_forecast.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from guavagate.jobs._lengths import Lengths
+from guavagate.jobs._lengths import LengthEstimator
 from guavagate.jobs._models import GroupId
 from guavagate.jobs._work import ItemProgress, JobWork
 
@@ -48,25 +48,25 @@
     where so much waits that groups are made one after the other.
     """
 
-    job: JobWork
+    work: JobWork
     group: GroupId
     rank: int
     waiting: list[ItemProgress]
-    work: float = 0
-    longest: float = 0
+    slot_seconds: float = 0
+    longest_seconds: float = 0
     late: bool = False
-    behind: bool = False
-    crowded: bool = False
+    deferred: bool = False
+    sequential: bool = False
 
     @property
     def due(self) -> float:
         """Return until when the group is of full use."""
-        return self.job.due + READ_SLACK_SECONDS
+        return self.work.due + READ_SLACK_SECONDS
 
     @property
     def wanted(self) -> bool:
         """Return whether the trainer waits for it."""
-        return self.rank < self.job.job.target_groups
+        return self.rank < self.work.job.target_groups
 
 
 class Forecast(msgspec.Struct):
@@ -80,7 +80,7 @@
     works: Sequence[JobWork],
     slots: Mapping[str, float],
     event_seconds: float,
-    lengths: Lengths,
+    lengths: LengthEstimator,
     now: float,
 ) -> Forecast:
     """Return the groups that wait, in the order of their due times.
@@ -109,7 +109,7 @@
     works: Sequence[JobWork],
     slots: float,
     event_seconds: float,
-    lengths: Lengths,
+    lengths: LengthEstimator,
     now: float,
 ) -> tuple[list[GroupPlan], float]:
     """Return a model's groups that wait, and how long all wanted take."""
@@ -119,22 +119,22 @@
         planned, seconds = _plan_job(work, event_seconds, lengths, now)
         plans += planned
         running += seconds
-    plans.sort(key=_rank)
+    plans.sort(key=_rank_by_due)
     wanted = [each for each in plans if each.wanted]
-    backlog = (running + sum(each.work for each in wanted)) / slots
+    backlog = (running + sum(each.slot_seconds for each in wanted)) / slots
     for plan in plans:
-        plan.crowded = backlog > BACKLOG_CROWDED * plan.job.job.objective
+        plan.sequential = backlog > BACKLOG_CROWDED * plan.work.job.objective
     if event_seconds and lengths.is_known(works[0].job.model):
-        _put_behind(wanted, running, backlog, slots, now)
+        _defer_groups(wanted, running, backlog, slots, now)
     return plans, backlog
 
 
-def _rank(plan: GroupPlan) -> tuple[float, float, int]:
-    return plan.due, plan.job.opened_at, plan.rank
+def _rank_by_due(plan: GroupPlan) -> tuple[float, float, int]:
+    return plan.due, plan.work.opened_at, plan.rank
 
 
 def _plan_job(
-    work: JobWork, event_seconds: float, lengths: Lengths, now: float
+    work: JobWork, event_seconds: float, lengths: LengthEstimator, now: float
 ) -> tuple[list[GroupPlan], float]:
     """Return a job's groups that wait, and what its running items take."""
     plans: dict[GroupId, GroupPlan] = {}
@@ -154,19 +154,21 @@
             plan.waiting.append(progress)
         if not known:
             continue
-        length = lengths.expect(model, progress)
-        plan.longest = max(plan.longest, length.long * event_seconds)
+        length = lengths.estimate(model, progress)
+        plan.longest_seconds = max(
+            plan.longest_seconds, length.conservative * event_seconds
+        )
         if waits:
-            plan.work += length.usual * event_seconds
+            plan.slot_seconds += length.typical * event_seconds
         else:
-            running += length.usual * event_seconds
+            running += length.typical * event_seconds
     waiting = [each for each in plans.values() if each.waiting]
     for plan in waiting:
-        plan.late = known and now + plan.longest > plan.due
+        plan.late = known and now + plan.longest_seconds > plan.due
     return waiting, running
 
 
-def _put_behind(
+def _defer_groups(
     wanted: Sequence[GroupPlan],
     running: float,
     backlog: float,
@@ -182,23 +184,25 @@
     load = running
     for plan in wanted:
         kept.append(plan)
-        load += plan.work
+        load += plan.slot_seconds
         if plan.late:
             continue
-        tail = plan.longest * _weigh_tail(backlog, plan.job.job.objective)
+        tail = plan.longest_seconds * _compute_tail_ratio(
+            backlog, plan.work.job.objective
+        )
         while plan in kept and now + load / slots + tail > plan.due:
-            out = max(kept, key=_weigh)
+            out = max(kept, key=_rank_for_deferral)
             kept.remove(out)
-            out.behind = True
-            load -= out.work
+            out.deferred = True
+            load -= out.slot_seconds
 
 
-def _weigh(plan: GroupPlan) -> tuple[bool, float]:
+def _rank_for_deferral(plan: GroupPlan) -> tuple[bool, float]:
     """Return what speaks for putting a group behind: late first, then work."""
-    return plan.late, plan.work
+    return plan.late, plan.slot_seconds
 
 
-def _weigh_tail(backlog: float, objective: float) -> float:
+def _compute_tail_ratio(backlog: float, objective: float) -> float:
     """Return how much of a longest text comes after its group has begun."""
     share = (backlog / objective - BACKLOG_LIGHT) / (
         BACKLOG_FULL - BACKLOG_LIGHT
--- a/guavagate/jobs/_lengths.py
+++ b/guavagate/jobs/_lengths.py
@@ -14,22 +14,22 @@
 from guavagate.jobs._work import ItemProgress
 
 # Texts that are remembered of a model: those of a few steps.
-MOST_TEXTS: Final = 256
+MAX_TEXTS: Final = 256
 # One text in twenty is longer: a group is as late as its longest text.
 LONG_QUANTILE: Final = 0.95
 # As few say nothing of the long ones.
-LEAST_TEXTS: Final = 20
+MIN_TEXTS: Final = 20
 
 
-class Length(msgspec.Struct, frozen=True):
+class LengthEstimate(msgspec.Struct, frozen=True):
     """What is still to be made of a text, in events.
 
     `usual` is what it takes from a sampler's time, `long` what a caller who
     must not be late has to reckon with.
     """
 
-    usual: float
-    long: float
+    typical: float
+    conservative: float
 
 
 class _Seen(msgspec.Struct):
@@ -52,7 +52,7 @@
 
     def note(self, events: int, tokens: int) -> None:
         """Take in a text; the oldest one is forgotten."""
-        if len(self.events) == MOST_TEXTS:
+        if len(self.events) == MAX_TEXTS:
             oldest = self.tokens.popleft()
             forgotten = self.events.popleft()
             self._add(-forgotten, -oldest, bool(oldest))
@@ -70,7 +70,7 @@
             self.total_tokens += tokens
 
 
-class Lengths:
+class LengthEstimator:
     """What is known of the texts of each model."""
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
             lambda: _Seen(deque(), deque())
         )
 
-    def note(self, model: str, progress: ItemProgress) -> None:
+    def record(self, model: str, progress: ItemProgress) -> None:
         """Take in a text that has ended."""
         tokens = progress.item.expected_tokens
         self._seen[model].note(progress.text.last_number, tokens)
@@ -86,9 +86,9 @@
     def is_known(self, model: str) -> bool:
         """Return whether enough texts of a model have ended."""
         seen = self._seen.get(model)
-        return seen is not None and len(seen.events) >= LEAST_TEXTS
+        return seen is not None and len(seen.events) >= MIN_TEXTS
 
-    def expect(self, model: str, progress: ItemProgress) -> Length:
+    def estimate(self, model: str, progress: ItemProgress) -> LengthEstimate:
         """Return what is still to be made of an item; at least one event.
 
         A text that is longer already than what was expected of it goes on for
@@ -107,4 +107,4 @@
             long = min(long, seen.most or long)
             usual = long
         least = max(seen.mean / 4, 1)
-        return Length(max(usual - made, least), max(long - made, least))
+        return LengthEstimate(max(usual - made, least), max(long - made, least))
--- a/guavagate/jobs/_owner.py
+++ b/guavagate/jobs/_owner.py
@@ -14,6 +14,7 @@
 from guavagate.helpers.waits import wait_for
 from guavagate.jobs._active import ActiveJobs
 from guavagate.jobs._dispatch import Dispatcher
+from guavagate.jobs._event_interval import STALL_SECONDS
 from guavagate.jobs._expiry import is_expired, remove_job
 from guavagate.jobs._messages import LookupStatus
 from guavagate.jobs._models import (
@@ -26,9 +27,8 @@
     Result,
     ResultState,
 )
-from guavagate.jobs._pace import STALL_SECONDS
 from guavagate.jobs._replicas import REPLICATION_INTERVAL_SECONDS, TextReplicas
-from guavagate.jobs._rewards import Rewards
+from guavagate.jobs._rewards import RewardDispatcher
 from guavagate.jobs._runner import ItemRunner
 from guavagate.jobs._snapshots import TextSnapshots
 from guavagate.jobs._store import JobStore, decode_job
@@ -96,7 +96,7 @@
         self._wake = Event()
         self._started_at = clock.now()
         self._taken_over = False
-        self._rewards = Rewards(
+        self._rewards = RewardDispatcher(
             clock, rewards, metrics, self._finish, self._wake.set
         )
         runner = ItemRunner(
@@ -201,8 +201,8 @@
         self._snapshots.restore(work)
 
     def _on_text_complete(self, work: JobWork, progress: ItemProgress) -> None:
-        self._dispatcher.note_text(work, progress)
-        self._rewards.take_whole(work, progress)
+        self._dispatcher.record_text(work, progress)
+        self._rewards.handle_complete_text(work, progress)
 
     def _on_job_loaded(self, job: Job) -> None:
         amount = sum(max(each.expected_tokens, 1) for each in job.items)
--- a/guavagate/jobs/_rewards.py
+++ b/guavagate/jobs/_rewards.py
@@ -38,7 +38,7 @@
 Finish = Callable[[JobWork, Result], None]
 
 
-class Rewards:
+class RewardDispatcher:
     """Sends reward requests for an owner; each is a task of its own."""
 
     def __init__(
@@ -55,7 +55,9 @@
         self._finish = finish
         self._wake = wake
 
-    def take_whole(self, work: JobWork, progress: ItemProgress) -> None:
+    def handle_complete_text(
+        self, work: JobWork, progress: ItemProgress
+    ) -> None:
         """Take a text that is whole; one without a reward is a result."""
         if progress.item.reward is None:
             self._finish(work, _complete(progress, ''))
@@ -74,9 +76,9 @@
     def dispatch(self, works: Sequence[JobWork], now: float) -> None:
         """Start the requests for which the upstreams have room."""
         rooms: dict[ServiceId, int] = {}
-        for work, progress in order_unrated(works, now):
+        for work, progress in order_pending_rewards(works, now):
             if progress.item.reward is None:
-                self.take_whole(work, progress)
+                self.handle_complete_text(work, progress)
                 continue
             route = self._client.find_route(progress.item.reward)
             if route is None:
@@ -185,7 +187,7 @@
         )
 
 
-def order_unrated(
+def order_pending_rewards(
     works: Sequence[JobWork], now: float
 ) -> list[tuple[JobWork, ItemProgress]]:
     """Return the whole texts without a reward, in the order to ask for it."""
--- a/guavagate/jobs/_runner.py
+++ b/guavagate/jobs/_runner.py
@@ -14,8 +14,8 @@
     UpstreamNotStartedError,
     UpstreamUnreachableError,
 )
+from guavagate.jobs._event_interval import EventIntervalMeter
 from guavagate.jobs._models import Result, ResultState
-from guavagate.jobs._pace import PaceMeter
 from guavagate.jobs._work import ItemProgress, JobWork, Text
 from guavagate.ports.sampler import (
     ItemFailedError,
@@ -40,7 +40,7 @@
 BROKEN_SECONDS: Final = 0.5
 
 Finish = Callable[[JobWork, Result], None]
-TakeWhole = Callable[[JobWork, ItemProgress], None]
+HandleCompleteText = Callable[[JobWork, ItemProgress], None]
 
 
 class ItemRunner:
@@ -53,9 +53,9 @@
         upstreams: UpstreamTable,
         states: SamplerStates,
         finish: Finish,
-        take_whole: TakeWhole,
+        handle_complete_text: HandleCompleteText,
     ) -> None:
-        self._take_whole = take_whole
+        self._handle_complete_text = handle_complete_text
         self._clock = clock
         self._client = client
         self._upstreams = upstreams
@@ -121,14 +121,14 @@
         self._upstreams.record_success(upstream.id, 0)
         if not progress.done:
             progress.text.complete = True
-            self._take_whole(work, progress)
+            self._handle_complete_text(work, progress)
 
     def _take_events(
         self, work: JobWork, progress: ItemProgress, upstream: Upstream
     ) -> None:
         assert progress.run is not None
         stream = progress.run.events()
-        meter = PaceMeter()
+        meter = EventIntervalMeter()
         last_at = self._clock.now()
         while True:
             with self._clock.timeout(SILENT_SECONDS, _silence(upstream)):
@@ -137,7 +137,7 @@
                 return
             now = self._clock.now()
             progress.longest_gap = max(progress.longest_gap, now - last_at)
-            pace = meter.note(now)
+            pace = meter.record_event(now)
             if pace is not None:
                 self._states.record_event_interval(upstream.id, pace)
             last_at = now
--- a/guavagate/jobs/_schedule.py
+++ b/guavagate/jobs/_schedule.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from guavagate.jobs._forecast import GroupPlan
-from guavagate.jobs._lengths import Lengths
+from guavagate.jobs._lengths import LengthEstimator
 from guavagate.jobs._models import ItemId, JobId
 from guavagate.jobs._work import ItemProgress, JobWork
 from guavagate.models import UpstreamId, WeightVersion
@@ -26,19 +26,19 @@
 
 # A group's items share their prompt: on the sampler that has read it, it is
 # not read again, which takes a tenth of the time of one event.
-SAME_GROUP_WORTH: Final = 0.06
+SAME_GROUP_BONUS: Final = 0.06
 # A full batch makes an event at most this much slower than an empty one, on
 # kinds of samplers that are not known as well.
-FILL_COST: Final = 0.2
+FULL_BATCH_COST: Final = 0.2
 # Less of a difference is within what a fuller batch makes.
-MOVE_RATIO: Final = 1.25
+MIN_MOVE_RATIO: Final = 1.25
 # What a move has to gain; a connection and the prompt take a tenth of that.
-MOVE_GAIN_SECONDS: Final = 0.5
+MIN_MOVE_GAIN_SECONDS: Final = 0.5
 # Most items end sooner; what runs for longer is one of the long ones.
 MOVE_AFTER_SECONDS: Final = 1.5
-MOST_MOVES: Final = 2
+MAX_MOVES: Final = 2
 # One more where a sampler has turned so much slower than another.
-CRAWL_RATIO: Final = 2.0
+EXTRA_MOVE_RATIO: Final = 2.0
 
 
 class SamplerSlots(msgspec.Struct, kw_only=True):
@@ -52,13 +52,13 @@
     versions: dict[str, WeightVersion]
     free: int
     slots: int
-    pace: float = 1.0
+    relative_interval: float = 1.0
     models: frozenset[str] = frozenset()
     groups: set[str] = set()
 
 
 # How long an item still takes at the usual pace, in seconds; 0: not known.
-ExpectSeconds = Callable[[JobWork, ItemProgress], float]
+EstimateSeconds = Callable[[JobWork, ItemProgress], float]
 
 
 class Placement(msgspec.Struct, frozen=True):
@@ -72,29 +72,29 @@
 def place(
     plans: Sequence[GroupPlan],
     samplers: Sequence[SamplerSlots],
-    lengths: Lengths,
+    lengths: LengthEstimator,
 ) -> list[Placement]:
     """Return the items to start now; takes their slots from `samplers`."""
     placements: list[Placement] = []
     for plan, progress in order_items(plans, lengths):
         if not any(sampler.free for sampler in samplers):
             break
-        sampler = _find(plan.job, progress, samplers)
+        sampler = _find(plan.work, progress, samplers)
         if sampler is None:
             continue
         sampler.free -= 1
         sampler.groups.add(progress.item.group)
         placements.append(
-            Placement(plan.job.job.id, progress.item.id, sampler.id)
+            Placement(plan.work.job.id, progress.item.id, sampler.id)
         )
     return placements
 
 
-def find_slow(
+def find_moves(
     works: Sequence[JobWork],
     samplers: Sequence[SamplerSlots],
     now: float,
-    expect_seconds: ExpectSeconds,
+    estimate_seconds: EstimateSeconds,
 ) -> list[ItemProgress]:
     """Return the items to take from slow samplers to faster, free ones.
 
@@ -105,10 +105,14 @@
     than it makes it, so a move costs little; each item moves a few times at
     most, those that gain most first. Slots go to items that wait before.
     """
-    free = [sampler.pace for sampler in samplers if sampler.free > 0]
-    slow = MOVE_RATIO * min(free, default=0)
+    free = [
+        sampler.relative_interval for sampler in samplers if sampler.free > 0
+    ]
+    slow = MIN_MOVE_RATIO * min(free, default=0)
     by_id = {
-        sampler.id: sampler for sampler in samplers if sampler.pace >= slow
+        sampler.id: sampler
+        for sampler in samplers
+        if sampler.relative_interval >= slow
     }
     if not free or not by_id:
         return []
@@ -120,9 +124,9 @@
         for progress in work.items.values():
             here = by_id.get(progress.sampler or UpstreamId(''))
             if here is not None and progress.run is not None:
-                left = expect_seconds(work, progress)
+                left = estimate_seconds(work, progress)
                 candidates.append((left, work, progress, here))
-    candidates.sort(key=lambda each: -each[0] * each[3].pace)
+    candidates.sort(key=lambda each: -each[0] * each[3].relative_interval)
     found: list[ItemProgress] = []
     for left, work, progress, here in candidates:
         there = _find(work, progress, samplers)
@@ -162,20 +166,23 @@
     item that has just moved stays for a while: paces are told by single events,
     and with its moves used up within a moment it would end on a slow sampler.
     """
-    if progress.started_at is None or progress.moves > MOST_MOVES:
+    if progress.started_at is None or progress.moves > MAX_MOVES:
         return False
-    ratio = here.pace / there.pace
-    least = MOVE_RATIO if progress.moves < MOST_MOVES else CRAWL_RATIO
+    ratio = here.relative_interval / there.relative_interval
+    least = MIN_MOVE_RATIO if progress.moves < MAX_MOVES else EXTRA_MOVE_RATIO
     if ratio < least:
         return False
     settled = now - progress.started_at > MOVE_AFTER_SECONDS
     if left and (settled or not progress.moves):
-        return left * (here.pace - there.pace) >= MOVE_GAIN_SECONDS
+        return (
+            left * (here.relative_interval - there.relative_interval)
+            >= MIN_MOVE_GAIN_SECONDS
+        )
     return settled and not left
 
 
 def order_items(
-    plans: Sequence[GroupPlan], lengths: Lengths
+    plans: Sequence[GroupPlan], lengths: LengthEstimator
 ) -> list[tuple[GroupPlan, ItemProgress]]:
     """Return the items that wait, in the order to start them."""
     rows = [
@@ -188,16 +195,16 @@
 
 
 def _order(
-    plan: GroupPlan, progress: ItemProgress, lengths: Lengths
+    plan: GroupPlan, progress: ItemProgress, lengths: LengthEstimator
 ) -> tuple[float, ...]:
     """Return the key of an item that waits; the least one starts first."""
-    length = lengths.expect(plan.job.job.model, progress).long
-    head = (not plan.wanted, plan.behind)
-    if plan.behind:
-        return (*head, plan.work, plan.due, plan.rank, -length)
-    if plan.crowded:
-        return (*head, plan.due, plan.job.opened_at, plan.rank, -length)
-    return (*head, plan.due, plan.job.opened_at, -length, plan.rank)
+    length = lengths.estimate(plan.work.job.model, progress).conservative
+    head = (not plan.wanted, plan.deferred)
+    if plan.deferred:
+        return (*head, plan.slot_seconds, plan.due, plan.rank, -length)
+    if plan.sequential:
+        return (*head, plan.due, plan.work.opened_at, plan.rank, -length)
+    return (*head, plan.due, plan.work.opened_at, -length, plan.rank)
 
 
 def _find(
@@ -218,7 +225,7 @@
 
     def cost(sampler: SamplerSlots) -> float:
         fill = 1 - (sampler.free - 1) / sampler.slots
-        near = SAME_GROUP_WORTH if group in sampler.groups else 0
-        return sampler.pace * (1 + FILL_COST * fill) - near
+        near = SAME_GROUP_BONUS if group in sampler.groups else 0
+        return sampler.relative_interval * (1 + FULL_BATCH_COST * fill) - near
 
     return min(fitting, key=cost)
--- a/guavagate/jobs/_slots.py
+++ b/guavagate/jobs/_slots.py
@@ -9,7 +9,7 @@
 
 # A load of weights takes about as long, and so does the first pause after a
 # failure.
-SOON_SECONDS: Final = 1.0
+UPCOMING_SECONDS: Final = 1.0
 
 
 def list_slots(
@@ -18,7 +18,7 @@
     default: int,
     now: float,
     *,
-    soon: bool = False,
+    include_upcoming: bool = False,
 ) -> list[SamplerSlots]:
     """Return the samplers that neither load, failed just now nor are silent.
 
@@ -31,14 +31,14 @@
         for a forecast: while a model's samplers load it has no slots, and that
         is over before anything is late.
     """
-    until = now + SOON_SECONDS if soon else now
+    until = now + UPCOMING_SECONDS if include_upcoming else now
     known = [(each, states.get(each.id)) for each in serving]
-    usual = find_usual_pace(serving, states)
+    usual = find_median_interval(serving, states)
     listed = []
     for upstream, state in known:
         if state.stalled or state.avoid_until > until:
             continue
-        if state.loading and not soon:
+        if state.loading and not include_upcoming:
             continue
         slots = upstream.slots or default
         listed.append(
@@ -47,7 +47,7 @@
                 versions=state.versions,
                 free=max(slots - state.in_flight, 0),
                 slots=slots,
-                pace=state.event_interval / usual
+                relative_interval=state.event_interval / usual
                 if usual and state.event_interval
                 else 1.0,
                 models=states.get_models(upstream.id),
@@ -56,7 +56,7 @@
     return listed
 
 
-def find_usual_pace(
+def find_median_interval(
     serving: Sequence[Upstream], states: SamplerStates
 ) -> float:
     """Return how long most samplers take for an event; 0 if none has shown.
@@ -69,7 +69,7 @@
     return paces[len(paces) // 2] if paces else 0
 
 
-def share_slots(samplers: Sequence[SamplerSlots]) -> dict[str, float]:
+def sum_slots_by_model(samplers: Sequence[SamplerSlots]) -> dict[str, float]:
     """Return what each model has of the samplers' slots, at the usual pace.
 
     A sampler of several models is shared by them alike, and one that takes
@@ -78,6 +78,8 @@
     slots: dict[str, float] = {}
     for sampler in samplers:
         for model in sampler.models:
-            share = sampler.slots / sampler.pace / len(sampler.models)
+            share = (
+                sampler.slots / sampler.relative_interval / len(sampler.models)
+            )
             slots[model] = slots.get(model, 0) + share
     return slots
--- a/guavagate/jobs/_silence.py
+++ b/guavagate/jobs/_stalls.py
@@ -16,14 +16,14 @@
 from guavagate.rollouts import SamplerStates
 
 # One stream that is silent may have been put off by the sampler.
-LEAST_STREAMS: Final = 2
+MIN_STALLED_STREAMS: Final = 2
 # As many events would have come meanwhile; within these bounds, in seconds.
-QUIET_EVENTS: Final = 15
-LEAST_QUIET_SECONDS: Final = 0.5
-MOST_QUIET_SECONDS: Final = 2.0
+STALL_EVENTS: Final = 15
+MIN_STALL_SECONDS: Final = 0.5
+MAX_STALL_SECONDS: Final = 2.0
 
 
-def find_silent(
+def find_unresponsive(
     works: Sequence[JobWork],
     states: SamplerStates,
     event_seconds: float,
@@ -41,12 +41,12 @@
         for progress in work.items.values():
             if progress.sampler is not None and progress.task is not None:
                 runs.setdefault(progress.sampler, []).append(progress)
-    usual = event_seconds * QUIET_EVENTS
-    quiet = min(max(usual, LEAST_QUIET_SECONDS), MOST_QUIET_SECONDS)
+    usual = event_seconds * STALL_EVENTS
+    quiet = min(max(usual, MIN_STALL_SECONDS), MAX_STALL_SECONDS)
     return {
         sampler: held
         for sampler, held in runs.items()
-        if len(held) >= LEAST_STREAMS
+        if len(held) >= MIN_STALLED_STREAMS
         and now - max(each.last_event_at for each in held) > quiet
         and not states.get(sampler).loading
     }
--- a/tests/jobs/load_model.py
+++ b/tests/jobs/load_model.py
@@ -5,7 +5,7 @@
 group that is whole, goes on at its deadline, and asks again with a later step
 for the groups that it did not get. A tenth of the texts is five times as long
 as the others; most come with an estimate of their length, which is often far
-off. The real decisions (`place`, `find_slow`) run on it in steps of `TICK`.
+off. The real decisions (`place`, `find_moves`) run on it in steps of `TICK`.
 """
 
 import random
@@ -13,7 +13,7 @@
 from typing import Final
 
 from guavagate.clock import PausedClock
-from guavagate.jobs._lengths import Lengths
+from guavagate.jobs._lengths import LengthEstimator
 from guavagate.jobs._models import (
     GroupId,
     ItemId,
@@ -24,7 +24,7 @@
     ResultState,
 )
 from guavagate.jobs._result_log import ResultLog
-from guavagate.jobs._schedule import SamplerSlots, find_slow, place
+from guavagate.jobs._schedule import SamplerSlots, find_moves, place
 from guavagate.jobs._work import ItemProgress, JobWork
 from guavagate.measure.fakes import MemoryStore
 from guavagate.models import ServiceId, UpstreamId, WeightVersion
@@ -80,7 +80,7 @@
     ) -> None:
         self._random = random.Random(seed)
         self._plan = plan
-        self._lengths = Lengths()
+        self._lengths = LengthEstimator()
         self._clock = PausedClock()
         self._store = MemoryStore(self._clock)
         self._slots = slots
@@ -210,7 +210,7 @@
                 progress.last_event_at = now
             progress.text.last_number = int(self._made.get(item, 0))
             if self._made.get(item, 0) >= self._events[item]:
-                self._lengths.note(step.work.job.model, progress)
+                self._lengths.record(step.work.job.model, progress)
                 self._finish(step.work, progress)
                 self._free(progress, sampler)
                 continue
@@ -287,15 +287,19 @@
             progress.run = _Run()
             self._running.append((trainer, step, progress, sampler))
         samplers = self._list_slots(now)
-        for progress in find_slow(works, samplers, now, self._expect_seconds):
+        for progress in find_moves(
+            works, samplers, now, self._estimate_seconds
+        ):
             progress.moves += 1
             progress.cancelled = True
 
-    def _expect_seconds(self, work: JobWork, progress: ItemProgress) -> float:
+    def _estimate_seconds(self, work: JobWork, progress: ItemProgress) -> float:
         model = work.job.model
         if not self._lengths.is_known(model):
             return 0
-        return self._lengths.expect(model, progress).long * EVENT_SECONDS
+        return (
+            self._lengths.estimate(model, progress).conservative * EVENT_SECONDS
+        )
 
     def _list_slots(self, now: float) -> list[SamplerSlots]:
         models = frozenset(each.name for each in self._trainers)
@@ -307,7 +311,7 @@
                 versions=dict.fromkeys(models, WeightVersion(0)),
                 free=self._slots - self._held[number],
                 slots=self._slots,
-                pace=(pace or usual) / usual,
+                relative_interval=(pace or usual) / usual,
                 models=(
                     models
                     if self._shared
--- a/tests/jobs/load_parts.py
+++ b/tests/jobs/load_parts.py
@@ -5,10 +5,10 @@
 from typing import Final
 
 from guavagate.jobs._forecast import GroupPlan, forecast
-from guavagate.jobs._lengths import Lengths
+from guavagate.jobs._lengths import LengthEstimator
 from guavagate.jobs._models import GroupId, JobItem
 from guavagate.jobs._schedule import SamplerSlots
-from guavagate.jobs._slots import share_slots
+from guavagate.jobs._slots import sum_slots_by_model
 from guavagate.jobs._work import JobWork
 
 EVENT_SECONDS: Final = 0.04
@@ -29,7 +29,7 @@
 HINT_TOKENS: Final = 60
 
 Plan = Callable[
-    [Sequence[JobWork], Sequence[SamplerSlots], Lengths, float],
+    [Sequence[JobWork], Sequence[SamplerSlots], LengthEstimator, float],
     list[GroupPlan],
 ]
 
@@ -37,18 +37,18 @@
 def plan_forecast(
     works: Sequence[JobWork],
     samplers: Sequence[SamplerSlots],
-    lengths: Lengths,
+    lengths: LengthEstimator,
     now: float,
 ) -> list[GroupPlan]:
     """Plan as the owner does."""
-    slots = share_slots(samplers)
+    slots = sum_slots_by_model(samplers)
     return forecast(works, slots, EVENT_SECONDS, lengths, now).groups
 
 
 def plan_by_due(
     works: Sequence[JobWork],
     samplers: Sequence[SamplerSlots],
-    lengths: Lengths,
+    lengths: LengthEstimator,
     now: float,
 ) -> list[GroupPlan]:
     """Plan by due times alone."""
--- a/tests/jobs/test_pace.py
+++ b/tests/jobs/test_event_interval.py
@@ -2,7 +2,7 @@
 
 import random
 
-from guavagate.jobs._pace import PaceMeter
+from guavagate.jobs._event_interval import EventIntervalMeter
 from guavagate.models import UpstreamId
 from guavagate.rollouts import SamplerStates
 
@@ -39,9 +39,9 @@
     for number, pace in enumerate(paces):
         name = UpstreamId(str(number))
         for _ in range(3):
-            meter = PaceMeter()
+            meter = EventIntervalMeter()
             for at in _arrive(pace, held_up, rng, seconds):
-                seen = meter.note(at)
+                seen = meter.record_event(at)
                 if seen is not None:
                     states.record_event_interval(name, seen)
     return [
@@ -77,8 +77,10 @@
 
 def test_a_load_of_weights_says_nothing_of_the_pace() -> None:
     """Nothing comes for a second, and then all as before."""
-    meter = PaceMeter()
+    meter = EventIntervalMeter()
     times = [0.05 * n for n in range(40)] + [3 + 0.05 * n for n in range(40)]
-    seen = [pace for at in times if (pace := meter.note(at)) is not None]
+    seen = [
+        pace for at in times if (pace := meter.record_event(at)) is not None
+    ]
     assert len(seen) > 5
     assert max(seen) < 0.06
--- a/tests/jobs/test_lengths.py
+++ b/tests/jobs/test_lengths.py
@@ -16,7 +16,7 @@
     """Trainers count tokens, samplers send events of several."""
     lengths = make_lengths(events=25, tokens=1000)
     progress = _make_progress(600)
-    assert lengths.expect(MODEL, progress).usual == pytest.approx(15)
+    assert lengths.estimate(MODEL, progress).typical == pytest.approx(15)
 
 
 def test_a_text_beyond_its_estimate_is_not_taken_for_done() -> None:
@@ -24,14 +24,14 @@
     lengths = make_lengths(events=25, tokens=1000)
     progress = _make_progress(600)
     progress.text.last_number = 40
-    assert lengths.expect(MODEL, progress).usual > 0
+    assert lengths.estimate(MODEL, progress).typical > 0
 
 
 def test_no_text_is_expected_to_be_longer_than_any_was() -> None:
     """An estimate is ten times too high, and texts have a limit."""
     lengths = make_lengths(events=25, tokens=1000)
     progress = _make_progress(20000)
-    assert lengths.expect(MODEL, progress).long == 25
+    assert lengths.estimate(MODEL, progress).conservative == 25
 
 
 def test_texts_without_an_estimate_may_be_long_ones() -> None:
@@ -40,7 +40,7 @@
     work = make_work('seen', tokens=0, groups=10, size=1)
     for progress in work.items.values():
         progress.text.last_number = 120
-        lengths.note(MODEL, progress)
-    length = lengths.expect(MODEL, _make_progress(0))
-    assert length.long == 60
-    assert 25 < length.usual < 60
+        lengths.record(MODEL, progress)
+    length = lengths.estimate(MODEL, _make_progress(0))
+    assert length.conservative == 60
+    assert 25 < length.typical < 60
--- a/tests/jobs/test_rewards.py
+++ b/tests/jobs/test_rewards.py
@@ -5,7 +5,7 @@
 
 from guavagate.jobs import JobId, Result, ResultState
 from guavagate.jobs._result_log import ResultLog
-from guavagate.jobs._rewards import order_unrated
+from guavagate.jobs._rewards import order_pending_rewards
 from guavagate.jobs._work import JobWork
 from guavagate.measure.fakes import World
 from tests.jobs.fleet import JobFleet, Node, find_other, make_job
@@ -208,7 +208,7 @@
     for name in ('0-0', '1-0', '1-1', '2-0', '2-1'):
         work.items[name].text.complete = True  # type: ignore[index]
     work.add_result(Result('2-1', ResultState.COMPLETED, '', []))  # type: ignore[arg-type]
-    ordered = [each.item.id for _, each in order_unrated([work], 0)]
+    ordered = [each.item.id for _, each in order_pending_rewards([work], 0)]
     assert ordered == ['2-0', '1-0', '1-1', '0-0']
 
 
--- a/tests/jobs/test_schedule.py
+++ b/tests/jobs/test_schedule.py
@@ -4,16 +4,16 @@
 
 from guavagate.clock import PausedClock
 from guavagate.jobs._forecast import forecast
-from guavagate.jobs._lengths import Lengths
+from guavagate.jobs._lengths import LengthEstimator
 from guavagate.jobs._result_log import ResultLog
 from guavagate.jobs._schedule import (
     Placement,
     SamplerSlots,
     count_demands,
 )
-from guavagate.jobs._schedule import find_slow as find_slow_known
+from guavagate.jobs._schedule import find_moves as find_moves_known
 from guavagate.jobs._schedule import place as place_planned
-from guavagate.jobs._slots import share_slots
+from guavagate.jobs._slots import sum_slots_by_model
 from guavagate.jobs._work import ItemProgress, JobWork
 from guavagate.measure.fakes import MemoryStore
 from guavagate.models import UpstreamId, WeightVersion
@@ -38,7 +38,7 @@
         versions={MODEL: WeightVersion(version)},
         free=free,
         slots=4,
-        pace=pace,
+        relative_interval=pace,
         models=frozenset((MODEL,)),
     )
 
@@ -47,19 +47,19 @@
     works: list[JobWork], samplers: list[SamplerSlots], now: float
 ) -> list[Placement]:
     """Place what the forecast plans, while no text has ended yet."""
-    lengths = Lengths()
-    planned = forecast(works, share_slots(samplers), 0, lengths, now)
+    lengths = LengthEstimator()
+    planned = forecast(works, sum_slots_by_model(samplers), 0, lengths, now)
     return place_planned(planned.groups, samplers, lengths)
 
 
-def find_slow(
+def find_moves(
     works: list[JobWork],
     samplers: list[SamplerSlots],
     now: float,
     left: float = 0,
 ) -> list[ItemProgress]:
     """Find what to move; `left` is what each item still takes, if known."""
-    return find_slow_known(works, samplers, now, lambda *_: left)
+    return find_moves_known(works, samplers, now, lambda *_: left)
 
 
 def test_no_more_than_the_free_slots_start() -> None:
@@ -111,9 +111,9 @@
     first.sampler = UpstreamId('slow')
     first.run = object()  # type: ignore[assignment]
     first.started_at = 90
-    assert not find_slow([work], samplers, 100)
+    assert not find_moves([work], samplers, 100)
     second.done = True
-    assert find_slow([work], samplers, 100) == [first]
+    assert find_moves([work], samplers, 100) == [first]
 
 
 def test_a_long_text_leaves_a_slow_sampler_at_once() -> None:
@@ -128,8 +128,8 @@
     progress.run = object()  # type: ignore[assignment]
     progress.started_at = 99.5
     samplers = [_make_sampler('slow', pace=1.35), _make_sampler('x')]
-    assert not find_slow([work], samplers, 100, left=1)
-    assert find_slow([work], samplers, 100, left=6) == [progress]
+    assert not find_moves([work], samplers, 100, left=1)
+    assert find_moves([work], samplers, 100, left=6) == [progress]
 
 
 def test_an_item_that_has_just_moved_stays_for_a_while() -> None:
@@ -145,8 +145,8 @@
     progress.started_at = 99.8
     progress.moves = 1
     samplers = [_make_sampler('slow', pace=1.35), _make_sampler('x')]
-    assert not find_slow([work], samplers, 100, left=6)
-    assert find_slow([work], samplers, 101.5, left=6) == [progress]
+    assert not find_moves([work], samplers, 100, left=6)
+    assert find_moves([work], samplers, 101.5, left=6) == [progress]
 
 
 def test_another_models_items_hold_up_no_move() -> None:
@@ -158,7 +158,7 @@
     progress.started_at = 90
     other = _make_work('job-2', model='other')
     samplers = [_make_sampler('slow', pace=3), _make_sampler('x')]
-    assert find_slow([work, other], samplers, 100) == [progress]
+    assert find_moves([work, other], samplers, 100) == [progress]
 
 
 def test_an_item_moves_a_few_times_at_most() -> None:
@@ -169,9 +169,9 @@
     progress.run = object()  # type: ignore[assignment]
     progress.started_at = 90
     samplers = [_make_sampler('slow', pace=3), _make_sampler('x')]
-    assert find_slow([work], samplers, 100)
+    assert find_moves([work], samplers, 100)
     progress.moves = 3
-    assert not find_slow([work], samplers, 100)
+    assert not find_moves([work], samplers, 100)
 
 
 def test_demands_tell_the_strictest_version_and_what_waits() -> None:
@@ -221,6 +221,6 @@
     progress.started_at = 90
     progress.moves = 2
     samplers = [_make_sampler('slow', pace=1.5), _make_sampler('x')]
-    assert not find_slow([work], samplers, 100)
+    assert not find_moves([work], samplers, 100)
     samplers = [_make_sampler('slow', pace=3), _make_sampler('x')]
-    assert find_slow([work], samplers, 100) == [progress]
+    assert find_moves([work], samplers, 100) == [progress]
--- a/tests/jobs/test_slots.py
+++ b/tests/jobs/test_slots.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from guavagate.jobs._slots import list_slots, share_slots
+from guavagate.jobs._slots import list_slots, sum_slots_by_model
 from guavagate.models import UpstreamId
 from guavagate.rollouts import SamplerStates
 from tests.jobs.samplers import MODEL, make_upstream
@@ -20,8 +20,8 @@
 
 def _share(names: str, states: SamplerStates) -> float:
     serving = [make_upstream(name) for name in names]
-    listed = list_slots(serving, states, 4, NOW, soon=True)
-    return share_slots(listed).get(MODEL, 0)
+    listed = list_slots(serving, states, 4, NOW, include_upcoming=True)
+    return sum_slots_by_model(listed).get(MODEL, 0)
 
 
 def test_samplers_that_load_count_for_the_forecast() -> None:
