--- a/guavagate/jobs/_cadence.py
+++ b/guavagate/jobs/_cadence.py
@@ -1,39 +1,39 @@
-"""When the next job of a model is to be expected; needs no network.
+"""Predicts when the next job of a model arrives, without network access.
 
-A trainer submits its steps by a schedule, or later when it had to wait for a
-version. Step `n` is thus never earlier than the first one plus `n` periods, and
-on time whenever the trainer is not behind; so the period is the least that any
-step shows.
+A trainer submits step `n` on schedule, or later if it had to wait for a weight
+version. Step `n` is therefore never earlier than the first step plus `n`
+periods, and on time while the trainer isn't late. The shortest period that any
+step shows is the trainer's period.
 """
 
 import msgspec
 
 
 class Cadence(msgspec.Struct):
-    """What the jobs of one model have shown; times in seconds."""
+    """The observed submission times of one model's jobs, in seconds."""
 
     first_step: int | None = None
-    first_at: float = 0
+    first_submitted_at: float = 0
     period: float | None = None
-    newest_step: int = 0
+    latest_step: int = 0
 
-    def observe(self, step: int, submitted: float) -> None:
-        """Take in that a step was submitted."""
+    def observe(self, step: int, submitted_at: float) -> None:
+        """Update the period from the submission of a step."""
         if self.first_step is None or step < self.first_step:
             self.first_step = step
-            self.first_at = submitted
+            self.first_submitted_at = submitted_at
             self.period = None
-            self.newest_step = step
+            self.latest_step = step
             return
-        self.newest_step = max(self.newest_step, step)
+        self.latest_step = max(self.latest_step, step)
         steps = step - self.first_step
         if steps:
-            shown = (submitted - self.first_at) / steps
-            self.period = min(shown, self.period or shown)
+            observed = (submitted_at - self.first_submitted_at) / steps
+            self.period = min(observed, self.period or observed)
 
     def predict_next(self) -> float | None:
-        """Return when the next step is due, if that can be told."""
+        """Return when the next step is due, or None if unknown."""
         if self.first_step is None or self.period is None:
             return None
-        steps = self.newest_step + 1 - self.first_step
-        return self.first_at + steps * self.period
+        steps = self.latest_step + 1 - self.first_step
+        return self.first_submitted_at + steps * self.period
--- a/guavagate/jobs/_dispatch.py
+++ b/guavagate/jobs/_dispatch.py
@@ -1,4 +1,4 @@
-"""Hands items out to samplers: by the forecast, as slots are free."""
+"""Sends items to samplers as slots become free, ordered by the forecast."""
 
 import logging
 from collections.abc import Callable, Sequence
@@ -34,13 +34,13 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# A sampler that has gone dark is asked so often whether it is back.
-ASK_SECONDS: Final = 0.5
-# The owner looks ten times a second. After a longer pause it was itself held
-# up, and what its samplers have sent meanwhile is still to be read.
-LATE_LOOK_SECONDS: Final = 0.4
-# Between two looks at who is silent.
-LOOK_SECONDS: Final = 0.1
+# The interval at which an unresponsive sampler is probed.
+PROBE_INTERVAL_SECONDS: Final = 0.5
+# The owner scans ten times a second. A longer pause means that the owner itself
+# was blocked, and events that its samplers sent meanwhile are still unread.
+OVERDUE_SCAN_SECONDS: Final = 0.4
+# The interval between scans for unresponsive samplers.
+SCAN_INTERVAL_SECONDS: Final = 0.1
 
 
 class Dispatcher:
@@ -48,8 +48,8 @@
 
     Parameters
     ----------
-    slots
-        Slots of a sampler that does not tell how many it has.
+    default_slots
+        Returns the slots of a sampler that doesn't report how many it has.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         states: SamplerStates,
         client: SamplerClient,
         runner: ItemRunner,
-        slots: Callable[[], int],
+        default_slots: Callable[[], int],
         metrics: Metrics,
     ) -> None:
         self._service = service
@@ -69,82 +69,91 @@
         self._states = states
         self._client = client
         self._runner = runner
-        self._slots = slots
+        self._default_slots = default_slots
         self._metrics = metrics
         self._lengths = LengthEstimator()
-        self._behind: set[tuple[JobId, GroupId]] = set()
-        self._looked_at = clock.now()
-        self._listens_since = clock.now()
+        self._deferred: set[tuple[JobId, GroupId]] = set()
+        self._scanned_at = clock.now()
+        self._reading_since = clock.now()
 
     def record_text(self, work: JobWork, progress: ItemProgress) -> None:
-        """Take in a text that is whole, for what is expected of others."""
+        """Record a complete text, to estimate the lengths of others."""
         self._lengths.record(work.job.model, progress)
 
     def dispatch(self, works: Sequence[JobWork], now: float) -> None:
-        """Start what has a free slot, and move what lags or hears nothing."""
-        self._leave_silent(works, now)
+        """Start waiting items; move items off slow or stalled samplers."""
+        self._leave_unresponsive(works, now)
         samplers = self._list_samplers(now)
         planned = self._forecast(works, now)
         by_id = {work.job.id: work for work in works}
         for placement in place(planned.groups, samplers, self._lengths):
             self._start(by_id[placement.job], placement, now)
-        slow = find_moves(
+        moves = find_moves(
             works, self._list_samplers(now), now, self._estimate_seconds
         )
-        for progress in slow:
+        for progress in moves:
             self._move(progress)
 
     def _estimate_seconds(self, work: JobWork, progress: ItemProgress) -> float:
-        """Return how long an item still takes at the usual pace, or 0."""
+        """Return an item's remaining seconds at median speed; 0 if unknown."""
         model = work.job.model
         if not self._lengths.is_known(model):
             return 0
         return (
             self._lengths.estimate(model, progress).conservative
-            * self._find_pace()
+            * self._find_median_interval()
         )
 
-    def _find_pace(self) -> float:
+    def _find_median_interval(self) -> float:
         serving = self._upstreams.serving(self._service)
         return find_median_interval(serving, self._states)
 
-    def _leave_silent(self, works: Sequence[JobWork], now: float) -> None:
-        """Have texts on samplers that have gone dark go on elsewhere."""
-        if now - self._looked_at < LOOK_SECONDS:
+    def _leave_unresponsive(self, works: Sequence[JobWork], now: float) -> None:
+        """Cancel runs on unresponsive samplers, so that they resume elsewhere.
+
+        After a pause of the owner, scans are skipped for
+        `OVERDUE_SCAN_SECONDS`: until the queued events are read, every stream
+        seems stalled.
+        """
+        if now - self._scanned_at < SCAN_INTERVAL_SECONDS:
             return
-        if now - self._looked_at > LATE_LOOK_SECONDS:
-            self._listens_since = now
-        self._looked_at = now
-        if now - self._listens_since < LATE_LOOK_SECONDS:
+        if now - self._scanned_at > OVERDUE_SCAN_SECONDS:
+            self._reading_since = now
+        self._scanned_at = now
+        if now - self._reading_since < OVERDUE_SCAN_SECONDS:
             return
-        pace = self._find_pace()
+        interval = self._find_median_interval()
         for name, runs in find_unresponsive(
-            works, self._states, pace, now
+            works, self._states, interval, now
         ).items():
-            heard_at = max(progress.last_event_at for progress in runs)
+            last_event_at = max(progress.last_event_at for progress in runs)
             write(
                 _LOGGER,
                 events.SAMPLER_SILENT,
                 sampler=name,
                 streams=len(runs),
-                seconds=round(now - heard_at, 2),
+                seconds=round(now - last_event_at, 2),
             )
             state = self._states.get(name)
             upstream = self._upstreams.get(name)
             if upstream is not None and not state.stalled:
                 state.stalled = True
-                self._clock.spawn(self._ask_again, upstream, state)
+                self._clock.spawn(self._probe_until_responsive, upstream, state)
             for progress in runs:
                 progress.cancel()
 
-    def _ask_again(self, upstream: Upstream, state: SamplerState) -> None:
-        """Ask a sampler that has gone dark until it answers."""
+    def _probe_until_responsive(
+        self, upstream: Upstream, state: SamplerState
+    ) -> None:
+        """Probe an unresponsive sampler until it responds or leaves."""
         while self._upstreams.get(upstream.id) == upstream:
             try:
                 self._client.report(upstream)
             except UpstreamError as error:
-                _LOGGER.debug('%s is silent: %s', upstream.id, error)
-                self._clock.sleep(ASK_SECONDS)
+                _LOGGER.debug(
+                    'sampler %s is unresponsive: %s', upstream.id, error
+                )
+                self._clock.sleep(PROBE_INTERVAL_SECONDS)
             else:
                 break
         state.stalled = False
@@ -158,7 +167,7 @@
         return list_slots(
             serving,
             self._states,
-            self._slots(),
+            self._default_slots(),
             now,
             include_upcoming=include_upcoming,
         )
@@ -167,28 +176,28 @@
         planned = forecast(
             works,
             sum_slots_by_model(self._list_samplers(now, include_upcoming=True)),
-            self._find_pace(),
+            self._find_median_interval(),
             self._lengths,
             now,
         )
-        self._note_behind(planned, now)
+        self._report_deferred_groups(planned, now)
         return planned
 
-    def _note_behind(self, planned: Forecast, now: float) -> None:
-        """Tell of each group once when it goes behind, and forget the rest."""
-        behind = {
+    def _report_deferred_groups(self, planned: Forecast, now: float) -> None:
+        """Log and count a group once, however often it is deferred."""
+        deferred = {
             (each.work.job.id, each.group): each
             for each in planned.groups
             if each.deferred
         }
-        for key, plan in behind.items():
-            if key not in self._behind:
+        for key, plan in deferred.items():
+            if key not in self._deferred:
                 self._metrics.count(names.GROUPS_BEHIND)
-                self._tell_behind(plan, planned, now)
+                self._log_deferred_group(plan, planned, now)
         waiting = {(each.work.job.id, each.group) for each in planned.groups}
-        self._behind = (self._behind & waiting) | behind.keys()
+        self._deferred = (self._deferred & waiting) | deferred.keys()
 
-    def _tell_behind(
+    def _log_deferred_group(
         self, plan: GroupPlan, planned: Forecast, now: float
     ) -> None:
         job = plan.work.job
@@ -227,7 +236,7 @@
         self._clock.spawn(self._runner.run, work, progress, upstream)
 
     def _move(self, progress: ItemProgress) -> None:
-        """Have an item that lags go on at a faster sampler."""
+        """Cancel an item's run, so that it resumes on a faster sampler."""
         write(
             _LOGGER,
             events.ITEM_MOVED,
--- a/guavagate/jobs/_forecast.py
+++ b/guavagate/jobs/_forecast.py
@@ -1,19 +1,19 @@
-"""Which groups will be whole in time, and which go behind; needs no network.
-
-Load pattern: trainers ask for more than the samplers can make, or a sampler is
-lost, and steps of several trainers are open at once. Ordered by due time alone
-each step is made just after it stopped being of use, as its turn came behind
-steps that were late already: all slots are busy and nearly nothing is in time.
-So what can not be in time takes nothing from what can: groups are taken in the
-order of their due times as long as all of them fit into the time that is left,
-and where one does not fit, the group that would cost the most is put behind.
-Those that are late in any case go first, whatever they cost.
-
-Groups put behind still run on whatever slots are left, those nearest to whole
-first; as soon as there is room for them they are back among the others. With a
-backlog the groups of a step are made one after the other: begun all at once,
-all of them end together and late. With none the longest texts of all of them
-begin first, as the trainer goes on when the last one is there.
+"""Decides which groups can complete in time and which to defer; no network.
+
+Failure pattern: trainers request more than the samplers can generate, or a
+sampler is lost, while steps of several trainers are open. Ordered by due time
+alone, each step completes just after it was due, because it waited behind
+steps that were already late: all slots are busy and almost nothing is in time.
+A group that can't be in time must not delay one that can. Groups are therefore
+added in order of due time as long as all of them fit into the remaining time;
+when one doesn't fit, the most expensive group is deferred. Groups that are
+late in any case are deferred first, whatever they cost.
+
+Deferred groups run on the remaining slots, those with the least work left
+first, and rejoin the others as soon as there is capacity. With a backlog the
+groups of a step run one after the other: started together, all of them would
+complete together and late. Without a backlog the longest texts of all groups
+start first, because the trainer continues once the last one is complete.
 """
 
 from collections.abc import Mapping, Sequence
@@ -25,27 +25,28 @@
 from guavagate.jobs._models import GroupId
 from guavagate.jobs._work import ItemProgress, JobWork
 
-# A trainer reads about twice a second and takes what it reads then.
+# A trainer reads results about twice a second and uses what is there.
 READ_SLACK_SECONDS: Final = 0.5
-# How much of a group's longest text comes after all of the group has begun:
-# a third of it while little waits, as the longest begin first, and all of it
-# where a whole objective's work waits.
-TAIL_LIGHT: Final = 0.3
-TAIL_FULL: Final = 1.0
-# In objectives.
-BACKLOG_LIGHT: Final = 0.6
-BACKLOG_FULL: Final = 1.0
-# With more waiting than this, groups are made one after the other.
-BACKLOG_CROWDED: Final = 0.7
+# The share of a group's longest text that is generated after the whole group
+# has started: a third with a light backlog, because the longest texts start
+# first, and all of it with a full one.
+LIGHT_TAIL_RATIO: Final = 0.3
+FULL_TAIL_RATIO: Final = 1.0
+# Backlogs, relative to a job's objective.
+LIGHT_BACKLOG_RATIO: Final = 0.6
+FULL_BACKLOG_RATIO: Final = 1.0
+# Above this backlog, groups run one after the other.
+SEQUENTIAL_BACKLOG_RATIO: Final = 0.7
 
 
 class GroupPlan(msgspec.Struct, eq=False):
-    """A group with items that wait; times and durations in seconds.
+    """The plan for a group with waiting items; times in seconds.
 
-    `work` is what its waiting items take of slots, `longest` how long the
-    longest of its items that are not done still takes. It is `late` where that
-    is too long already, `behind` where it would make others late, `crowded`
-    where so much waits that groups are made one after the other.
+    `slot_seconds` is the slot time that its waiting items need, and
+    `longest_seconds` the remaining time of its longest unfinished item. The
+    group is `late` if that time already exceeds its due time, `deferred` if it
+    would make other groups late, and `sequential` if the backlog is so large
+    that groups run one after the other.
     """
 
     work: JobWork
@@ -60,17 +61,17 @@
 
     @property
     def due(self) -> float:
-        """Return until when the group is of full use."""
+        """Return until when the group has its full value."""
         return self.work.due + READ_SLACK_SECONDS
 
     @property
     def wanted(self) -> bool:
-        """Return whether the trainer waits for it."""
+        """Return whether the trainer waits for the group."""
         return self.rank < self.work.job.target_groups
 
 
 class Forecast(msgspec.Struct):
-    """The groups that wait, and the seconds each model's wanted work takes."""
+    """The waiting groups, and the seconds of wanted work by model."""
 
     groups: list[GroupPlan]
     backlogs: dict[str, float]
@@ -83,26 +84,26 @@
     lengths: LengthEstimator,
     now: float,
 ) -> Forecast:
-    """Return the groups that wait, in the order of their due times.
+    """Return the waiting groups in order of due time.
 
     Parameters
     ----------
     slots
-        What each model has of the samplers that may be given items.
+        Each model's share of the slots of the available samplers.
     event_seconds
-        What an event usually takes; 0 where no sampler has shown it yet, and
-        nothing is put behind then.
+        The usual event interval; 0 if no sampler has been measured yet, and
+        then no group is deferred.
     """
-    found: list[GroupPlan] = []
+    groups: list[GroupPlan] = []
     backlogs: dict[str, float] = {}
     for model in sorted({work.job.model for work in works}):
-        own = [work for work in works if work.job.model == model]
-        room = max(slots.get(model, 0), 1)
+        model_works = [work for work in works if work.job.model == model]
+        model_slots = max(slots.get(model, 0), 1)
         plans, backlogs[model] = _plan_model(
-            own, room, event_seconds, lengths, now
+            model_works, model_slots, event_seconds, lengths, now
         )
-        found += plans
-    return Forecast(found, backlogs)
+        groups += plans
+    return Forecast(groups, backlogs)
 
 
 def _plan_model(
@@ -112,7 +113,7 @@
     lengths: LengthEstimator,
     now: float,
 ) -> tuple[list[GroupPlan], float]:
-    """Return a model's groups that wait, and how long all wanted take."""
+    """Return a model's waiting groups and the seconds of its wanted work."""
     plans: list[GroupPlan] = []
     running = float(0)
     for work in works:
@@ -123,7 +124,9 @@
     wanted = [each for each in plans if each.wanted]
     backlog = (running + sum(each.slot_seconds for each in wanted)) / slots
     for plan in plans:
-        plan.sequential = backlog > BACKLOG_CROWDED * plan.work.job.objective
+        plan.sequential = (
+            backlog > SEQUENTIAL_BACKLOG_RATIO * plan.work.job.objective
+        )
     if event_seconds and lengths.is_known(works[0].job.model):
         _defer_groups(wanted, running, backlog, slots, now)
     return plans, backlog
@@ -136,7 +139,7 @@
 def _plan_job(
     work: JobWork, event_seconds: float, lengths: LengthEstimator, now: float
 ) -> tuple[list[GroupPlan], float]:
-    """Return a job's groups that wait, and what its running items take."""
+    """Return a job's waiting groups and the slot time of its running items."""
     plans: dict[GroupId, GroupPlan] = {}
     running = float(0)
     model = work.job.model
@@ -175,10 +178,10 @@
     slots: float,
     now: float,
 ) -> None:
-    """Mark the groups that go behind, so that the others are in time.
+    """Mark the groups to defer so that the others are in time.
 
-    Taking the costliest out whenever one does not fit leaves as many in time
-    as can be (the rule of Moore and Hodgson).
+    Removing the most expensive group whenever one doesn't fit maximizes the
+    number of groups in time (the Moore-Hodgson algorithm).
     """
     kept: list[GroupPlan] = []
     load = running
@@ -198,14 +201,14 @@
 
 
 def _rank_for_deferral(plan: GroupPlan) -> tuple[bool, float]:
-    """Return what speaks for putting a group behind: late first, then work."""
+    """Return the sort key for deferral: late groups first, then by work."""
     return plan.late, plan.slot_seconds
 
 
 def _compute_tail_ratio(backlog: float, objective: float) -> float:
-    """Return how much of a longest text comes after its group has begun."""
-    share = (backlog / objective - BACKLOG_LIGHT) / (
-        BACKLOG_FULL - BACKLOG_LIGHT
+    """Return the share of a longest text that follows its group's start."""
+    load = (backlog / objective - LIGHT_BACKLOG_RATIO) / (
+        FULL_BACKLOG_RATIO - LIGHT_BACKLOG_RATIO
     )
-    bounded = min(max(share, 0), 1)
-    return TAIL_LIGHT + (TAIL_FULL - TAIL_LIGHT) * bounded
+    bounded = min(max(load, 0), 1)
+    return LIGHT_TAIL_RATIO + (FULL_TAIL_RATIO - LIGHT_TAIL_RATIO) * bounded
--- a/guavagate/jobs/_lengths.py
+++ b/guavagate/jobs/_lengths.py
@@ -1,9 +1,10 @@
-"""How long texts will be, by those that have ended; needs no network.
+"""Estimates text lengths from completed texts, without network access.
 
-Load pattern: a tenth of a step's texts is several times as long as the others,
-and takes most of the time that the step has. Trainers send an estimate with
-most items, in tokens and often far off; what a token of an estimate comes to is
-only seen in texts that have ended.
+Failure pattern: a tenth of a step's texts is several times as long as the
+others and takes most of the step's time. Trainers send an estimate in tokens
+with most items, but it is often far off, and how many events a token of an
+estimate stands for is only known from completed texts. So estimates are scaled
+by what the last completed texts of the model turned out to be.
 """
 
 from collections import defaultdict, deque
@@ -13,27 +14,28 @@
 
 from guavagate.jobs._work import ItemProgress
 
-# Texts that are remembered of a model: those of a few steps.
+# Completed texts remembered for each model: those of a few steps.
 MAX_TEXTS: Final = 256
-# One text in twenty is longer: a group is as late as its longest text.
+# One text in twenty is longer. The longest text decides when a group is
+# complete.
 LONG_QUANTILE: Final = 0.95
-# As few say nothing of the long ones.
+# Fewer texts say nothing about the long ones.
 MIN_TEXTS: Final = 20
 
 
 class LengthEstimate(msgspec.Struct, frozen=True):
-    """What is still to be made of a text, in events.
+    """The remaining length of a text, in events.
 
-    `usual` is what it takes from a sampler's time, `long` what a caller who
-    must not be late has to reckon with.
+    `typical` predicts the use of a sampler's time. `conservative` is for
+    callers that must not be late.
     """
 
     typical: float
     conservative: float
 
 
-class _Seen(msgspec.Struct):
-    """The texts of one model that have ended last."""
+class _LengthHistory(msgspec.Struct):
+    """The lengths of the last completed texts of one model."""
 
     events: deque[int]
     tokens: deque[int]
@@ -41,70 +43,72 @@
     total_tokens: int = 0
     mean: float = 0
     long: float = 0
-    most: float = 0
+    longest: float = 0
 
     @property
-    def scale(self) -> float:
-        """Return the events to a token of an estimate; 1 while not known."""
+    def events_per_token(self) -> float:
+        """Return the events per estimated token; 1 if unknown."""
         if not self.total_tokens:
             return 1
         return self.total_events / self.total_tokens
 
-    def note(self, events: int, tokens: int) -> None:
-        """Take in a text; the oldest one is forgotten."""
+    def record(self, events: int, tokens: int) -> None:
+        """Add a completed text; drop the oldest one if the history is full."""
         if len(self.events) == MAX_TEXTS:
-            oldest = self.tokens.popleft()
-            forgotten = self.events.popleft()
-            self._add(-forgotten, -oldest, bool(oldest))
+            oldest_tokens = self.tokens.popleft()
+            oldest_events = self.events.popleft()
+            self._add(-oldest_events, -oldest_tokens, bool(oldest_tokens))
         self.events.append(events)
         self.tokens.append(tokens)
         self._add(events, tokens, bool(tokens))
         ordered = sorted(self.events)
         self.mean = sum(ordered) / len(ordered)
         self.long = ordered[int(len(ordered) * LONG_QUANTILE)]
-        self.most = ordered[-1]
+        self.longest = ordered[-1]
 
-    def _add(self, events: int, tokens: int, hinted: bool) -> None:
-        if hinted:
+    def _add(self, events: int, tokens: int, has_estimate: bool) -> None:
+        if has_estimate:
             self.total_events += events
             self.total_tokens += tokens
 
 
 class LengthEstimator:
-    """What is known of the texts of each model."""
+    """Estimates the remaining length of items, by model."""
 
     def __init__(self) -> None:
-        self._seen: defaultdict[str, _Seen] = defaultdict(
-            lambda: _Seen(deque(), deque())
+        self._histories: defaultdict[str, _LengthHistory] = defaultdict(
+            lambda: _LengthHistory(deque(), deque())
         )
 
     def record(self, model: str, progress: ItemProgress) -> None:
-        """Take in a text that has ended."""
+        """Record the length of a completed text."""
         tokens = progress.item.expected_tokens
-        self._seen[model].note(progress.text.last_number, tokens)
+        self._histories[model].record(progress.text.last_number, tokens)
 
     def is_known(self, model: str) -> bool:
-        """Return whether enough texts of a model have ended."""
-        seen = self._seen.get(model)
-        return seen is not None and len(seen.events) >= MIN_TEXTS
+        """Return whether enough texts of a model have completed."""
+        history = self._histories.get(model)
+        return history is not None and len(history.events) >= MIN_TEXTS
 
     def estimate(self, model: str, progress: ItemProgress) -> LengthEstimate:
-        """Return what is still to be made of an item; at least one event.
+        """Return the remaining length of an item; at least one event.
 
-        A text that is longer already than what was expected of it goes on for
-        a while: the estimate was wrong, and nothing says by how much.
+        A text that already exceeds its estimate is assumed to go on for a
+        while: the estimate was wrong, and nothing says by how much.
         """
-        seen = self._seen[model]
-        made = progress.text.last_number
-        usual = seen.mean
-        # Without an estimate a text is most likely a usual one: taken for a
-        # long one, each group would seem late from its start.
-        long = max(seen.long / 2, usual)
+        history = self._histories[model]
+        done = progress.text.last_number
+        typical = history.mean
+        # Without an estimate a text most likely has a typical length. If it
+        # were assumed to be long, each group would seem late from its start.
+        conservative = max(history.long / 2, typical)
         tokens = progress.item.expected_tokens
         if tokens:
-            long = tokens * seen.scale
-            # Estimates are often far off, and texts have a limit.
-            long = min(long, seen.most or long)
-            usual = long
-        least = max(seen.mean / 4, 1)
-        return LengthEstimate(max(usual - made, least), max(long - made, least))
+            conservative = tokens * history.events_per_token
+            # Estimates are often far off, and texts have a length limit.
+            conservative = min(conservative, history.longest or conservative)
+            typical = conservative
+        minimum = max(history.mean / 4, 1)
+        return LengthEstimate(
+            max(typical - done, minimum), max(conservative - done, minimum)
+        )
--- a/guavagate/jobs/_rewards.py
+++ b/guavagate/jobs/_rewards.py
@@ -1,10 +1,11 @@
-"""Asks for the rewards of whole texts; which goes first needs no network.
-
-Load pattern: most texts of a step are short and end together, so a wave of
-reward requests meets upstreams that take a few at once. A trainer goes on with
-whole groups, so a group of which only rewards are missing goes before one of
-which texts are still in the making, and the first of those with the fewest
-rewards to go.
+"""Requests the rewards of complete texts and decides their order.
+
+Failure pattern: most texts of a step are short and complete together, so a
+wave of reward requests meets upstreams that accept a few at once. A trainer
+continues with complete groups, so a reward for a group that still has
+unfinished texts would take the place of one that completes a group. Groups that
+lack only rewards therefore go first, and among them the one with the fewest
+missing rewards. The order needs no network access.
 """
 
 import logging
@@ -27,19 +28,19 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# A request that no upstream took is sent again after about one request's work;
-# doubled each time, as an outage of all of them lasts for seconds.
+# The backoff after a failed request is about the duration of a request. It
+# doubles each time, because an outage of all upstreams lasts for seconds.
 RETRY_SECONDS: Final = 0.1
-LONGEST_RETRY_SECONDS: Final = 0.8
-# A route may come back with the next configuration, which is in force within
-# two seconds; looking is cheap.
-NO_ROUTE_SECONDS: Final = 0.5
+MAX_RETRY_SECONDS: Final = 0.8
+# A missing route may return with the next configuration, which takes effect
+# within two seconds; the lookup is cheap.
+ROUTE_CHECK_SECONDS: Final = 0.5
 
 Finish = Callable[[JobWork, Result], None]
 
 
 class RewardDispatcher:
-    """Sends reward requests for an owner; each is a task of its own."""
+    """Sends the reward requests of a job owner, each in its own task."""
 
     def __init__(
         self,
@@ -58,9 +59,9 @@
     def handle_complete_text(
         self, work: JobWork, progress: ItemProgress
     ) -> None:
-        """Take a text that is whole; one without a reward is a result."""
+        """Queue a complete text for its reward, or finish it without one."""
         if progress.item.reward is None:
-            self._finish(work, _complete(progress, ''))
+            self._finish(work, _make_result(progress, ''))
             return
         progress.completed_at = self._clock.now()
         write(
@@ -74,30 +75,30 @@
         self._wake()
 
     def dispatch(self, works: Sequence[JobWork], now: float) -> None:
-        """Start the requests for which the upstreams have room."""
-        rooms: dict[ServiceId, int] = {}
+        """Start the requests that the upstreams have capacity for."""
+        capacities: dict[ServiceId, int] = {}
         for work, progress in order_pending_rewards(works, now):
             if progress.item.reward is None:
                 self.handle_complete_text(work, progress)
                 continue
             route = self._client.find_route(progress.item.reward)
             if route is None:
-                self._note_no_route(progress, now)
+                self._postpone(progress, now)
                 continue
             service = route.service
-            room = rooms.get(service)
-            if room is None:
-                room = self._client.count_room(service)
-            rooms[service] = room - 1
-            if room > 0:
+            capacity = capacities.get(service)
+            if capacity is None:
+                capacity = self._client.count_room(service)
+            capacities[service] = capacity - 1
+            if capacity > 0:
                 progress.reward_task = self._clock.spawn(
-                    self._ask, work, progress, route
+                    self._request_reward, work, progress, route
                 )
 
-    def _ask(
+    def _request_reward(
         self, work: JobWork, progress: ItemProgress, route: RewardRoute
     ) -> None:
-        began = self._clock.now()
+        started_at = self._clock.now()
         reward = progress.item.reward
         assert reward is not None
         try:
@@ -106,18 +107,18 @@
             progress.reward_task = None
         if progress.done or work.ended:
             return
-        seconds = self._clock.now() - began
+        seconds = self._clock.now() - started_at
         self._metrics.observe(
             names.REWARD_SECONDS, seconds, outcome=outcome.kind.value
         )
         progress.reward_failures += outcome.failures
         if outcome.kind is RewardKind.GIVEN:
-            self._note_given(work, progress, outcome, seconds)
+            self._finish_rated(work, progress, outcome, seconds)
         else:
-            self._note_failed(work, progress, route, outcome, seconds)
+            self._handle_failure(work, progress, route, outcome, seconds)
         self._wake()
 
-    def _note_given(
+    def _finish_rated(
         self,
         work: JobWork,
         progress: ItemProgress,
@@ -137,9 +138,9 @@
             seconds=round(seconds, 3),
             since_whole=round(waited, 3),
         )
-        self._finish(work, _complete(progress, outcome.signature))
+        self._finish(work, _make_result(progress, outcome.signature))
 
-    def _note_failed(
+    def _handle_failure(
         self,
         work: JobWork,
         progress: ItemProgress,
@@ -149,12 +150,12 @@
     ) -> None:
         assert progress.item.reward is not None
         progress.reward_attempts += 1
-        pause = RETRY_SECONDS * 2 ** (min(progress.reward_attempts, 4) - 1)
+        backoff = RETRY_SECONDS * 2 ** (min(progress.reward_attempts, 4) - 1)
         progress.reward_retry_at = self._clock.now() + min(
-            pause, LONGEST_RETRY_SECONDS
+            backoff, MAX_RETRY_SECONDS
         )
-        most = max(work.job.max_attempts, route.most_failures)
-        hopeless = progress.reward_failures >= most
+        max_failures = max(work.job.max_attempts, route.most_failures)
+        gives_up = progress.reward_failures >= max_failures
         write(
             _LOGGER,
             events.REWARD_FAILED,
@@ -163,15 +164,16 @@
             reward=progress.item.reward.id,
             seconds=round(seconds, 3),
             failures=progress.reward_failures,
-            given_up=hopeless,
+            given_up=gives_up,
             reason=outcome.reason or outcome.kind.value,
         )
-        if hopeless:
+        if gives_up:
             result = Result(progress.item.id, ResultState.ERRORED, '', [])
             self._finish(work, result)
 
-    def _note_no_route(self, progress: ItemProgress, now: float) -> None:
-        progress.reward_retry_at = now + NO_ROUTE_SECONDS
+    def _postpone(self, progress: ItemProgress, now: float) -> None:
+        """Check again later for a missing route; log it once."""
+        progress.reward_retry_at = now + ROUTE_CHECK_SECONDS
         if progress.reward_attempts:
             return
         progress.reward_attempts = 1
@@ -190,38 +192,40 @@
 def order_pending_rewards(
     works: Sequence[JobWork], now: float
 ) -> list[tuple[JobWork, ItemProgress]]:
-    """Return the whole texts without a reward, in the order to ask for it."""
+    """Return the complete texts that lack a reward, in request order."""
     ordered: list[tuple[JobWork, ItemProgress]] = []
     for work in sorted(works, key=lambda each: each.due):
-        unrated = [
+        pending = [
             each
             for each in work.items.values()
             if each.is_ready_for_reward(now)
         ]
-        if unrated:
-            ordered += [(work, each) for each in _order(work, unrated)]
+        if pending:
+            ordered += [(work, each) for each in _order_items(work, pending)]
     return ordered
 
 
-def _order(work: JobWork, unrated: list[ItemProgress]) -> list[ItemProgress]:
+def _order_items(
+    work: JobWork, pending: list[ItemProgress]
+) -> list[ItemProgress]:
     rank: dict[GroupId, int] = {}
-    in_making: dict[GroupId, int] = {}
+    unfinished: dict[GroupId, int] = {}
     for progress in work.items.values():
         group = progress.item.group
         rank.setdefault(group, len(rank))
-        made = progress.done or progress.text.complete
-        in_making[group] = in_making.get(group, 0) + (not made)
+        complete = progress.done or progress.text.complete
+        unfinished[group] = unfinished.get(group, 0) + (not complete)
     return sorted(
-        unrated,
+        pending,
         key=lambda each: (
-            in_making[each.item.group],
+            unfinished[each.item.group],
             work.count_missing(each.item.group),
             rank[each.item.group],
         ),
     )
 
 
-def _complete(progress: ItemProgress, signature: str) -> Result:
+def _make_result(progress: ItemProgress, signature: str) -> Result:
     text = progress.text
     return Result(
         progress.item.id,
--- a/guavagate/jobs/_runner.py
+++ b/guavagate/jobs/_runner.py
@@ -1,4 +1,4 @@
-"""Runs one item at one sampler, event by event."""
+"""Runs an item on a sampler, event by event."""
 
 import logging
 from collections.abc import Callable
@@ -30,21 +30,21 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Events come every 50 ms or so; during a load of weights nothing comes for
-# about a second, and a preempted run is read again from its start.
-SILENT_SECONDS: Final = 2.5
-HEAD_SECONDS: Final = 3.0
-# A sampler that is full or loads says so at once; its slot is asked for again
-# after a while.
-REFUSED_SECONDS: Final = 0.1
-BROKEN_SECONDS: Final = 0.5
+# Events arrive about every 50 ms. A weight load stops them for about a second,
+# and a sampler reads a preempted run again from its start.
+STALL_TIMEOUT_SECONDS: Final = 2.5
+RESPONSE_TIMEOUT_SECONDS: Final = 3.0
+# A sampler that is full or loading refuses at once and is tried again after
+# this time.
+REFUSED_BACKOFF_SECONDS: Final = 0.1
+FAILED_BACKOFF_SECONDS: Final = 0.5
 
 Finish = Callable[[JobWork, Result], None]
 HandleCompleteText = Callable[[JobWork, ItemProgress], None]
 
 
 class ItemRunner:
-    """Runs items for an owner; each run is a task of its own."""
+    """Runs the items of a job owner, each in its own task."""
 
     def __init__(
         self,
@@ -65,23 +65,23 @@
     def run(
         self, work: JobWork, progress: ItemProgress, upstream: Upstream
     ) -> None:
-        """Run an item until it is done or breaks off; frees its slot."""
-        began = self._clock.now()
+        """Run an item until it ends or is interrupted; release its slot."""
+        started_at = self._clock.now()
         progress.task = getcurrent()
-        progress.last_event_at = began
+        progress.last_event_at = started_at
         progress.cancelled = False
         problem = ''
         try:
             self._stream(work, progress, upstream)
         except (ItemImpossibleError, ItemFailedError) as error:
             problem = type(error).__name__
-            self._note_failed(work, progress, error)
+            self._handle_failure(work, progress, error)
         except UpstreamError as error:
             if not progress.cancelled:
                 problem = str(error)
-                self._note_broken(progress, upstream, error)
+                self._handle_interruption(progress, upstream, error)
         finally:
-            self._free(progress, upstream)
+            self._release_slot(progress, upstream)
         if problem:
             write(
                 _LOGGER,
@@ -90,7 +90,7 @@
                 item=progress.item.id,
                 sampler=upstream.id,
                 after=progress.text.last_number,
-                seconds=round(self._clock.now() - began, 3),
+                seconds=round(self._clock.now() - started_at, 3),
                 problem=problem,
             )
 
@@ -98,7 +98,7 @@
         self, work: JobWork, progress: ItemProgress, upstream: Upstream
     ) -> None:
         job = work.job
-        self._keep_fitting(work, progress, upstream)
+        self._discard_unusable_text(work, progress, upstream)
         request = ItemRequest(
             id=progress.item.id,
             host=job.host,
@@ -108,14 +108,16 @@
             resume_after=progress.text.last_number,
             team=job.team,
         )
-        with self._clock.timeout(HEAD_SECONDS, _silence(upstream)):
+        with self._clock.timeout(
+            RESPONSE_TIMEOUT_SECONDS, _make_timeout_error(upstream)
+        ):
             run = self._client.run(upstream, request, job.model)
         progress.run = run
         self._states.get(upstream.id).unreachable = 0
         try:
             if progress.done or work.ended:
                 return
-            self._take_events(work, progress, upstream)
+            self._read_events(work, progress, upstream)
         finally:
             run.cancel()
         self._upstreams.record_success(upstream.id, 0)
@@ -123,7 +125,7 @@
             progress.text.complete = True
             self._handle_complete_text(work, progress)
 
-    def _take_events(
+    def _read_events(
         self, work: JobWork, progress: ItemProgress, upstream: Upstream
     ) -> None:
         assert progress.run is not None
@@ -131,20 +133,22 @@
         meter = EventIntervalMeter()
         last_at = self._clock.now()
         while True:
-            with self._clock.timeout(SILENT_SECONDS, _silence(upstream)):
+            with self._clock.timeout(
+                STALL_TIMEOUT_SECONDS, _make_timeout_error(upstream)
+            ):
                 event = next(stream, None)
             if event is None:
                 return
             now = self._clock.now()
             progress.longest_gap = max(progress.longest_gap, now - last_at)
-            pace = meter.record_event(now)
-            if pace is not None:
-                self._states.record_event_interval(upstream.id, pace)
+            interval = meter.record_event(now)
+            if interval is not None:
+                self._states.record_event_interval(upstream.id, interval)
             last_at = now
             progress.last_event_at = now
-            self._take_event(work, progress, upstream, event)
+            self._apply_event(work, progress, upstream, event)
 
-    def _take_event(
+    def _apply_event(
         self,
         work: JobWork,
         progress: ItemProgress,
@@ -156,48 +160,48 @@
             raise UpstreamError(
                 f'{upstream.id} sent event {event.number} after'
                 f' {progress.text.last_number}',
-                'check the sampler; the item goes on after the last whole one',
+                'check the sampler; the item resumes after the last good event',
             )
         self._states.record_version(upstream.id, job.model, event.version)
         progress.text.add(event)
-        only = event.version if job.single_version else None
-        if not progress.text.meets_version_bounds(job.min_version, only):
+        single = event.version if job.single_version else None
+        if not progress.text.meets_version_bounds(job.min_version, single):
             progress.text = Text()
             raise UpstreamError(
-                f'{upstream.id} made an event under version {event.version}',
-                'nothing; the item starts anew under a version that fits',
+                f'{upstream.id} sent an event of version {event.version}',
+                'no action; the item restarts with an accepted version',
             )
 
-    def _keep_fitting(
+    def _discard_unusable_text(
         self, work: JobWork, progress: ItemProgress, upstream: Upstream
     ) -> None:
-        """Start anew what may not be gone on with here."""
+        """Restart a text whose versions forbid continuing it on the sampler."""
         job = work.job
-        only = None
+        single = None
         if job.single_version:
-            only = self._states.get(upstream.id).versions.get(job.model)
-        if not progress.text.meets_version_bounds(job.min_version, only):
+            single = self._states.get(upstream.id).versions.get(job.model)
+        if not progress.text.meets_version_bounds(job.min_version, single):
             progress.text = Text()
 
-    def _free(self, progress: ItemProgress, upstream: Upstream) -> None:
+    def _release_slot(self, progress: ItemProgress, upstream: Upstream) -> None:
         progress.run = None
         progress.task = None
         progress.sampler = None
         self._states.get(upstream.id).in_flight -= 1
         self._states.notify()
 
-    def _note_failed(
+    def _handle_failure(
         self, work: JobWork, progress: ItemProgress, error: Exception
     ) -> None:
-        """Note that a sampler ran an item and it failed."""
+        """Count a failure that the sampler reported; give up after the last."""
         progress.failures += 1
-        tries = progress.failures
-        hopeless = isinstance(error, ItemImpossibleError)
-        if hopeless or tries >= work.job.max_attempts:
+        failures = progress.failures
+        permanent = isinstance(error, ItemImpossibleError)
+        if permanent or failures >= work.job.max_attempts:
             result = Result(progress.item.id, ResultState.ERRORED, '', [])
             self._finish(work, result)
 
-    def _note_broken(
+    def _handle_interruption(
         self, progress: ItemProgress, upstream: Upstream, error: UpstreamError
     ) -> None:
         now = self._clock.now()
@@ -205,19 +209,22 @@
         state = self._states.get(upstream.id)
         if isinstance(error, UpstreamUnreachableError):
             state.unreachable += 1
-            pause = REFUSED_SECONDS * 2 ** min(state.unreachable, 4)
-            state.avoid_until = max(state.avoid_until, now + pause)
+            backoff = REFUSED_BACKOFF_SECONDS * 2 ** min(state.unreachable, 4)
+            state.avoid_until = max(state.avoid_until, now + backoff)
             return
         if isinstance(error, UpstreamNotStartedError):
-            state.avoid_until = max(state.avoid_until, now + REFUSED_SECONDS)
+            state.avoid_until = max(
+                state.avoid_until, now + REFUSED_BACKOFF_SECONDS
+            )
             return
         load = self._upstreams.load(upstream.id)
         self._upstreams.record_failure(upstream.id)
-        broken = now + BROKEN_SECONDS if load.failures > 1 else now
-        state.avoid_until = max(state.avoid_until, broken, load.ejected_until)
+        retry_at = now + FAILED_BACKOFF_SECONDS if load.failures > 1 else now
+        state.avoid_until = max(state.avoid_until, retry_at, load.ejected_until)
 
 
-def _silence(upstream: Upstream) -> Callable[[], Exception]:
+def _make_timeout_error(upstream: Upstream) -> Callable[[], Exception]:
     return lambda: UpstreamError(
-        f'{upstream.id} was silent', 'check the sampler; the item goes on'
+        f'{upstream.id} sent nothing before the timeout',
+        'check the sampler; the item resumes elsewhere',
     )
--- a/guavagate/jobs/_schedule.py
+++ b/guavagate/jobs/_schedule.py
@@ -1,15 +1,15 @@
-"""Which items start next, and on which samplers; needs no network.
-
-Load pattern: several trainers' steps are open at once, each with some groups
-more than its trainer waits for, on samplers with few slots of which one may
-be slow. Samplers admit in order of arrival and know no deadline, so what is
-sent early keeps what matters waiting: an item is handed out only when a slot
-is free for it, what the forecast puts behind after all else, jobs by their due
-time, and within a job the longest first and on the fastest sampler. Most items
-take a second and a few take all the time that the step has, so whichever of
-those starts late makes its group and the step late; the short ones fit in
-behind. Groups beyond those that the trainer waits for come last; it lists the
-ones it needs most first.
+"""Decides which items start next and on which samplers; no network access.
+
+Failure pattern: steps of several trainers are open, each with a few more
+groups than its trainer waits for, on samplers with few slots of which one may
+be slow. Samplers admit requests in order of arrival and know no deadlines, so
+items that are sent early delay the ones that matter. An item is therefore sent
+only when a slot is free for it: deferred groups last, jobs by due time, and
+within a job the longest items first and on the fastest sampler. Most items
+take a second and a few take the whole time of a step. If one of those starts
+late, its group and step are late, while the short ones fit in afterwards.
+Groups beyond those that the trainer waits for come last; a trainer lists the
+groups that it needs most first.
 """
 
 from collections.abc import Callable, Sequence
@@ -24,28 +24,29 @@
 from guavagate.models import UpstreamId, WeightVersion
 from guavagate.rollouts import ModelDemand
 
-# A group's items share their prompt: on the sampler that has read it, it is
-# not read again, which takes a tenth of the time of one event.
+# Items of a group share a prompt. Reading it again on another sampler takes a
+# tenth of an event interval.
 SAME_GROUP_BONUS: Final = 0.06
-# A full batch makes an event at most this much slower than an empty one, on
-# kinds of samplers that are not known as well.
+# A full batch slows each event by at most this much, also on unfamiliar kinds
+# of samplers.
 FULL_BATCH_COST: Final = 0.2
-# Less of a difference is within what a fuller batch makes.
+# A fuller batch alone explains a smaller difference.
 MIN_MOVE_RATIO: Final = 1.25
-# What a move has to gain; a connection and the prompt take a tenth of that.
+# The least gain of a move; connecting and reading the prompt cost a tenth of
+# it.
 MIN_MOVE_GAIN_SECONDS: Final = 0.5
-# Most items end sooner; what runs for longer is one of the long ones.
+# Most items end sooner; one that runs for longer is one of the long ones.
 MOVE_AFTER_SECONDS: Final = 1.5
 MAX_MOVES: Final = 2
-# One more where a sampler has turned so much slower than another.
+# Allows one more move where the current sampler is this many times slower.
 EXTRA_MOVE_RATIO: Final = 2.0
 
 
 class SamplerSlots(msgspec.Struct, kw_only=True):
-    """A sampler that may be given items of a model.
+    """A sampler that can be given items of its models.
 
-    `pace` is how long it takes for an event, against the usual: 2 is half as
-    fast.
+    `relative_interval` is its event interval relative to the median: a sampler
+    with 2 is half as fast as usual.
     """
 
     id: UpstreamId
@@ -57,12 +58,13 @@
     groups: set[str] = set()
 
 
-# How long an item still takes at the usual pace, in seconds; 0: not known.
+# Returns the remaining seconds of an item at the median event interval; 0 if
+# unknown.
 EstimateSeconds = Callable[[JobWork, ItemProgress], float]
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """An item to start, and where."""
+    """An item to start and the sampler to start it on."""
 
     job: JobId
     item: ItemId
@@ -74,12 +76,12 @@
     samplers: Sequence[SamplerSlots],
     lengths: LengthEstimator,
 ) -> list[Placement]:
-    """Return the items to start now; takes their slots from `samplers`."""
+    """Return the items to start now; reserve their slots in `samplers`."""
     placements: list[Placement] = []
     for plan, progress in order_items(plans, lengths):
         if not any(sampler.free for sampler in samplers):
             break
-        sampler = _find(plan.work, progress, samplers)
+        sampler = _find_sampler(plan.work, progress, samplers)
         if sampler is None:
             continue
         sampler.free -= 1
@@ -96,25 +98,25 @@
     now: float,
     estimate_seconds: EstimateSeconds,
 ) -> list[ItemProgress]:
-    """Return the items to take from slow samplers to faster, free ones.
-
-    Load pattern: one sampler turns slow, or is slower than others anyway, and
-    the longest texts of a step run there while faster ones idle: what a short
-    one loses by that is a moment, what a long one loses makes its step late. A
-    sampler reads a prompt and what was made of a text a hundred times faster
-    than it makes it, so a move costs little; each item moves a few times at
-    most, those that gain most first. Slots go to items that wait before.
+    """Return the items to move from slow samplers to faster, free ones.
+
+    Failure pattern: one sampler becomes slow, or is slower anyway, and the
+    longest texts of a step run there while faster samplers idle. A short text
+    loses little by that; a long one makes its step late. A sampler reads a
+    prompt and partial text a hundred times faster than it generates them, so a
+    move is cheap. Each item moves a few times at most, those that gain most
+    first, and waiting items get free slots before moves do.
     """
-    free = [
+    free_intervals = [
         sampler.relative_interval for sampler in samplers if sampler.free > 0
     ]
-    slow = MIN_MOVE_RATIO * min(free, default=0)
-    by_id = {
+    slow_interval = MIN_MOVE_RATIO * min(free_intervals, default=0)
+    slow_samplers = {
         sampler.id: sampler
         for sampler in samplers
-        if sampler.relative_interval >= slow
+        if sampler.relative_interval >= slow_interval
     }
-    if not free or not by_id:
+    if not free_intervals or not slow_samplers:
         return []
     demands = count_demands(works, now)
     candidates = []
@@ -122,24 +124,26 @@
         if demands[work.job.model].waiting:
             continue
         for progress in work.items.values():
-            here = by_id.get(progress.sampler or UpstreamId(''))
-            if here is not None and progress.run is not None:
-                left = estimate_seconds(work, progress)
-                candidates.append((left, work, progress, here))
+            current = slow_samplers.get(progress.sampler or UpstreamId(''))
+            if current is not None and progress.run is not None:
+                remaining = estimate_seconds(work, progress)
+                candidates.append((remaining, work, progress, current))
     candidates.sort(key=lambda each: -each[0] * each[3].relative_interval)
-    found: list[ItemProgress] = []
-    for left, work, progress, here in candidates:
-        there = _find(work, progress, samplers)
-        if there is not None and _is_worth(progress, here, there, left, now):
-            there.free -= 1
-            found.append(progress)
-    return found
+    moves: list[ItemProgress] = []
+    for remaining, work, progress, current in candidates:
+        target = _find_sampler(work, progress, samplers)
+        if target is not None and _is_move_worthwhile(
+            progress, current, target, remaining, now
+        ):
+            target.free -= 1
+            moves.append(progress)
+    return moves
 
 
 def count_demands(
     works: Sequence[JobWork], now: float
 ) -> dict[str, ModelDemand]:
-    """Return what open jobs ask of each model."""
+    """Return the demand of open jobs by model."""
     demands: dict[str, ModelDemand] = {}
     for work in works:
         demand = demands.setdefault(work.job.model, ModelDemand())
@@ -148,45 +152,47 @@
         demand.required = max(demand.required, work.job.min_version)
         demand.waiting += len(waiting)
         if waiting:
-            since = now - work.opened_at
-            demand.waiting_seconds = max(demand.waiting_seconds, since)
+            age = now - work.opened_at
+            demand.waiting_seconds = max(demand.waiting_seconds, age)
     return demands
 
 
-def _is_worth(
+def _is_move_worthwhile(
     progress: ItemProgress,
-    here: SamplerSlots,
-    there: SamplerSlots,
-    left: float,
+    current: SamplerSlots,
+    target: SamplerSlots,
+    remaining: float,
     now: float,
 ) -> bool:
-    """Return whether an item gains by a move.
+    """Return whether an item gains from a move.
 
-    Where nothing is known of lengths, what has run for long is a long one. An
-    item that has just moved stays for a while: paces are told by single events,
-    and with its moves used up within a moment it would end on a slow sampler.
+    If lengths are unknown, an item that has run for long counts as a long one.
+    An item that has just moved stays for a while: measured intervals are noisy,
+    and if it used up its moves at once it could end up on a slow sampler.
     """
     if progress.started_at is None or progress.moves > MAX_MOVES:
         return False
-    ratio = here.relative_interval / there.relative_interval
-    least = MIN_MOVE_RATIO if progress.moves < MAX_MOVES else EXTRA_MOVE_RATIO
-    if ratio < least:
+    ratio = current.relative_interval / target.relative_interval
+    min_ratio = (
+        MIN_MOVE_RATIO if progress.moves < MAX_MOVES else EXTRA_MOVE_RATIO
+    )
+    if ratio < min_ratio:
         return False
     settled = now - progress.started_at > MOVE_AFTER_SECONDS
-    if left and (settled or not progress.moves):
+    if remaining and (settled or not progress.moves):
         return (
-            left * (here.relative_interval - there.relative_interval)
+            remaining * (current.relative_interval - target.relative_interval)
             >= MIN_MOVE_GAIN_SECONDS
         )
-    return settled and not left
+    return settled and not remaining
 
 
 def order_items(
     plans: Sequence[GroupPlan], lengths: LengthEstimator
 ) -> list[tuple[GroupPlan, ItemProgress]]:
-    """Return the items that wait, in the order to start them."""
+    """Return the waiting items in the order to start them."""
     rows = [
-        (_order(plan, progress, lengths), plan, progress)
+        (_make_sort_key(plan, progress, lengths), plan, progress)
         for plan in plans
         for progress in plan.waiting
     ]
@@ -194,10 +200,10 @@
     return [(plan, progress) for _, plan, progress in rows]
 
 
-def _order(
+def _make_sort_key(
     plan: GroupPlan, progress: ItemProgress, lengths: LengthEstimator
 ) -> tuple[float, ...]:
-    """Return the key of an item that waits; the least one starts first."""
+    """Return the sort key of a waiting item; the lowest starts first."""
     length = lengths.estimate(plan.work.job.model, progress).conservative
     head = (not plan.wanted, plan.deferred)
     if plan.deferred:
@@ -207,25 +213,25 @@
     return (*head, plan.due, plan.work.opened_at, -length, plan.rank)
 
 
-def _find(
+def _find_sampler(
     work: JobWork, progress: ItemProgress, samplers: Sequence[SamplerSlots]
 ) -> SamplerSlots | None:
     model = work.job.model
-    oldest = work.job.min_version
-    fitting = [
+    min_version = work.job.min_version
+    eligible = [
         sampler
         for sampler in samplers
         if sampler.free > 0
         and model in sampler.models
-        and sampler.versions.get(model, 0) >= oldest
+        and sampler.versions.get(model, 0) >= min_version
     ]
-    if not fitting:
+    if not eligible:
         return None
     group = progress.item.group
 
-    def cost(sampler: SamplerSlots) -> float:
+    def compute_cost(sampler: SamplerSlots) -> float:
         fill = 1 - (sampler.free - 1) / sampler.slots
-        near = SAME_GROUP_BONUS if group in sampler.groups else 0
-        return sampler.relative_interval * (1 + FULL_BATCH_COST * fill) - near
+        bonus = SAME_GROUP_BONUS if group in sampler.groups else 0
+        return sampler.relative_interval * (1 + FULL_BATCH_COST * fill) - bonus
 
-    return min(fitting, key=cost)
+    return min(eligible, key=compute_cost)
--- a/guavagate/jobs/_slots.py
+++ b/guavagate/jobs/_slots.py
@@ -1,4 +1,4 @@
-"""The samplers that may be given items now."""
+"""Selects the samplers that can be given items now."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -7,48 +7,47 @@
 from guavagate.ports.upstreams import Upstream
 from guavagate.rollouts import SamplerStates
 
-# A load of weights takes about as long, and so does the first pause after a
-# failure.
+# About the duration of a weight load, and of the first backoff after a failure.
 UPCOMING_SECONDS: Final = 1.0
 
 
 def list_slots(
     serving: Sequence[Upstream],
     states: SamplerStates,
-    default: int,
+    default_slots: int,
     now: float,
     *,
     include_upcoming: bool = False,
 ) -> list[SamplerSlots]:
-    """Return the samplers that neither load, failed just now nor are silent.
+    """Return the samplers that aren't loading, backing off or unresponsive.
 
     Parameters
     ----------
-    default
-        Slots of a sampler that does not tell how many it has.
-    soon
-        Whether those are listed as well that will be of use in a moment, as
-        for a forecast: while a model's samplers load it has no slots, and that
-        is over before anything is late.
+    default_slots
+        Slots of a sampler that doesn't report how many it has.
+    include_upcoming
+        Whether to include samplers that become available within
+        `UPCOMING_SECONDS`. A forecast needs them: while a model's samplers
+        load it has no slots, but the load ends before anything is late.
     """
     until = now + UPCOMING_SECONDS if include_upcoming else now
     known = [(each, states.get(each.id)) for each in serving]
-    usual = find_median_interval(serving, states)
+    median = find_median_interval(serving, states)
     listed = []
     for upstream, state in known:
         if state.stalled or state.avoid_until > until:
             continue
         if state.loading and not include_upcoming:
             continue
-        slots = upstream.slots or default
+        slots = upstream.slots or default_slots
         listed.append(
             SamplerSlots(
                 id=upstream.id,
                 versions=state.versions,
                 free=max(slots - state.in_flight, 0),
                 slots=slots,
-                relative_interval=state.event_interval / usual
-                if usual and state.event_interval
+                relative_interval=state.event_interval / median
+                if median and state.event_interval
                 else 1.0,
                 models=states.get_models(upstream.id),
             )
@@ -59,21 +58,23 @@
 def find_median_interval(
     serving: Sequence[Upstream], states: SamplerStates
 ) -> float:
-    """Return how long most samplers take for an event; 0 if none has shown.
+    """Return the samplers' median event interval in seconds; 0 if unknown.
 
-    In seconds; the middle one, as a few may have turned slow.
+    A few samplers that have become slow don't shift the median.
     """
-    paces = sorted(
-        pace for each in serving if (pace := states.get(each.id).event_interval)
+    intervals = sorted(
+        interval
+        for each in serving
+        if (interval := states.get(each.id).event_interval)
     )
-    return paces[len(paces) // 2] if paces else 0
+    return intervals[len(intervals) // 2] if intervals else 0
 
 
 def sum_slots_by_model(samplers: Sequence[SamplerSlots]) -> dict[str, float]:
-    """Return what each model has of the samplers' slots, at the usual pace.
+    """Return each model's share of the slots, in slots of median speed.
 
-    A sampler of several models is shared by them alike, and one that takes
-    twice as long for an event counts for half.
+    A sampler that serves several models counts for each in equal parts, and
+    one that takes twice the median interval for an event counts half.
     """
     slots: dict[str, float] = {}
     for sampler in samplers:
--- a/guavagate/jobs/_stalls.py
+++ b/guavagate/jobs/_stalls.py
@@ -1,11 +1,11 @@
-"""Samplers that have gone dark, told by all their streams; needs no network.
+"""Detects unresponsive samplers by their stalled streams; no network access.
 
-Load pattern: a sampler loses power or is cut off and sends no reset. Each of
-its streams alone might wait for memory, or for a load of weights, and has to be
-given seconds; the longest texts take nearly all the time that a step has, and
-one that waits for seconds makes its step late. Streams of one sampler do not
-all fall silent for that: where several do at once, for longer than many events
-take, none of them will go on, and their texts are gone on with elsewhere.
+Failure pattern: a sampler loses power or is cut off and sends no reset. A
+single stream may wait for memory or for a weight load and has to be given
+seconds, but the longest texts take nearly all the time of a step, so waiting
+makes their step late. Such waits don't stall all streams of a sampler at once:
+when several streams stall together for longer than many event intervals, none
+of them will continue, and their texts resume on other samplers.
 """
 
 from collections.abc import Sequence
@@ -15,9 +15,10 @@
 from guavagate.models import UpstreamId
 from guavagate.rollouts import SamplerStates
 
-# One stream that is silent may have been put off by the sampler.
+# The sampler may have preempted a single stalled stream.
 MIN_STALLED_STREAMS: Final = 2
-# As many events would have come meanwhile; within these bounds, in seconds.
+# Event intervals without an event that make a stream count as stalled, within
+# the bounds below.
 STALL_EVENTS: Final = 15
 MIN_STALL_SECONDS: Final = 0.5
 MAX_STALL_SECONDS: Final = 2.0
@@ -29,24 +30,24 @@
     event_seconds: float,
     now: float,
 ) -> dict[UpstreamId, list[ItemProgress]]:
-    """Return the runs of each sampler whose streams have all fallen silent.
+    """Return the running items of each sampler whose streams all stalled.
 
     Parameters
     ----------
     event_seconds
-        What an event usually takes; 0 where no sampler has shown it yet.
+        The usual event interval; 0 if no sampler has been measured yet.
     """
-    runs: dict[UpstreamId, list[ItemProgress]] = {}
+    running: dict[UpstreamId, list[ItemProgress]] = {}
     for work in works:
         for progress in work.items.values():
             if progress.sampler is not None and progress.task is not None:
-                runs.setdefault(progress.sampler, []).append(progress)
-    usual = event_seconds * STALL_EVENTS
-    quiet = min(max(usual, MIN_STALL_SECONDS), MAX_STALL_SECONDS)
+                running.setdefault(progress.sampler, []).append(progress)
+    expected = event_seconds * STALL_EVENTS
+    stall_seconds = min(max(expected, MIN_STALL_SECONDS), MAX_STALL_SECONDS)
     return {
-        sampler: held
-        for sampler, held in runs.items()
-        if len(held) >= MIN_STALLED_STREAMS
-        and now - max(each.last_event_at for each in held) > quiet
+        sampler: items
+        for sampler, items in running.items()
+        if len(items) >= MIN_STALLED_STREAMS
+        and now - max(each.last_event_at for each in items) > stall_seconds
         and not states.get(sampler).loading
     }
--- a/guavagate/jobs/_work.py
+++ b/guavagate/jobs/_work.py
@@ -1,4 +1,4 @@
-"""One job as its owner works on it."""
+"""Tracks the items of one job at its owner."""
 
 import itertools
 from typing import Final
@@ -16,9 +16,10 @@
 
 
 class Text(msgspec.Struct):
-    """What is there of an item's text, by whole events.
+    """The text of an item so far, in complete events.
 
-    `whole` once its sampler has ended it; only then its reward is asked for.
+    `complete` is set once the sampler has ended the text; only then can its
+    reward be requested. Events are numbered from 1 without gaps.
     """
 
     events: list[str] = []
@@ -27,37 +28,38 @@
     complete: bool = False
 
     def add(self, event: TextEvent) -> None:
-        """Take the next event."""
+        """Append the next event."""
         self.events.append(event.text)
         self.last_number = event.number
         if event.version not in self.versions:
             self.versions.append(event.version)
 
     def meets_version_bounds(
-        self, oldest: WeightVersion, only: WeightVersion | None
+        self, min_version: WeightVersion, only_version: WeightVersion | None
     ) -> bool:
-        """Return whether it may be gone on with.
+        """Return whether the text may be continued or delivered.
 
         Parameters
         ----------
-        only
-            The one version that may have made it, where there may be one.
+        only_version
+            The only permitted version of a job that accepts a single one.
         """
-        if any(version < oldest for version in self.versions):
+        if any(version < min_version for version in self.versions):
             return False
-        return only is None or set(self.versions) <= {only}
+        return only_version is None or set(self.versions) <= {only_version}
 
     def join(self) -> str:
-        """Return the text as it is listed."""
+        """Return the text as listed in a result."""
         return EVENT_SEPARATOR.join(self.events)
 
 
 class ItemProgress(msgspec.Struct):
-    """How far an item is; `moves` counts the times it changed samplers.
+    """The progress of an item; `moves` counts its changes of sampler.
 
-    `started` is nothing for one that did not run here: its result was listed
-    before, or carried over from an earlier job. `reward_task` asks for the
-    reward of a whole text, and `reward_failures` counts answers of 500.
+    `started_at` is None for an item that didn't run here: its result was
+    listed before or comes from an earlier job that submitted the same item.
+    `reward_task` requests the reward of a complete text, and `reward_failures`
+    counts responses with status 500.
     """
 
     item: JobItem
@@ -80,7 +82,7 @@
     done: bool = False
 
     def cancel(self) -> None:
-        """Leave the sampler, also while it has not answered yet."""
+        """Cancel the run, even before the sampler responds, and the reward."""
         self.cancelled = True
         reward = self.reward_task
         if reward is not None and reward is not getcurrent():
@@ -91,20 +93,24 @@
             self.task.kill(block=False)
 
     def is_waiting(self, now: float) -> bool:
-        """Return whether the item may be started."""
+        """Return whether the item can be started."""
         if self.done or self.text.complete:
             return False
         return self.sampler is None and now >= self.retry_at
 
     def is_ready_for_reward(self, now: float) -> bool:
-        """Return whether the reward of a whole text may be asked for."""
+        """Return whether the reward of a complete text can be requested."""
         if self.done or not self.text.complete:
             return False
         return self.reward_task is None and now >= self.reward_retry_at
 
 
 class JobWork:
-    """A job's items, groups and what waits to be listed."""
+    """A job's items and groups, and its results that aren't listed yet.
+
+    `opened_at` is when the job was submitted and `acquired_at` when this
+    instance became its owner, both on this instance's clock.
+    """
 
     def __init__(
         self, job: Job, log: ResultLog, now: float, age: float
@@ -117,22 +123,22 @@
         self.ended = False
         self.pending: list[Result] = []
         self.items = {each.id: ItemProgress(item=each) for each in job.items}
-        self._groups = _count_groups(job.items)
+        self._unfinished = _count_items_by_group(job.items)
         self.complete_groups = 0
         for result in log.results:
             self._mark_done(result.id)
 
     @property
     def open(self) -> bool:
-        """Return whether items are still to be run."""
+        """Return whether the job is not ended and lacks listed results."""
         return not self.ended and len(self.log.committed) < len(self.items)
 
     def add_result(self, result: Result) -> bool:
-        """Take an item's result; return whether it is worth listing now.
+        """Add an item's result; return whether to list it at once.
 
-        The trainer goes on when enough groups are complete, so the result
-        that completes the last of them is listed at once; others wait for
-        company, as each write has its price.
+        The trainer continues once enough groups are complete, so the result
+        that completes the last of them is listed at once. Others are batched,
+        because each write to the store has a cost.
         """
         progress = self.items[result.id]
         if progress.done:
@@ -144,19 +150,19 @@
         return completes and self.complete_groups >= self.job.target_groups
 
     def apply_listed(self) -> None:
-        """Drop what others have listed meanwhile."""
+        """Drop pending results that other instances have listed."""
         listed = self.log.committed
         self.pending = [each for each in self.pending if each.id not in listed]
         for item in listed:
             self._mark_done(item)
 
     def count_missing(self, group: GroupId) -> int:
-        """Return how many items of a group are not done."""
-        return self._groups[group]
+        """Return how many items of a group are unfinished."""
+        return self._unfinished[group]
 
     def is_group_complete(self, group: GroupId) -> bool:
         """Return whether all items of a group are done."""
-        return self._groups[group] == 0
+        return self._unfinished[group] == 0
 
     def _mark_done(self, item: ItemId) -> None:
         progress = self.items.get(item)
@@ -165,12 +171,12 @@
         progress.done = True
         progress.cancel()
         group = progress.item.group
-        self._groups[group] -= 1
-        if self._groups[group] == 0:
+        self._unfinished[group] -= 1
+        if self._unfinished[group] == 0:
             self.complete_groups += 1
 
 
-def _count_groups(items: list[JobItem]) -> dict[GroupId, int]:
+def _count_items_by_group(items: list[JobItem]) -> dict[GroupId, int]:
     ordered = sorted(each.group for each in items)
     return {
         group: len(list(members))
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -197,7 +197,7 @@
     Safeguard(
         "each event's version is within the bound",
         'guavagate/jobs/_runner.py',
-        'if not progress.text.meets_version_bounds(job.min_version, only):\n'
+        'if not progress.text.meets_version_bounds(job.min_version, single):\n'
         '            progress.text = Text()\n'
         '            raise',
         'if False:\n            progress.text = Text()\n            raise',
