--- a/tests/jobs/fleet.py
+++ b/tests/jobs/fleet.py
@@ -21,7 +21,7 @@
 from guavagate.models import InstanceId, WeightVersion, ZoneId
 from guavagate.rollouts import SamplerStates
 from guavagate.routing import UpstreamTable
-from tests.jobs.rewards import FakeRewards, make_reward
+from tests.jobs.rewards import FakeRewardClient, make_reward
 from tests.jobs.samplers import MODEL, SERVICE, FakeSamplers, make_upstream
 
 
@@ -87,7 +87,7 @@
                 (MODEL,)
             )
         self.states.update(self.upstreams.all())
-        self.rewards = FakeRewards(self.clock)
+        self.rewards = FakeRewardClient(self.clock)
         self.metrics = Metrics()
         self.replicas = TextReplicas(world.bus(name))
         self.owner = JobOwner(
--- a/tests/jobs/load_model.py
+++ b/tests/jobs/load_model.py
@@ -1,11 +1,11 @@
-"""Trainers in a closed loop on samplers, without the network.
+"""Simulates trainers in a closed loop on samplers, without the network.
 
-A trainer asks for a step by its schedule, or later: step `n` waits until step
-`n - 2` is trained, so two steps of a trainer are open at once. It takes each
-group that is whole, goes on at its deadline, and asks again with a later step
-for the groups that it did not get. A tenth of the texts is five times as long
-as the others; most come with an estimate of their length, which is often far
-off. The real decisions (`place`, `find_moves`) run on it in steps of `TICK`.
+A trainer requests a step on schedule, or later: step `n` waits until step
+`n - 2` is trained, so two steps of a trainer are open at once. It uses each
+complete group, continues at its deadline, and submits unfinished groups again
+with a later step. A tenth of the texts is five times as long as the others.
+Most come with an estimate of their length, which is often far off. The
+production code (`place`, `find_moves`) decides, once per `TICK_SECONDS`.
 """
 
 import random
@@ -30,27 +30,27 @@
 from guavagate.models import ServiceId, UpstreamId, WeightVersion
 from guavagate.ports.sampler import TextEvent
 from tests.jobs.load_parts import (
-    DEADLINE,
+    DEADLINE_SECONDS,
+    ESTIMATE_SPREAD,
     EVENT_SECONDS,
-    FULL_SLOWER,
-    HINT_SPREAD,
-    HINT_TOKENS,
-    IN_TIME,
-    LATE_WORTH,
+    FULL_BATCH_SLOWDOWN,
+    IN_TIME_SECONDS,
+    IN_TIME_VALUE,
+    LATE_VALUE,
     LONG_RATIO,
     LONG_SHARE,
-    OBJECTIVE,
-    WORTH,
+    OBJECTIVE_SECONDS,
+    TOKENS_PER_EVENT,
     Outcome,
-    Plan,
-    Shape,
+    Planner,
+    Slowdown,
     Step,
     Trainer,
-    Trouble,
+    TrainerProfile,
     plan_forecast,
 )
 
-TICK: Final = 0.1
+TICK_SECONDS: Final = 0.1
 
 
 class _Run:
@@ -61,79 +61,85 @@
         return iter(())
 
     def cancel(self) -> None:
-        """Do nothing; the progress says so."""
+        """Do nothing; the progress is marked as cancelled."""
 
 
 class LoadModel:
-    """Plays trainers against samplers for some seconds."""
+    """Runs simulated trainers against simulated samplers."""
 
     def __init__(
         self,
-        shapes: Sequence[Shape],
+        profiles: Sequence[TrainerProfile],
         samplers: int = 5,
         slots: int = 6,
-        troubles: Sequence[Trouble] = (),
+        slowdowns: Sequence[Slowdown] = (),
         seed: int = 1,
-        plan: Plan = plan_forecast,
+        planner: Planner = plan_forecast,
         shared: bool = True,
-        hinted: float = 1,
+        estimated_share: float = 1,
     ) -> None:
         self._random = random.Random(seed)
-        self._plan = plan
+        self._planner = planner
         self._lengths = LengthEstimator()
         self._clock = PausedClock()
         self._store = MemoryStore(self._clock)
         self._slots = slots
-        self._troubles = troubles
+        self._slowdowns = slowdowns
         self._trainers = [
-            Trainer(f'm{number}', shape) for number, shape in enumerate(shapes)
+            Trainer(f'm{number}', profile)
+            for number, profile in enumerate(profiles)
         ]
-        self._paces = [self._random.uniform(0.85, 1.2) for _ in range(samplers)]
-        self._held = [0] * samplers
+        self._interval_factors = [
+            self._random.uniform(0.85, 1.2) for _ in range(samplers)
+        ]
+        self._in_flight = [0] * samplers
         self._shared = shared
-        self._hinted = hinted
-        self._events: dict[ItemId, float] = {}
-        self._made: dict[ItemId, float] = {}
+        self._estimated_share = estimated_share
+        self._lengths_by_item: dict[ItemId, float] = {}
+        self._generated: dict[ItemId, float] = {}
         self._running: list[tuple[Trainer, Step, ItemProgress, int]] = []
         self._ids = 0
         self._last_step_at = float(0)
 
     def run(self, seconds: float = 60) -> Outcome:
-        """Play so many seconds; what is asked later does not count."""
-        self._last_step_at = seconds - DEADLINE
-        for tick in range(int(seconds / TICK)):
-            now = tick * TICK
+        """Run for some seconds; steps without time to end don't count."""
+        self._last_step_at = seconds - DEADLINE_SECONDS
+        for tick in range(int(seconds / TICK_SECONDS)):
+            now = tick * TICK_SECONDS
             for trainer in self._trainers:
-                self._ask(trainer, now)
-            self._make_events(now)
+                self._request_step(trainer, now)
+            self._generate(now)
             for trainer in self._trainers:
-                self._take(trainer, now)
-            self._start(now)
-        return self._judge(seconds)
+                self._collect_groups(trainer, now)
+            self._start_items(now)
+        return self._summarize(seconds)
 
     def find_last_late(self) -> float:
-        """Return when the last step was asked for that was late in part."""
-        return max((each.last_late for each in self._trainers), default=0)
+        """Return when the last step was requested that was partly late."""
+        return max((each.last_late_at for each in self._trainers), default=0)
 
-    def _ask(self, trainer: Trainer, now: float) -> None:
+    def _request_step(self, trainer: Trainer, now: float) -> None:
         number = trainer.next_step
-        if now < number * trainer.shape.period:
+        if now < number * trainer.profile.period:
             return
         if number >= 2 and trainer.trained_at.get(number - 2, now + 1) > now:
             return
         trainer.next_step += 1
-        trainer.asked += 1
+        trainer.requested_steps += 1
         trainer.steps.append(
             Step(number, now, self._make_work(trainer, number, now))
         )
 
     def _make_work(self, trainer: Trainer, number: int, now: float) -> JobWork:
-        shape = trainer.shape
-        most = shape.groups // 2
-        carried, trainer.left = trainer.left[:most], trainer.left[most:]
-        groups = list(carried)
-        while len(groups) < shape.groups:
-            groups.append(self._make_group(shape))
+        profile = trainer.profile
+        limit = profile.groups // 2
+        resubmitted, trainer.unfinished = (
+            trainer.unfinished[:limit],
+            trainer.unfinished[limit:],
+        )
+        groups = list(resubmitted)
+        while len(groups) < profile.groups:
+            groups.append(self._make_group(profile))
         job = Job(
             id=JobId(f'{trainer.name}-{number}'),
             host='a',
@@ -141,84 +147,88 @@
             model=trainer.name,
             step=number,
             min_version=WeightVersion(0),
-            target_groups=shape.groups,
+            target_groups=profile.groups,
             submitted_at=now,
             fingerprint='',
             max_attempts=3,
             item_ttl=40,
-            objective=OBJECTIVE,
+            objective=OBJECTIVE_SECONDS,
             items=[item for group in groups for item in group],
         )
         log = ResultLog(self._store, self._clock, job.id, 'model')
         work = JobWork(job, log, now, 0)
         for progress in work.items.values():
-            made = self._made.get(progress.item.id, 0)
-            progress.text.last_number = int(made)
-            if made >= self._events[progress.item.id]:
+            generated = self._generated.get(progress.item.id, 0)
+            progress.text.last_number = int(generated)
+            if generated >= self._lengths_by_item[progress.item.id]:
                 self._finish(work, progress)
         return work
 
-    def _make_group(self, shape: Shape) -> list[JobItem]:
+    def _make_group(self, profile: TrainerProfile) -> list[JobItem]:
         self._ids += 1
         group = GroupId(f'g{self._ids}')
         items = []
-        for number in range(shape.size):
+        for number in range(profile.size):
             item = ItemId(f'{group}-{number}')
-            mean = shape.mean_events
+            mean = profile.mean_events
             events = max(mean * self._random.lognormvariate(-0.2, 0.6), 3)
             if self._random.random() < LONG_SHARE:
                 events = LONG_RATIO * mean * self._random.uniform(0.6, 1.5)
-            self._events[item] = events
-            hint = 0
-            if self._random.random() < self._hinted:
-                spread = self._random.lognormvariate(0, HINT_SPREAD)
-                hint = int(events * HINT_TOKENS * spread) + 1
+            self._lengths_by_item[item] = events
+            estimate = 0
+            if self._random.random() < self._estimated_share:
+                spread = self._random.lognormvariate(0, ESTIMATE_SPREAD)
+                estimate = int(events * TOKENS_PER_EVENT * spread) + 1
             items.append(
                 JobItem(
                     id=item,
                     path='/',
                     headers={},
                     body=b'',
-                    expected_tokens=hint,
+                    expected_tokens=estimate,
                     group=group,
                 )
             )
         return items
 
-    def _pace(self, sampler: int, now: float) -> float:
-        pace = self._paces[sampler]
-        for trouble in self._troubles:
-            if trouble.sampler == sampler and (
-                trouble.since <= now < trouble.until
+    def _compute_factor(self, sampler: int, now: float) -> float:
+        factor = self._interval_factors[sampler]
+        for slowdown in self._slowdowns:
+            if slowdown.sampler == sampler and (
+                slowdown.since <= now < slowdown.until
             ):
-                pace *= trouble.ratio
-        return pace
+                factor *= slowdown.factor
+        return factor
 
-    def _make_events(self, now: float) -> None:
-        still = []
+    def _generate(self, now: float) -> None:
+        running = []
         for entry in self._running:
             _, step, progress, sampler = entry
             item = progress.item.id
             if progress.done or progress.cancelled or step.work.ended:
-                self._free(progress, sampler)
+                self._release_slot(progress, sampler)
                 continue
-            fill = self._held[sampler] / self._slots
-            pace = self._pace(sampler, now)
-            if pace:
-                seconds = EVENT_SECONDS * pace * (1 + FULL_SLOWER * fill)
-                self._made[item] = self._made.get(item, 0) + TICK / seconds
+            fill = self._in_flight[sampler] / self._slots
+            factor = self._compute_factor(sampler, now)
+            if factor:
+                seconds = (
+                    EVENT_SECONDS * factor * (1 + FULL_BATCH_SLOWDOWN * fill)
+                )
+                self._generated[item] = (
+                    self._generated.get(item, 0) + TICK_SECONDS / seconds
+                )
                 progress.last_event_at = now
-            progress.text.last_number = int(self._made.get(item, 0))
-            if self._made.get(item, 0) >= self._events[item]:
+            progress.text.last_number = int(self._generated.get(item, 0))
+            if self._generated.get(item, 0) >= self._lengths_by_item[item]:
                 self._lengths.record(step.work.job.model, progress)
                 self._finish(step.work, progress)
-                self._free(progress, sampler)
+                self._release_slot(progress, sampler)
                 continue
-            still.append(entry)
-        self._running = still
+            running.append(entry)
+        self._running = running
 
-    def _free(self, progress: ItemProgress, sampler: int) -> None:
-        self._held[sampler] -= 1
+    def _release_slot(self, progress: ItemProgress, sampler: int) -> None:
+        self._in_flight[sampler] -= 1
         progress.sampler = None
         progress.run = None
 
@@ -227,60 +237,65 @@
         work.add_result(result)
         work.log.committed.add(progress.item.id)
 
-    def _take(self, trainer: Trainer, now: float) -> None:
-        """Note whole groups; train the oldest step when it is done."""
+    def _collect_groups(self, trainer: Trainer, now: float) -> None:
+        """Record complete groups; end steps that are done or overdue."""
         for step in list(trainer.steps):
             work = step.work
             for group in {each.group for each in work.job.items}:
                 if work.is_group_complete(group):
-                    step.whole_at.setdefault(group, now)
-            over = now - step.asked_at >= DEADLINE
-            if len(step.whole_at) >= trainer.shape.groups or over:
-                self._end(trainer, step, now)
+                    step.completed_at.setdefault(group, now)
+            overdue = now - step.requested_at >= DEADLINE_SECONDS
+            if len(step.completed_at) >= trainer.profile.groups or overdue:
+                self._end_step(trainer, step, now)
 
-    def _end(self, trainer: Trainer, step: Step, now: float) -> None:
+    def _end_step(self, trainer: Trainer, step: Step, now: float) -> None:
         work = step.work
         work.ended = True
         trainer.steps.remove(step)
-        whole = [at - step.asked_at for at in step.whole_at.values()]
-        if len(whole) < trainer.shape.groups or max(whole) > IN_TIME:
-            trainer.last_late = max(trainer.last_late, step.asked_at)
-        for at in step.whole_at.values():
-            if step.number * trainer.shape.period > self._last_step_at:
+        durations = [
+            at - step.requested_at for at in step.completed_at.values()
+        ]
+        if (
+            len(durations) < trainer.profile.groups
+            or max(durations) > IN_TIME_SECONDS
+        ):
+            trainer.last_late_at = max(trainer.last_late_at, step.requested_at)
+        for at in step.completed_at.values():
+            if step.number * trainer.profile.period > self._last_step_at:
                 break
-            if at - step.asked_at <= IN_TIME:
+            if at - step.requested_at <= IN_TIME_SECONDS:
                 trainer.in_time += 1
             else:
                 trainer.late += 1
-        left: dict[GroupId, list[JobItem]] = {}
+        unfinished: dict[GroupId, list[JobItem]] = {}
         for item in work.job.items:
-            if item.group not in step.whole_at:
-                left.setdefault(item.group, []).append(item)
-        trainer.left += left.values()
+            if item.group not in step.completed_at:
+                unfinished.setdefault(item.group, []).append(item)
+        trainer.unfinished += unfinished.values()
         before = trainer.trained_at.get(step.number - 1, 0)
         trainer.trained_at[step.number] = (
-            max(now, before) + trainer.shape.training
+            max(now, before) + trainer.profile.training
         )
 
-    def _start(self, now: float) -> None:
+    def _start_items(self, now: float) -> None:
         works = [
             step.work
             for trainer in self._trainers
             for step in trainer.steps
             if step.work.open
         ]
-        owners = {
+        steps_by_job = {
             step.work.job.id: (trainer, step)
             for trainer in self._trainers
             for step in trainer.steps
         }
         samplers = self._list_slots(now)
-        plans = self._plan(works, samplers, self._lengths, now)
+        plans = self._planner(works, samplers, self._lengths, now)
         for placement in place(plans, samplers, self._lengths):
-            trainer, step = owners[placement.job]
+            trainer, step = steps_by_job[placement.job]
             progress = step.work.items[placement.item]
             sampler = int(placement.sampler)
-            self._held[sampler] += 1
+            self._in_flight[sampler] += 1
             progress.sampler = placement.sampler
             progress.started_at = now
             progress.cancelled = False
@@ -303,41 +318,44 @@
 
     def _list_slots(self, now: float) -> list[SamplerSlots]:
         models = frozenset(each.name for each in self._trainers)
-        paces = [self._pace(each, now) for each in range(len(self._paces))]
-        usual = sorted(paces)[len(paces) // 2] or 1
+        factors = [
+            self._compute_factor(each, now)
+            for each in range(len(self._interval_factors))
+        ]
+        median = sorted(factors)[len(factors) // 2] or 1
         return [
             SamplerSlots(
                 id=UpstreamId(str(number)),
                 versions=dict.fromkeys(models, WeightVersion(0)),
-                free=self._slots - self._held[number],
+                free=self._slots - self._in_flight[number],
                 slots=self._slots,
-                relative_interval=(pace or usual) / usual,
+                relative_interval=(factor or median) / median,
                 models=(
                     models
                     if self._shared
                     else frozenset((f'm{number % len(models)}',))
                 ),
             )
-            for number, pace in enumerate(paces)
+            for number, factor in enumerate(factors)
         ]
 
-    def _judge(self, seconds: float) -> Outcome:
+    def _summarize(self, seconds: float) -> Outcome:
         shares = {}
-        owed = 0
+        requested = 0
         for trainer in self._trainers:
-            shape = trainer.shape
-            steps = int((seconds - DEADLINE) / shape.period) + 1
-            groups = steps * shape.groups
-            owed += groups
-            worth = trainer.in_time * WORTH + trainer.late * LATE_WORTH
-            shares[trainer.name] = worth / (groups * WORTH)
+            profile = trainer.profile
+            steps = int((seconds - DEADLINE_SECONDS) / profile.period) + 1
+            groups = steps * profile.groups
+            requested += groups
+            value = trainer.in_time * IN_TIME_VALUE + trainer.late * LATE_VALUE
+            shares[trainer.name] = value / (groups * IN_TIME_VALUE)
         return Outcome(
             shares,
             sum(each.in_time for each in self._trainers),
             sum(each.late for each in self._trainers),
-            owed,
+            requested,
             {
-                each.name: seconds - each.next_step * each.shape.period
+                each.name: seconds - each.next_step * each.profile.period
                 for each in self._trainers
             },
         )
--- a/tests/jobs/load_parts.py
+++ b/tests/jobs/load_parts.py
@@ -1,4 +1,4 @@
-"""What the load model plays: trainers' shapes, troubles, plans, outcomes."""
+"""Defines the load model's trainers, slowdowns, planners and outcomes."""
 
 import dataclasses
 from collections.abc import Callable, Sequence
@@ -12,23 +12,22 @@
 from guavagate.jobs._work import JobWork
 
 EVENT_SECONDS: Final = 0.04
-# What a full batch makes each event slower by.
-FULL_SLOWER: Final = 0.08
-OBJECTIVE: Final = 7.5
-# A group counts as in time until a little later, and is of no use past the
-# trainer's deadline.
-IN_TIME: Final = 8.2
-DEADLINE: Final = 12.0
-WORTH: Final = 4.0
-LATE_WORTH: Final = 1.5
+# The share by which a full batch slows each event.
+FULL_BATCH_SLOWDOWN: Final = 0.08
+OBJECTIVE_SECONDS: Final = 7.5
+# A group counts as in time until a little after the objective, and has no value
+# past the trainer's deadline.
+IN_TIME_SECONDS: Final = 8.2
+DEADLINE_SECONDS: Final = 12.0
+IN_TIME_VALUE: Final = 4.0
+LATE_VALUE: Final = 1.5
 LONG_SHARE: Final = 0.1
 LONG_RATIO: Final = 5
-# An estimate is right at the median and off by this much, as a logarithm.
-HINT_SPREAD: Final = 0.5
-# Tokens of an estimate for each event.
-HINT_TOKENS: Final = 60
+# The spread of estimates around the true length (sigma of a lognormal).
+ESTIMATE_SPREAD: Final = 0.5
+TOKENS_PER_EVENT: Final = 60
 
-Plan = Callable[
+Planner = Callable[
     [Sequence[JobWork], Sequence[SamplerSlots], LengthEstimator, float],
     list[GroupPlan],
 ]
@@ -40,7 +39,7 @@
     lengths: LengthEstimator,
     now: float,
 ) -> list[GroupPlan]:
-    """Plan as the owner does."""
+    """Plan as the job owner does."""
     slots = sum_slots_by_model(samplers)
     return forecast(works, slots, EVENT_SECONDS, lengths, now).groups
 
@@ -56,8 +55,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Shape:
-    """What one trainer asks for with each step; times in seconds."""
+class TrainerProfile:
+    """The size of one trainer's steps; times in seconds."""
 
     groups: int = 4
     size: int = 16
@@ -67,13 +66,13 @@
 
 
 @dataclasses.dataclass
-class Trouble:
-    """A sampler that makes events slower for a while; 0: none at all."""
+class Slowdown:
+    """A period in which a sampler is slower; with factor 0 it stops."""
 
     sampler: int
     since: float
     until: float
-    ratio: float
+    factor: float
 
 
 @dataclasses.dataclass
@@ -81,38 +80,42 @@
     """An open step of a trainer."""
 
     number: int
-    asked_at: float
+    requested_at: float
     work: JobWork
-    whole_at: dict[GroupId, float] = dataclasses.field(default_factory=dict)
+    completed_at: dict[GroupId, float] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass
 class Trainer:
-    """One trainer, and what its steps came to."""
+    """One trainer and the results of its steps."""
 
     name: str
-    shape: Shape
+    profile: TrainerProfile
     steps: list[Step] = dataclasses.field(default_factory=list)
     trained_at: dict[int, float] = dataclasses.field(default_factory=dict)
-    left: list[list[JobItem]] = dataclasses.field(default_factory=list)
+    unfinished: list[list[JobItem]] = dataclasses.field(default_factory=list)
     next_step: int = 0
     in_time: int = 0
     late: int = 0
-    asked: int = 0
-    last_late: float = 0
+    requested_steps: int = 0
+    last_late_at: float = 0
 
 
 @dataclasses.dataclass
 class Outcome:
-    """What trainers got; `shares` is each one's part of what it is owed."""
+    """The results of all trainers; groups are counted.
+
+    `shares` is each trainer's achieved share of the value that it requested,
+    and `lags` the seconds by which its steps are late on their schedule.
+    """
 
     shares: dict[str, float]
     in_time: int
     late: int
-    owed: int
-    behind: dict[str, float]
+    requested: int
+    lags: dict[str, float]
 
     @property
-    def worth(self) -> float:
-        """Return the mean part of what was owed."""
+    def value(self) -> float:
+        """Return the mean achieved share of the requested value."""
         return sum(self.shares.values()) / len(self.shares)
--- a/tests/jobs/rewards.py
+++ b/tests/jobs/rewards.py
@@ -1,4 +1,4 @@
-"""A scoring service in memory: places, pace, outages, spoilt answers."""
+"""Fakes a scoring service in memory, with failures and lost responses."""
 
 from collections import Counter
 
@@ -21,46 +21,46 @@
     )
 
 
-class FakeRewards:
+class FakeRewardClient:
     """Implements `ports.rewards.RewardClient`.
 
-    `sent` has each request with its time; `failures` those answered 500 and
-    `lost` those without an answer, the first so many times.
+    `sent` lists each request with its time. `failures` and `lost` count, by
+    request, how many responses have status 500 or get lost at first.
     """
 
-    def __init__(self, clock: Clock, places: int = 6) -> None:
+    def __init__(self, clock: Clock, capacity: int = 6) -> None:
         self.clock = clock
-        self.places = places
+        self.capacity = capacity
         self.seconds = 0.2
         self.most_failures = 3
         self.has_route = True
-        self.held = 0
+        self.in_flight = 0
         self.sent: list[tuple[float, str]] = []
-        self.cut: list[str] = []
+        self.cancelled: list[str] = []
         self.failures: Counter[str] = Counter()
         self.lost: Counter[str] = Counter()
 
     def find_route(self, reward: RewardRequest) -> RewardRoute | None:
-        """Return the route, while there is one."""
+        """Return the route, or None without one."""
         if not self.has_route:
             return None
         return RewardRoute(service=RATING, most_failures=self.most_failures)
 
     def count_room(self, service: ServiceId) -> int:
-        """Return the free places."""
-        return self.places - self.held
+        """Return the free capacity."""
+        return self.capacity - self.in_flight
 
     def send(self, reward: RewardRequest) -> RewardOutcome:
-        """Answer after a while."""
+        """Respond after `seconds`."""
         self.sent.append((self.clock.now(), reward.id))
-        self.held += 1
+        self.in_flight += 1
         try:
             self.clock.sleep(self.seconds)
         except BaseException:
-            self.cut.append(reward.id)
+            self.cancelled.append(reward.id)
             raise
         finally:
-            self.held -= 1
+            self.in_flight -= 1
         if self.failures[reward.id]:
             self.failures[reward.id] -= 1
             return RewardOutcome(kind=RewardKind.FAILED, failures=1)
--- a/tests/jobs/samplers.py
+++ b/tests/jobs/samplers.py
@@ -1,4 +1,4 @@
-"""Samplers in memory: events at a pace, crashes, orders, versions."""
+"""Fakes samplers in memory: streams, crashes, version orders."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -35,54 +35,59 @@
 
 
 class FakeRun:
-    """A run of an item: its text says which event it is."""
+    """A run of an item; the text of each event names its number."""
 
     def __init__(
-        self, fleet: 'FakeSamplers', upstream: Upstream, item: ItemRequest
+        self, samplers: 'FakeSamplers', upstream: Upstream, item: ItemRequest
     ) -> None:
-        self._fleet = fleet
+        self._samplers = samplers
         self._upstream = upstream
         self._item = item
         self.cancelled = False
 
     def events(self) -> Iterator[TextEvent]:
-        """Yield the events after the one to resume after."""
-        fleet, name = self._fleet, self._upstream.id
-        for number in range(self._item.resume_after + 1, fleet.length + 1):
-            fleet.clock.sleep(fleet.pace.get(name, 0.05))
-            while name in fleet.silent and not self.cancelled:
-                fleet.clock.sleep(0.02)
-            if self.cancelled or name in fleet.down:
+        """Yield the events after `resume_after`."""
+        samplers, name = self._samplers, self._upstream.id
+        for number in range(self._item.resume_after + 1, samplers.length + 1):
+            samplers.clock.sleep(samplers.event_seconds.get(name, 0.05))
+            while name in samplers.stalled and not self.cancelled:
+                samplers.clock.sleep(0.02)
+            if self.cancelled or name in samplers.down:
                 raise UpstreamError('cut', 'nothing')
-            if (name, number) in fleet.skipped:
-                fleet.skipped.remove((name, number))
+            if (name, number) in samplers.skipped:
+                samplers.skipped.remove((name, number))
                 continue
-            version = fleet.versions.get(name, WeightVersion(1))
-            fleet.made[self._item.id] += 1
+            version = samplers.versions.get(name, WeightVersion(1))
+            samplers.generated[self._item.id] += 1
             yield TextEvent(number, f'{self._item.id}/{number}', version)
 
     def cancel(self) -> None:
-        """Leave."""
+        """Cancel the run."""
         self.cancelled = True
 
 
 class FakeSamplers:
-    """Implements `ports.sampler.SamplerClient`."""
+    """Implements `ports.sampler.SamplerClient`.
+
+    `event_seconds` is the event interval by sampler. A `stalled` sampler sends
+    no more events, a `down` one refuses connections, and `skipped` lists events
+    that a sampler leaves out. The first `lost_orders` orders get no response.
+    """
 
     def __init__(self, clock: Clock, length: int = 5) -> None:
         self.clock = clock
         self.length = length
-        self.pace: dict[str, float] = {}
+        self.event_seconds: dict[str, float] = {}
         self.down: set[str] = set()
         self.skipped: set[tuple[str, int]] = set()
         self.versions: dict[str, WeightVersion] = {}
         self.orders_taken: Counter[str] = Counter()
         self.orders: list[tuple[float, str, VersionOrder]] = []
-        self.silent_orders = 0
+        self.lost_orders = 0
         self.incarnation: dict[str, int] = {}
-        self.silent: set[str] = set()
+        self.stalled: set[str] = set()
         self.reports: Counter[str] = Counter()
-        self.made: Counter[str] = Counter()
+        self.generated: Counter[str] = Counter()
         self.started: list[tuple[str, str, int]] = []
         self.requests: list[ItemRequest] = []
 
@@ -110,11 +115,11 @@
         )
 
     def order(self, upstream: Upstream, order: VersionOrder) -> bool:
-        """Take an order, if it expects the right count of orders."""
+        """Apply an order if its count of earlier orders is right."""
         self.clock.sleep(0.002)
         self.orders.append((self.clock.now(), upstream.id, order))
-        if self.silent_orders:
-            self.silent_orders -= 1
+        if self.lost_orders:
+            self.lost_orders -= 1
             raise UpstreamError('no answer', 'look')
         if order.orders_taken != self.orders_taken[upstream.id]:
             raise OrderRefusedError('409')
--- a/tests/jobs/test_overload.py
+++ b/tests/jobs/test_overload.py
@@ -1,7 +1,7 @@
-"""What trainers get who ask for more than the samplers make.
+"""Overload: trainers request more than the samplers can generate.
 
-Each test names its load. What could be had at best is the samplers' time over
-the trainers' work; half of that in time is the aim under overload.
+Each test names its load. The best possible share is the samplers' time divided
+by the trainers' work; the goal under overload is half of that in time.
 """
 
 import statistics
@@ -11,86 +11,94 @@
 from tests.jobs.load_model import LoadModel
 from tests.jobs.load_parts import (
     Outcome,
-    Plan,
-    Shape,
-    Trouble,
+    Planner,
+    Slowdown,
+    TrainerProfile,
     plan_by_due,
     plan_forecast,
 )
 
 SEEDS = range(1, 5)
-LARGE = Shape(4, 16, 24)
-SMALL = Shape(8, 4, 24)
+LARGE = TrainerProfile(4, 16, 24)
+SMALL = TrainerProfile(8, 4, 24)
 
 
-def _play(shapes: list[Shape], plan: Plan, **fields: object) -> list[Outcome]:
+def _play(
+    profiles: list[TrainerProfile], planner: Planner, **fields: object
+) -> list[Outcome]:
     return [
-        LoadModel(shapes, seed=seed, plan=plan, **fields).run()  # type: ignore[arg-type]
+        LoadModel(profiles, seed=seed, planner=planner, **fields).run()  # type: ignore[arg-type]
         for seed in SEEDS
     ]
 
 
-def _count_in_time(outcomes: list[Outcome]) -> float:
-    return statistics.mean(each.in_time / each.owed for each in outcomes)
+def _compute_in_time_share(outcomes: list[Outcome]) -> float:
+    return statistics.mean(each.in_time / each.requested for each in outcomes)
 
 
-def _find_worth(outcomes: list[Outcome]) -> float:
-    return statistics.mean(each.worth for each in outcomes)
+def _compute_value(outcomes: list[Outcome]) -> float:
+    return statistics.mean(each.value for each in outcomes)
 
 
 @pytest.mark.parametrize(('samplers', 'load'), [(5, 1.6), (7, 1.1)])
-def test_overload_leaves_a_part_in_time(samplers: int, load: float) -> None:
-    """Three trainers ask for 1.6 and 1.1 times what the samplers make.
+def test_overload_leaves_a_share_in_time(samplers: int, load: float) -> None:
+    """Three trainers request 1.6 and 1.1 times what the samplers generate.
 
-    By due times alone each step is made just after it was due. More has to be
-    in time, and no trainer may pay for the others with most of its share.
+    Ordered by due times alone, each step completes just after it was due. The
+    forecast has to get more in time, without starving one of the trainers.
     """
-    shapes = [LARGE, LARGE, SMALL]
-    before = _play(shapes, plan_by_due, samplers=samplers)
-    after = _play(shapes, plan_forecast, samplers=samplers)
-    assert _count_in_time(after) >= 0.5 / load
-    assert _count_in_time(after) > _count_in_time(before)
-    assert _find_worth(after) > _find_worth(before)
-    for outcome in after:
-        assert min(outcome.shares.values()) >= outcome.worth / 2
-
-
-def test_a_load_that_fits_is_served_as_before() -> None:
-    """Three trainers ask for four fifths of what the samplers make."""
-    shapes = [LARGE, LARGE, SMALL]
-    before = _play(shapes, plan_by_due, samplers=10)
-    after = _play(shapes, plan_forecast, samplers=10)
-    assert _find_worth(after) >= _find_worth(before) - 0.02
-    assert _find_worth(after) >= 0.85
-
-
-def test_one_sampler_of_five_turns_slow() -> None:
-    """For ten seconds one makes a third of its events, at a load that fits."""
-    trouble = [Trouble(0, 10, 20, 3)]
-    after = _play([SMALL, SMALL], plan_forecast, samplers=5, troubles=trouble)
-    before = _play([SMALL, SMALL], plan_by_due, samplers=5, troubles=trouble)
-    assert _find_worth(after) >= max(_find_worth(before) - 0.02, 0.75)
-
-
-def test_one_trainer_asks_for_three_times_as_much() -> None:
-    """The large one is late; the small ones are served whole."""
-    large = Shape(8, 12, 24)
-    small = Shape(4, 8, 24)
-    after = _play(
+    profiles = [LARGE, LARGE, SMALL]
+    baseline = _play(profiles, plan_by_due, samplers=samplers)
+    outcomes = _play(profiles, plan_forecast, samplers=samplers)
+    assert _compute_in_time_share(outcomes) >= 0.5 / load
+    assert _compute_in_time_share(outcomes) > _compute_in_time_share(baseline)
+    assert _compute_value(outcomes) > _compute_value(baseline)
+    for outcome in outcomes:
+        assert min(outcome.shares.values()) >= outcome.value / 2
+
+
+def test_forecast_keeps_the_value_of_a_load_that_fits() -> None:
+    """Three trainers request four fifths of what the samplers generate."""
+    profiles = [LARGE, LARGE, SMALL]
+    baseline = _play(profiles, plan_by_due, samplers=10)
+    outcomes = _play(profiles, plan_forecast, samplers=10)
+    assert _compute_value(outcomes) >= _compute_value(baseline) - 0.02
+    assert _compute_value(outcomes) >= 0.85
+
+
+def test_one_slow_sampler_of_five_costs_little_value() -> None:
+    """For ten seconds one is three times slower, at a load that fits."""
+    slowdown = [Slowdown(0, 10, 20, 3)]
+    outcomes = _play(
+        [SMALL, SMALL], plan_forecast, samplers=5, slowdowns=slowdown
+    )
+    baseline = _play(
+        [SMALL, SMALL], plan_by_due, samplers=5, slowdowns=slowdown
+    )
+    assert _compute_value(outcomes) >= max(
+        _compute_value(baseline) - 0.02, 0.75
+    )
+
+
+def test_a_large_trainer_does_not_delay_small_ones() -> None:
+    """It requests three times as much, and only its own steps are late."""
+    large = TrainerProfile(8, 12, 24)
+    small = TrainerProfile(4, 8, 24)
+    outcomes = _play(
         [large, small, small], plan_forecast, samplers=9, shared=False
     )
-    for outcome in after:
+    for outcome in outcomes:
         assert outcome.shares['m1'] >= 0.8
         assert outcome.shares['m2'] >= 0.8
 
 
-def test_a_backlog_is_gone_within_a_step_after_a_burst() -> None:
+def test_backlog_clears_within_one_step_after_a_slowdown() -> None:
     """All samplers are four times slower for ten seconds, then recover.
 
-    What came later than a step's time after that is in time again.
+    Steps requested later than one deadline after that are in time again.
     """
-    trouble = [Trouble(number, 5, 15, 4) for number in range(8)]
-    model = LoadModel([SMALL, SMALL], samplers=8, troubles=trouble)
+    slowdown = [Slowdown(number, 5, 15, 4) for number in range(8)]
+    model = LoadModel([SMALL, SMALL], samplers=8, slowdowns=slowdown)
     outcome = model.run()
     assert model.find_last_late() < 15 + 12
-    assert outcome.worth >= 0.5
+    assert outcome.value >= 0.5
--- a/tests/jobs/test_owner.py
+++ b/tests/jobs/test_owner.py
@@ -137,10 +137,10 @@
     fleet.clock.advance(1)
     samplers = fleet.nodes[fleet.owner()].samplers
     started = len(samplers.started)
-    made = sum(samplers.made.values())
+    made = sum(samplers.generated.values())
     fleet.clock.advance(5)
     assert len(samplers.started) == started
-    assert sum(samplers.made.values()) == made
+    assert sum(samplers.generated.values()) == made
 
 
 def test_missing_job_is_distinguished_from_an_uncertain_one(
@@ -162,7 +162,7 @@
     owner = fleet.nodes[fleet.owner()]
     owner.samplers.length = 60
     fleet.length = 60
-    owner.samplers.pace['x'] = 0.2
+    owner.samplers.event_seconds['x'] = 0.2
     fleet.submit(make_job(), 'a')
     fleet.clock.advance(6)
     check_complete(fleet, 'a', 6)
@@ -220,7 +220,7 @@
         owner.upstreams.put(make_upstream(name, incarnation=100))
     fleet.submit(make_job(), 'a')
     fleet.clock.advance(1)
-    owner.samplers.silent.add('x')
+    owner.samplers.stalled.add('x')
     fleet.clock.advance(0.6)
     before = len(owner.samplers.started)
     owner.upstreams.put(make_upstream('x', incarnation=200))
@@ -228,7 +228,7 @@
     again = owner.samplers.started[before:]
     assert again
     assert min(after for _, _, after in again) > 0
-    owner.samplers.silent.clear()
+    owner.samplers.stalled.clear()
     fleet.clock.advance(_COMPLETION_SECONDS)
     check_complete(fleet, 'a', 6)
 
--- a/tests/jobs/test_rewards.py
+++ b/tests/jobs/test_rewards.py
@@ -9,7 +9,7 @@
 from guavagate.jobs._work import JobWork
 from guavagate.measure.fakes import World
 from tests.jobs.fleet import JobFleet, Node, find_other, make_job
-from tests.jobs.rewards import FakeRewards
+from tests.jobs.rewards import FakeRewardClient
 
 _LATER = 20
 
@@ -64,7 +64,7 @@
 
     def note(reward: object) -> object:
         item = reward.id.removeprefix('reward-')  # type: ignore[attr-defined]
-        made[item] = owner.samplers.made[item]
+        made[item] = owner.samplers.generated[item]
         return send(reward)  # type: ignore[arg-type]
 
     owner.rewards.send = note  # type: ignore[method-assign, assignment]
@@ -131,14 +131,14 @@
     Those in progress are cut, as items are; none starts.
     """
     owner = _owner(fleet)
-    owner.rewards.places = 2
+    owner.rewards.capacity = 2
     owner.rewards.seconds = 5
     fleet.submit(make_job(rated=True), 'a')
     fleet.clock.advance(3)
     owner.clock.spawn(owner.job_store.end, JobId('job-1'), 2.5)
     fleet.clock.advance(1)
     sent = len(owner.rewards.sent)
-    assert len(owner.rewards.cut) == 2
+    assert len(owner.rewards.cancelled) == 2
     fleet.clock.advance(_LATER)
     assert len(owner.rewards.sent) == sent
 
@@ -152,12 +152,12 @@
     owner.rewards.has_route = False
     fleet.submit(make_job(rated=True), 'a')
     fleet.clock.advance(5)
-    assert sum(owner.samplers.made.values()) == 30
+    assert sum(owner.samplers.generated.values()) == 30
     assert not owner.rewards.sent
     owner.rewards.has_route = True
     fleet.clock.advance(2)
     _check_rated(fleet, 6)
-    assert sum(owner.samplers.made.values()) == 30
+    assert sum(owner.samplers.generated.values()) == 30
 
 
 def test_a_signature_of_an_earlier_job_goes_with_its_text(
@@ -169,7 +169,7 @@
     not rated is only rated. Another reward request rates the text anew.
     """
     owner = _owner(fleet)
-    owner.rewards.places = 1
+    owner.rewards.capacity = 1
     owner.rewards.seconds = 1
     fleet.submit(make_job('job-0', groups=1, size=3, rated=True), 'a')
     fleet.clock.run_until(lambda: len(fleet.read('job-0', 'a')[1]) == 1, 10)
@@ -190,7 +190,7 @@
         'signature of reward-0-2',
         'signature of reward-other',
     ]
-    assert sum(owner.samplers.made.values()) == 15
+    assert sum(owner.samplers.generated.values()) == 15
 
 
 def test_groups_of_which_only_rewards_are_missing_go_first() -> None:
@@ -220,11 +220,11 @@
     Texts are made meanwhile and wait; soon after its return all are rated.
     """
     owner = _owner(fleet)
-    rewards: FakeRewards = owner.rewards
-    rewards.places = 0
+    rewards: FakeRewardClient = owner.rewards
+    rewards.capacity = 0
     fleet.submit(make_job(groups=6, rated=True), 'a')
     fleet.clock.advance(5)
-    assert sum(owner.samplers.made.values()) == 60
-    rewards.places = 6
+    assert sum(owner.samplers.generated.values()) == 60
+    rewards.capacity = 6
     fleet.clock.advance(1.5)
     _check_rated(fleet, 12)
--- a/tests/jobs/test_stalls.py
+++ b/tests/jobs/test_stalls.py
@@ -23,11 +23,11 @@
 def _darken(node: Node, *names: str) -> None:
     """Have samplers send nothing more, on old connections or new ones."""
     samplers = node.samplers
-    samplers.silent.update(names)
+    samplers.stalled.update(names)
     report = samplers.report
 
     def answer(upstream: Upstream) -> SamplerReport:
-        if upstream.id in samplers.silent:
+        if upstream.id in samplers.stalled:
             node.clock.sleep(1)
             raise UpstreamError('silent', 'nothing')
         return report(upstream)
@@ -71,7 +71,7 @@
     later = node.samplers.started[before:]
     assert later
     assert 'x' not in {sampler for _, sampler, _ in later}
-    node.samplers.silent.clear()
+    node.samplers.stalled.clear()
     fleet.clock.advance(2)
     fleet.submit(make_job('job-2', groups=6, size=2), 'a')
     fleet.clock.advance(1)
@@ -86,7 +86,7 @@
     running = next(
         name for name in 'xyz' if node.states.get(UpstreamId(name)).in_flight
     )
-    node.samplers.silent.add(running)
+    node.samplers.stalled.add(running)
     fleet.clock.advance(1.2)
     assert _count_on(node, running) == 1
 
@@ -98,7 +98,7 @@
     fleet.clock.advance(1)
     held = _count_on(node, 'x')
     node.states.get(UpstreamId('x')).loading = True
-    node.samplers.silent.add('x')
+    node.samplers.stalled.add('x')
     fleet.clock.advance(1.2)
     assert _count_on(node, 'x') == held
 
@@ -112,12 +112,12 @@
     fleet = JobFleet(length=LENGTH)
     for each in fleet.nodes.values():
         each.samplers.length = LENGTH
-        each.samplers.pace = dict.fromkeys('xyz', 0.25)
+        each.samplers.event_seconds = dict.fromkeys('xyz', 0.25)
     node = fleet.nodes[fleet.owner()]
     fleet.submit(make_job(groups=4, size=2), 'a')
     fleet.clock.advance(3)
     held = _count_on(node, 'x')
     assert held
-    node.samplers.silent.add('x')
+    node.samplers.stalled.add('x')
     fleet.clock.advance(1.2)
     assert _count_on(node, 'x') == held
--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -108,7 +108,7 @@
     order, so that the sampler itself refuses the late one.
     """
     setup = _Setup()
-    setup.samplers.silent_orders = 2
+    setup.samplers.lost_orders = 2
     setup.publish(2)
     setup.clock.advance(10)
     assert set(setup.samplers.versions) == set('abcdef')
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,7 @@
 from guavagate.routing import RouteTable, UpstreamTable
 from guavagate.service import Services
 from guavagate.util.seniority import BootOf, forget_boots
-from tests.jobs.rewards import FakeRewards
+from tests.jobs.rewards import FakeRewardClient
 from tests.jobs.samplers import SERVICE, FakeSamplers
 from tests.rollouts.test_coordinator import make_configuration
 
@@ -50,7 +50,7 @@
         routes,
         UpstreamTable(clock, ZoneId('zone-0')),
         FakeSamplers(clock),
-        FakeRewards(clock),
+        FakeRewardClient(clock),
         3.0,
         Metrics(),
         120.0,
