--- a/tests/jobs/test_event_interval.py
+++ b/tests/jobs/test_event_interval.py
@@ -1,4 +1,4 @@
-"""How fast samplers seem to be while their events are read in clumps."""
+"""Measuring event intervals while a busy owner reads events in bursts."""
 
 import random
 
@@ -6,81 +6,91 @@
 from guavagate.models import UpstreamId
 from guavagate.rollouts import SamplerStates
 
-_PACE = 0.048
+_INTERVAL_SECONDS = 0.048
 
 
-def _arrive(
-    pace: float, held_up: float, rng: random.Random, seconds: float = 6
+def _list_read_times(
+    interval: float, max_block: float, rng: random.Random, seconds: float = 6
 ) -> list[float]:
-    """Return when a stream's events are read; times in seconds.
+    """Return when the owner reads a stream's events; times in seconds.
 
     Parameters
     ----------
-    held_up
-        The owner reads nothing for up to so long, and then all that came.
+    max_block
+        The longest time for which the owner reads no events; it then reads all
+        that have arrived.
     """
-    arrivals: list[float] = []
+    read_times: list[float] = []
     busy_until = float(0)
     now = float(0)
     while now < seconds:
-        now += pace
+        now += interval
         if now > busy_until and rng.random() < 0.2:
-            busy_until = now + rng.uniform(0, held_up)
-        arrivals.append(max(now, busy_until))
-    return arrivals
+            busy_until = now + rng.uniform(0, max_block)
+        read_times.append(max(now, busy_until))
+    return read_times
 
 
 def _measure(
-    paces: list[float], held_up: float, seed: int, seconds: float = 6
+    intervals: list[float], max_block: float, seed: int, seconds: float = 6
 ) -> list[float]:
-    """Return how fast samplers with three streams each seem to be."""
+    """Return the measured intervals of samplers with three streams each."""
     rng = random.Random(seed)
     states = SamplerStates()
-    for number, pace in enumerate(paces):
+    for number, interval in enumerate(intervals):
         name = UpstreamId(str(number))
         for _ in range(3):
             meter = EventIntervalMeter()
-            for at in _arrive(pace, held_up, rng, seconds):
-                seen = meter.record_event(at)
-                if seen is not None:
-                    states.record_event_interval(name, seen)
+            for at in _list_read_times(interval, max_block, rng, seconds):
+                measured = meter.record_event(at)
+                if measured is not None:
+                    states.record_event_interval(name, measured)
     return [
-        states.get(UpstreamId(str(n))).event_interval for n in range(len(paces))
+        states.get(UpstreamId(str(n))).event_interval
+        for n in range(len(intervals))
     ]
 
 
-def test_samplers_that_are_alike_seem_alike_to_a_busy_owner() -> None:
-    """The owner is held up by a tenth of a second, again and again.
+def test_equal_samplers_measure_equal_at_a_busy_owner() -> None:
+    """The owner is repeatedly blocked for up to a tenth of a second.
 
-    By single gaps the fastest of sixteen equal ones seemed to be a quarter
-    faster than the others, and every text that could moved there.
+    Measured by single gaps, the fastest of sixteen equal samplers appeared a
+    quarter faster than the others, and every text that could moved there.
     """
     for seed in range(20):
-        seen = _measure([_PACE] * 16, 0.1, seed)
-        assert max(seen) < 1.25 * min(seen)
+        measured = _measure([_INTERVAL_SECONDS] * 16, 0.1, seed)
+        assert max(measured) < 1.25 * min(measured)
 
 
-def test_samplers_that_differ_are_told_apart() -> None:
-    """A third of the samplers takes 1.3 times as long for an event."""
+def test_slow_samplers_are_distinguished_from_fast_ones() -> None:
+    """A third of the samplers has 1.3 times the event interval."""
     for seed in range(20):
-        seen = _measure([_PACE, _PACE, 1.3 * _PACE] * 4, 0.1, seed)
-        slow = seen[2::3]
-        fast = [*seen[::3], *seen[1::3]]
+        measured = _measure(
+            [_INTERVAL_SECONDS, _INTERVAL_SECONDS, 1.3 * _INTERVAL_SECONDS] * 4,
+            0.1,
+            seed,
+        )
+        slow = measured[2::3]
+        fast = [*measured[::3], *measured[1::3]]
         assert min(slow) > max(fast)
 
 
-def test_a_sampler_that_crawls_is_noticed_within_two_seconds() -> None:
-    """It takes three and a half times as long, and has few events to show."""
-    seen = _measure([_PACE, 3.5 * _PACE], 0.1, 1, seconds=2)
-    assert seen[1] > 2 * seen[0]
+def test_a_very_slow_sampler_is_detected_within_two_seconds() -> None:
+    """Its interval is three and a half times as long; few events arrive."""
+    measured = _measure(
+        [_INTERVAL_SECONDS, 3.5 * _INTERVAL_SECONDS], 0.1, 1, seconds=2
+    )
+    assert measured[1] > 2 * measured[0]
 
 
-def test_a_load_of_weights_says_nothing_of_the_pace() -> None:
-    """Nothing comes for a second, and then all as before."""
+def test_a_weight_load_does_not_change_the_interval() -> None:
+    """Events stop for a second, then continue as before."""
     meter = EventIntervalMeter()
     times = [0.05 * n for n in range(40)] + [3 + 0.05 * n for n in range(40)]
-    seen = [
-        pace for at in times if (pace := meter.record_event(at)) is not None
+    measured = [
+        interval
+        for at in times
+        if (interval := meter.record_event(at)) is not None
     ]
-    assert len(seen) > 5
-    assert max(seen) < 0.06
+    assert len(measured) > 5
+    assert max(measured) < 0.06
--- a/tests/jobs/test_forecast.py
+++ b/tests/jobs/test_forecast.py
@@ -1,4 +1,4 @@
-"""Which groups go behind, of steps that are open at once."""
+"""Which groups are deferred while several steps are open."""
 
 import msgspec
 
@@ -22,7 +22,7 @@
     groups: int = 2,
     size: int = 2,
 ) -> JobWork:
-    """Return a job whose items all have one estimate."""
+    """Return a job whose items all have the same estimate."""
     job = make_job(name, groups=groups, size=size)
     items = [
         msgspec.structs.replace(each, expected_tokens=tokens)
@@ -34,7 +34,7 @@
 
 
 def make_lengths(events: int = 25, tokens: int = 1000) -> LengthEstimator:
-    """Return what is known after texts of one length."""
+    """Return an estimator that has recorded texts of one length."""
     lengths = LengthEstimator()
     work = make_work('seen', tokens=tokens, groups=MIN_TEXTS, size=1)
     for progress in work.items.values():
@@ -49,22 +49,22 @@
     return planned.groups
 
 
-def test_with_room_for_all_nothing_goes_behind() -> None:
-    """Two steps are open, and ten slots make both in a second."""
+def test_no_group_is_deferred_with_enough_capacity() -> None:
+    """Two steps are open, and ten slots complete both in a second."""
     planned = _plan([make_work('a'), make_work('b')], 10)
     assert len(planned) == 4
     assert not any(each.deferred for each in planned)
 
 
-def test_what_is_late_in_any_case_goes_behind_what_is_not() -> None:
-    """A step is past its objective while another one has just come."""
+def test_late_groups_are_deferred_before_timely_ones() -> None:
+    """One step is past its objective while another has just arrived."""
     planned = _plan([make_work('old', age=8), make_work('new')], 0.5)
-    behind = {each.work.job.id for each in planned if each.deferred}
-    assert behind == {'old'}
+    deferred = {each.work.job.id for each in planned if each.deferred}
+    assert deferred == {'old'}
 
 
-def test_the_costliest_group_goes_behind() -> None:
-    """Three steps, of which one takes four times as long, and two fit."""
+def test_the_most_expensive_group_is_deferred() -> None:
+    """Of three steps one takes four times as long, and only two fit."""
     works = [
         make_work('a', tokens=2000, groups=1),
         make_work('large', tokens=2000, groups=1, size=8),
@@ -72,18 +72,18 @@
     ]
     lengths = make_lengths(events=50, tokens=2000)
     planned = forecast(works, {MODEL: 2}, EVENT_SECONDS, lengths, NOW)
-    behind = {each.work.job.id for each in planned.groups if each.deferred}
-    assert behind == {'large'}
+    deferred = {each.work.job.id for each in planned.groups if each.deferred}
+    assert deferred == {'large'}
 
 
-def test_a_late_group_keeps_its_turn_while_nothing_is_short() -> None:
-    """A trainer waits for a late group; nobody else wants the slots."""
+def test_a_late_group_is_not_deferred_with_enough_capacity() -> None:
+    """A trainer waits for a late group, and the others still fit."""
     planned = _plan([make_work('old', age=8), make_work('new')], 50)
     assert not any(each.deferred for each in planned)
 
 
-def test_nothing_goes_behind_before_texts_have_ended() -> None:
-    """The first steps after a start: how long texts are is not known."""
+def test_no_group_is_deferred_while_lengths_are_unknown() -> None:
+    """These are the first steps after a start; no text has completed."""
     works = [make_work('old', age=8), make_work('new')]
     planned = forecast(
         works, {MODEL: 0.1}, EVENT_SECONDS, LengthEstimator(), NOW
@@ -91,8 +91,8 @@
     assert not any(each.deferred for each in planned.groups)
 
 
-def test_groups_that_the_trainer_does_not_wait_for_count_for_nothing() -> None:
-    """A spare group does not put a wanted one behind."""
+def test_spare_groups_do_not_defer_wanted_ones() -> None:
+    """The trainer waits for two of three groups, and two fit."""
     work = make_work('a', groups=3)
     work.job = msgspec.structs.replace(work.job, target_groups=2)
     planned = _plan([work], 0.6)
--- a/tests/jobs/test_lengths.py
+++ b/tests/jobs/test_lengths.py
@@ -1,4 +1,4 @@
-"""What is expected of texts, by those that have ended."""
+"""Estimating text lengths from completed texts."""
 
 import pytest
 
@@ -8,34 +8,34 @@
 
 
 def _make_progress(tokens: int) -> ItemProgress:
-    """Return an item of which nothing is made yet."""
+    """Return an item without any text yet."""
     return next(iter(make_work('a', tokens=tokens).items.values()))
 
 
-def test_an_estimate_counts_by_what_its_tokens_came_to() -> None:
-    """Trainers count tokens, samplers send events of several."""
+def test_estimates_are_scaled_by_completed_texts() -> None:
+    """Trainers estimate tokens; samplers send events of several tokens."""
     lengths = make_lengths(events=25, tokens=1000)
     progress = _make_progress(600)
     assert lengths.estimate(MODEL, progress).typical == pytest.approx(15)
 
 
-def test_a_text_beyond_its_estimate_is_not_taken_for_done() -> None:
-    """The estimate was wrong; some more is to be expected."""
+def test_a_text_beyond_its_estimate_has_some_length_left() -> None:
+    """The estimate was wrong, so the text is not about to end."""
     lengths = make_lengths(events=25, tokens=1000)
     progress = _make_progress(600)
     progress.text.last_number = 40
     assert lengths.estimate(MODEL, progress).typical > 0
 
 
-def test_no_text_is_expected_to_be_longer_than_any_was() -> None:
-    """An estimate is ten times too high, and texts have a limit."""
+def test_estimates_are_capped_by_the_longest_text() -> None:
+    """An estimate is far too high, and texts have a length limit."""
     lengths = make_lengths(events=25, tokens=1000)
     progress = _make_progress(20000)
     assert lengths.estimate(MODEL, progress).conservative == 25
 
 
-def test_texts_without_an_estimate_may_be_long_ones() -> None:
-    """Else they would start last, and the long ones among them be late."""
+def test_texts_without_an_estimate_may_be_long() -> None:
+    """Otherwise they start last, and the long ones among them are late."""
     lengths = make_lengths(events=25, tokens=0)
     work = make_work('seen', tokens=0, groups=10, size=1)
     for progress in work.items.values():
--- a/tests/jobs/test_rewards.py
+++ b/tests/jobs/test_rewards.py
@@ -1,4 +1,4 @@
-"""Rewards of whole texts, while owners, upstreams and routes fail."""
+"""Rewards of complete texts while owners, upstreams and routes fail."""
 
 import msgspec
 import pytest
@@ -11,12 +11,12 @@
 from tests.jobs.fleet import JobFleet, Node, find_other, make_job
 from tests.jobs.rewards import FakeRewardClient
 
-_LATER = 20
+_SETTLE_SECONDS = 20
 
 
 @pytest.fixture
 def fleet() -> JobFleet:
-    """Three instances before three samplers and a scoring service."""
+    """Return three instances with three samplers and a scoring service."""
     return JobFleet()
 
 
@@ -34,24 +34,24 @@
     return results
 
 
-def test_a_result_is_listed_with_the_signature_of_its_reward(
+def test_a_result_has_the_signature_of_its_reward(
     fleet: JobFleet,
 ) -> None:
-    """Each text is made, then rated once, then listed with its signature."""
+    """Each text is generated, rated once and listed with its signature."""
     fleet.submit(make_job(rated=True), 'a')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_SETTLE_SECONDS)
     results = _check_rated(fleet, 6)
     assert all(each.signature for each in results)
     assert len(_owner(fleet).rewards.sent) == 6
 
 
-def test_no_reward_is_asked_for_before_a_text_is_whole(
+def test_no_reward_is_requested_before_a_text_is_complete(
     fleet: JobFleet,
 ) -> None:
-    """A sampler dies in the middle of the texts; they go on elsewhere.
+    """A sampler dies in the middle of its texts; they resume elsewhere.
 
-    A signature that is older than the last event of its text rates another text
-    than the one that is delivered.
+    A signature requested before the last event of a text would rate a different
+    text than the one delivered.
     """
     owner = _owner(fleet)
     fleet.length = 40
@@ -59,57 +59,57 @@
     fleet.submit(make_job(rated=True), 'a')
     fleet.clock.advance(1)
     owner.samplers.down.add('x')
-    made: dict[str, int] = {}
+    generated: dict[str, int] = {}
     send = owner.rewards.send
 
-    def note(reward: object) -> object:
+    def record_and_send(reward: object) -> object:
         item = reward.id.removeprefix('reward-')  # type: ignore[attr-defined]
-        made[item] = owner.samplers.generated[item]
+        generated[item] = owner.samplers.generated[item]
         return send(reward)  # type: ignore[arg-type]
 
-    owner.rewards.send = note  # type: ignore[method-assign, assignment]
-    fleet.clock.advance(_LATER)
+    owner.rewards.send = record_and_send  # type: ignore[method-assign, assignment]
+    fleet.clock.advance(_SETTLE_SECONDS)
     _check_rated(fleet, 6)
-    assert len(made) == 6
-    assert min(made.values()) >= 40
+    assert len(generated) == 6
+    assert min(generated.values()) >= 40
 
 
-def test_a_lost_answer_gives_no_signature(fleet: JobFleet) -> None:
-    """Answers are lost, cut or crossed; the request is sent again."""
+def test_a_lost_response_repeats_the_request(fleet: JobFleet) -> None:
+    """Responses to two requests are lost; each request is repeated."""
     rewards = _owner(fleet).rewards
     rewards.lost.update({'reward-0-0': 2, 'reward-1-1': 1})
     fleet.submit(make_job(rated=True), 'a')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_SETTLE_SECONDS)
     results = _check_rated(fleet, 6)
     assert {each.state for each in results} == {ResultState.COMPLETED}
     assert len(rewards.sent) == 9
 
 
-def test_a_reward_that_always_fails_ends_its_item_alone(
+def test_a_reward_that_always_fails_ends_only_its_item(
     fleet: JobFleet,
 ) -> None:
-    """One request is answered 500 each time, as often as its route allows.
+    """One request gets status 500 as often as its route allows.
 
-    Given up sooner, a text that was paid for is lost; never given up, its
-    group is never whole.
+    Giving up sooner would waste a generated text; never giving up would leave
+    its group incomplete forever.
     """
     rewards = _owner(fleet).rewards
     rewards.most_failures = 4
     rewards.failures['reward-0-0'] = 99
     fleet.submit(make_job(rated=True), 'a')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_SETTLE_SECONDS)
     results = _check_rated(fleet, 6)
     errored = [each.id for each in results if not each.signature]
     assert errored == ['0-0']
-    asked = [name for _, name in rewards.sent]
-    assert asked.count('reward-0-0') == 4
+    requested = [name for _, name in rewards.sent]
+    assert requested.count('reward-0-0') == 4
 
 
-def test_a_whole_text_survives_its_owner(fleet: JobFleet) -> None:
-    """The owner is killed while the scoring service is dark.
+def test_a_complete_text_survives_its_owner(fleet: JobFleet) -> None:
+    """The owner is killed while the scoring service does not respond.
 
-    All texts are whole. The next owner has been told so and asks only for
-    their rewards; no sampler makes an event again.
+    All texts are complete. The next owner has replicas of them and requests
+    only their rewards; no sampler generates an event again.
     """
     for node in fleet.nodes.values():
         node.rewards.seconds = 60
@@ -120,15 +120,15 @@
     fleet.nodes.pop(first)
     for node in fleet.nodes.values():
         node.rewards.seconds = 0.2
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_SETTLE_SECONDS)
     _check_rated(fleet, 6)
     assert not _owner(fleet).samplers.started
 
 
-def test_an_ended_job_asks_for_no_more_rewards(fleet: JobFleet) -> None:
-    """The trainer ends its job while rewards are on their way and wait.
+def test_an_ended_job_requests_no_more_rewards(fleet: JobFleet) -> None:
+    """The trainer ends its job while rewards are in flight and waiting.
 
-    Those in progress are cut, as items are; none starts.
+    Those in flight are cancelled, like running items, and no other starts.
     """
     owner = _owner(fleet)
     owner.rewards.capacity = 2
@@ -139,14 +139,14 @@
     fleet.clock.advance(1)
     sent = len(owner.rewards.sent)
     assert len(owner.rewards.cancelled) == 2
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_SETTLE_SECONDS)
     assert len(owner.rewards.sent) == sent
 
 
-def test_texts_wait_for_a_route_that_was_dropped(fleet: JobFleet) -> None:
-    """A configuration drops the route of the rewards, and a later one has it.
+def test_texts_wait_for_a_removed_route(fleet: JobFleet) -> None:
+    """A configuration removes the route of the rewards; a later one adds it.
 
-    Nothing is lost, and what can be done is: all texts are made meanwhile.
+    All texts are generated meanwhile, and none is lost.
     """
     owner = _owner(fleet)
     owner.rewards.has_route = False
@@ -160,13 +160,13 @@
     assert sum(owner.samplers.generated.values()) == 30
 
 
-def test_a_signature_of_an_earlier_job_goes_with_its_text(
+def test_a_resubmitted_item_keeps_its_signature(
     fleet: JobFleet,
 ) -> None:
-    """A group that was not whole comes again under the same reward requests.
+    """An incomplete group is resubmitted with the same reward requests.
 
-    What was rated is neither made nor rated again; a text that was whole but
-    not rated is only rated. Another reward request rates the text anew.
+    A rated item is neither generated nor rated again, and a complete text
+    without a reward is only rated. A changed reward request is sent again.
     """
     owner = _owner(fleet)
     owner.rewards.capacity = 1
@@ -183,7 +183,7 @@
     changed = msgspec.structs.replace(again.items[0], reward=other)
     again = msgspec.structs.replace(again, items=[changed, *again.items[1:]])
     fleet.submit(again, 'a')
-    fleet.clock.advance(_LATER)
+    fleet.clock.advance(_SETTLE_SECONDS)
     _, results = fleet.read('job-1', 'a')
     assert sorted(each.signature for each in results) == [
         'signature of reward-0-1',
@@ -193,12 +193,12 @@
     assert sum(owner.samplers.generated.values()) == 15
 
 
-def test_groups_of_which_only_rewards_are_missing_go_first() -> None:
-    """Texts of three groups are whole when one place is free.
+def test_groups_that_lack_only_rewards_go_first() -> None:
+    """Texts of three groups are complete when capacity for one is free.
 
-    The trainer goes on with whole groups: a reward for a group of which a text
-    is still in the making makes none whole, and of the others the one with the
-    fewest rewards to go is whole first.
+    The trainer continues with complete groups. A reward for a group with an
+    unfinished text completes no group, and of the others the group with the
+    fewest missing rewards completes first.
     """
     world = World()
     world.add('a')
@@ -212,12 +212,12 @@
     assert ordered == ['2-0', '1-0', '1-1', '0-0']
 
 
-def test_an_outage_of_the_scoring_service_loses_no_text(
+def test_a_scoring_service_outage_loses_no_text(
     fleet: JobFleet,
 ) -> None:
-    """No upstream of that service answers for five seconds.
+    """No upstream of the scoring service has capacity for five seconds.
 
-    Texts are made meanwhile and wait; soon after its return all are rated.
+    Texts are generated meanwhile and wait; all are rated soon afterwards.
     """
     owner = _owner(fleet)
     rewards: FakeRewardClient = owner.rewards
--- a/tests/jobs/test_schedule.py
+++ b/tests/jobs/test_schedule.py
@@ -1,4 +1,4 @@
-"""Which items start where, under loads of several steps."""
+"""Which items start on which samplers while several steps are open."""
 
 import msgspec
 
@@ -11,8 +11,8 @@
     SamplerSlots,
     count_demands,
 )
-from guavagate.jobs._schedule import find_moves as find_moves_known
-from guavagate.jobs._schedule import place as place_planned
+from guavagate.jobs._schedule import find_moves as find_job_moves
+from guavagate.jobs._schedule import place as place_plans
 from guavagate.jobs._slots import sum_slots_by_model
 from guavagate.jobs._work import ItemProgress, JobWork
 from guavagate.measure.fakes import MemoryStore
@@ -31,14 +31,14 @@
 
 
 def _make_sampler(
-    name: str, free: int = 2, version: int = 1, pace: float = 1
+    name: str, free: int = 2, version: int = 1, interval: float = 1
 ) -> SamplerSlots:
     return SamplerSlots(
         id=UpstreamId(name),
         versions={MODEL: WeightVersion(version)},
         free=free,
         slots=4,
-        relative_interval=pace,
+        relative_interval=interval,
         models=frozenset((MODEL,)),
     )
 
@@ -46,68 +46,68 @@
 def place(
     works: list[JobWork], samplers: list[SamplerSlots], now: float
 ) -> list[Placement]:
-    """Place what the forecast plans, while no text has ended yet."""
+    """Place the forecast's items while no text has completed yet."""
     lengths = LengthEstimator()
     planned = forecast(works, sum_slots_by_model(samplers), 0, lengths, now)
-    return place_planned(planned.groups, samplers, lengths)
+    return place_plans(planned.groups, samplers, lengths)
 
 
 def find_moves(
     works: list[JobWork],
     samplers: list[SamplerSlots],
     now: float,
-    left: float = 0,
+    remaining: float = 0,
 ) -> list[ItemProgress]:
-    """Find what to move; `left` is what each item still takes, if known."""
-    return find_moves_known(works, samplers, now, lambda *_: left)
+    """Find moves; `remaining` is each item's remaining seconds, if known."""
+    return find_job_moves(works, samplers, now, lambda *_: remaining)
 
 
-def test_no_more_than_the_free_slots_start() -> None:
-    """What has no slot waits here, where it can still be reordered."""
+def test_only_as_many_items_as_free_slots_start() -> None:
+    """Items without a slot wait here, where they can be reordered."""
     placed = place([_make_work(groups=10)], [_make_sampler('x')], 100)
     assert len(placed) == 2
 
 
-def test_the_job_that_is_due_first_starts_first() -> None:
-    """Two trainers' steps are open; the older one is due sooner."""
+def test_the_job_due_first_starts_first() -> None:
+    """Two trainers' steps are open; the older one is due first."""
     works = [_make_work('young'), _make_work('old', age=3)]
     placed = place(works, [_make_sampler('x')], 100)
     assert {each.job for each in placed} == {'old'}
 
 
-def test_groups_keep_the_trainers_order() -> None:
-    """Groups carried over stand first and start first."""
+def test_groups_start_in_the_trainers_order() -> None:
+    """A trainer lists resubmitted groups first, so they start first."""
     placed = place([_make_work()], [_make_sampler('x', free=4)], 100)
     assert [each.item for each in placed] == ['0-0', '0-1', '1-0', '1-1']
 
 
-def test_a_stale_sampler_gets_nothing() -> None:
-    """Its version is below what the step accepts."""
+def test_a_stale_sampler_gets_no_items() -> None:
+    """Its version is lower than the step accepts."""
     work = _make_work(min_version=WeightVersion(2))
     samplers = [_make_sampler('x'), _make_sampler('y', version=2)]
     placed = place([work], samplers, 100)
     assert {each.sampler for each in placed} == {'y'}
 
 
-def test_a_group_stays_together_where_there_is_room() -> None:
-    """Its items share their prompt, which is then read once."""
+def test_a_group_shares_a_sampler_with_enough_slots() -> None:
+    """Its items share a prompt, which is then read only once."""
     samplers = [_make_sampler(name, free=4) for name in 'xyz']
     placed = place([_make_work(groups=1)], samplers, 100)
     assert len({each.sampler for each in placed}) == 1
 
 
-def test_a_slow_sampler_is_taken_last() -> None:
-    """One of two samplers takes three times as long for an event."""
-    samplers = [_make_sampler('slow', pace=3), _make_sampler('x')]
+def test_a_slow_sampler_is_used_last() -> None:
+    """One of two samplers has three times the event interval."""
+    samplers = [_make_sampler('slow', interval=3), _make_sampler('x')]
     placed = place([_make_work(groups=1)], samplers, 100)
     assert {each.sampler for each in placed} == {'x'}
 
 
-def test_moves_only_when_nothing_waits() -> None:
-    """A free slot goes to an item that has none before one that is slow."""
+def test_waiting_items_get_slots_before_moves() -> None:
+    """A free slot goes to a waiting item before one on a slow sampler."""
     work = _make_work(groups=1)
     first, second = work.items.values()
-    samplers = [_make_sampler('slow', pace=3), _make_sampler('x')]
+    samplers = [_make_sampler('slow', interval=3), _make_sampler('x')]
     first.sampler = UpstreamId('slow')
     first.run = object()  # type: ignore[assignment]
     first.started_at = 90
@@ -117,26 +117,26 @@
 
 
 def test_a_long_text_leaves_a_slow_sampler_at_once() -> None:
-    """A sampler is a third slower than others that have a free slot.
+    """A sampler is a third slower than another one with a free slot.
 
-    Of six seconds that a text still takes, it loses two there, and its step is
-    late. A text that is nearly done loses nothing worth a connection.
+    A text with six seconds left loses two there, and its step is late. A text
+    that is almost done loses less than a move costs.
     """
     work = _make_work(groups=1, size=1)
     progress = next(iter(work.items.values()))
     progress.sampler = UpstreamId('slow')
     progress.run = object()  # type: ignore[assignment]
     progress.started_at = 99.5
-    samplers = [_make_sampler('slow', pace=1.35), _make_sampler('x')]
-    assert not find_moves([work], samplers, 100, left=1)
-    assert find_moves([work], samplers, 100, left=6) == [progress]
+    samplers = [_make_sampler('slow', interval=1.35), _make_sampler('x')]
+    assert not find_moves([work], samplers, 100, remaining=1)
+    assert find_moves([work], samplers, 100, remaining=6) == [progress]
 
 
-def test_an_item_that_has_just_moved_stays_for_a_while() -> None:
-    """The paces of three samplers differ by a moment's noise.
+def test_a_recently_moved_item_stays_for_a_while() -> None:
+    """The measured intervals of three samplers differ by noise.
 
-    The longest text of a step hops twice within 0.3 s, and has no move left
-    when the third one turns out to be the slow one.
+    Without the wait the longest text of a step moved twice within 0.3 s and had
+    no move left when its third sampler turned out to be slow.
     """
     work = _make_work(groups=1, size=1)
     progress = next(iter(work.items.values()))
@@ -144,37 +144,37 @@
     progress.run = object()  # type: ignore[assignment]
     progress.started_at = 99.8
     progress.moves = 1
-    samplers = [_make_sampler('slow', pace=1.35), _make_sampler('x')]
-    assert not find_moves([work], samplers, 100, left=6)
-    assert find_moves([work], samplers, 101.5, left=6) == [progress]
+    samplers = [_make_sampler('slow', interval=1.35), _make_sampler('x')]
+    assert not find_moves([work], samplers, 100, remaining=6)
+    assert find_moves([work], samplers, 101.5, remaining=6) == [progress]
 
 
-def test_another_models_items_hold_up_no_move() -> None:
-    """One trainer's items wait for its own samplers; another's text crawls."""
+def test_another_models_waiting_items_block_no_move() -> None:
+    """Its items wait for other samplers while a text runs on a slow one."""
     work = _make_work(groups=1, size=1)
     progress = next(iter(work.items.values()))
     progress.sampler = UpstreamId('slow')
     progress.run = object()  # type: ignore[assignment]
     progress.started_at = 90
     other = _make_work('job-2', model='other')
-    samplers = [_make_sampler('slow', pace=3), _make_sampler('x')]
+    samplers = [_make_sampler('slow', interval=3), _make_sampler('x')]
     assert find_moves([work, other], samplers, 100) == [progress]
 
 
-def test_an_item_moves_a_few_times_at_most() -> None:
-    """Two samplers that slow by turns do not pass an item to and fro."""
+def test_an_item_moves_only_a_few_times() -> None:
+    """Two samplers that are slow in turn must not pass an item around."""
     work = _make_work(groups=1, size=1)
     progress = next(iter(work.items.values()))
     progress.sampler = UpstreamId('slow')
     progress.run = object()  # type: ignore[assignment]
     progress.started_at = 90
-    samplers = [_make_sampler('slow', pace=3), _make_sampler('x')]
+    samplers = [_make_sampler('slow', interval=3), _make_sampler('x')]
     assert find_moves([work], samplers, 100)
     progress.moves = 3
     assert not find_moves([work], samplers, 100)
 
 
-def test_demands_tell_the_strictest_version_and_what_waits() -> None:
+def test_demand_has_the_strictest_version_and_waiting_items() -> None:
     """Two open steps of one model accept different versions."""
     works = [
         _make_work('one', groups=1),
@@ -185,10 +185,10 @@
 
 
 def test_the_longest_items_start_first_on_the_fastest_sampler() -> None:
-    """Two groups of one step; the second holds the longest item.
+    """The second of two groups of a step has the longest item.
 
-    It takes all the time that the step has. In the groups' order it would
-    start after a whole wave of short ones, on whichever sampler is left.
+    It takes the whole time of the step. In the order of groups it would start
+    after all short items, on whichever sampler is left.
     """
     work = _make_work()
     items = list(work.items.values())
@@ -196,14 +196,14 @@
         tokens = 900 if number == 3 else 20
         item = msgspec.structs.replace(progress.item, expected_tokens=tokens)
         progress.item = item
-    samplers = [_make_sampler('slow', pace=1.3), _make_sampler('x', free=1)]
+    samplers = [_make_sampler('slow', interval=1.3), _make_sampler('x', free=1)]
     placed = place([work], samplers, 100)
     assert [each.item for each in placed] == ['1-1', '0-0', '0-1']
     assert placed[0].sampler == 'x'
 
 
-def test_groups_that_are_not_needed_come_last() -> None:
-    """The trainer waits for one group of two; the other's items are longer."""
+def test_spare_groups_start_last() -> None:
+    """The trainer waits for one of two groups; the spare one is longer."""
     work = _make_work(target_groups=1)
     for progress in list(work.items.values())[2:]:
         item = msgspec.structs.replace(progress.item, expected_tokens=900)
@@ -212,15 +212,15 @@
     assert [each.item for each in placed] == ['0-0', '0-1', '1-0', '1-1']
 
 
-def test_an_item_that_crawls_moves_once_more() -> None:
-    """It was moved twice, and then its sampler turned three times slower."""
+def test_an_item_on_a_very_slow_sampler_moves_once_more() -> None:
+    """It has moved twice when its sampler becomes three times slower."""
     work = _make_work(groups=1, size=1)
     progress = next(iter(work.items.values()))
     progress.sampler = UpstreamId('slow')
     progress.run = object()  # type: ignore[assignment]
     progress.started_at = 90
     progress.moves = 2
-    samplers = [_make_sampler('slow', pace=1.5), _make_sampler('x')]
+    samplers = [_make_sampler('slow', interval=1.5), _make_sampler('x')]
     assert not find_moves([work], samplers, 100)
-    samplers = [_make_sampler('slow', pace=3), _make_sampler('x')]
+    samplers = [_make_sampler('slow', interval=3), _make_sampler('x')]
     assert find_moves([work], samplers, 100) == [progress]
--- a/tests/jobs/test_slots.py
+++ b/tests/jobs/test_slots.py
@@ -1,4 +1,4 @@
-"""Which samplers count, for what starts now and for what will be in time."""
+"""Which samplers count for starting items and for the forecast."""
 
 import pytest
 
@@ -18,37 +18,37 @@
     return states
 
 
-def _share(names: str, states: SamplerStates) -> float:
+def _sum_slots(names: str, states: SamplerStates) -> float:
     serving = [make_upstream(name) for name in names]
     listed = list_slots(serving, states, 4, NOW, include_upcoming=True)
     return sum_slots_by_model(listed).get(MODEL, 0)
 
 
-def test_samplers_that_load_count_for_the_forecast() -> None:
-    """A trainer has named a version, and all of its samplers load.
+def test_forecast_counts_samplers_that_load() -> None:
+    """A trainer publishes a version, and all of its samplers load it.
 
-    For a second none of them starts anything. Were that taken for the time
-    that is left, every open step would seem late and go behind others.
+    For a second none of them starts items. If the forecast assumed no slots
+    for the whole remaining time, it would defer every open step.
     """
     states = _make_states('xyz')
     for name in 'xyz':
         states.get(UpstreamId(name)).loading = True
     serving = [make_upstream(name) for name in 'xyz']
     assert not list_slots(serving, states, 4, NOW)
-    assert _share('xyz', states) == 12
+    assert _sum_slots('xyz', states) == 12
 
 
-def test_samplers_that_are_gone_for_long_do_not_count() -> None:
-    """One is silent, one was ejected for seconds, one refused just now."""
+def test_forecast_ignores_samplers_that_stay_unavailable() -> None:
+    """One is unresponsive, one ejected for seconds, one just refused."""
     states = _make_states('wxyz')
     states.get(UpstreamId('x')).stalled = True
     states.get(UpstreamId('y')).avoid_until = NOW + 4
     states.get(UpstreamId('z')).avoid_until = NOW + 0.1
-    assert _share('wxyz', states) == 8
+    assert _sum_slots('wxyz', states) == 8
 
 
-def test_a_slow_sampler_counts_for_what_it_makes() -> None:
-    """It takes four times as long for an event as the two others."""
+def test_a_slow_sampler_counts_by_its_speed() -> None:
+    """Its event interval is four times that of the two others."""
     states = _make_states('xyz')
     states.get(UpstreamId('x')).event_interval = 0.16
-    assert _share('xyz', states) == pytest.approx(9)
+    assert _sum_slots('xyz', states) == pytest.approx(9)
--- a/tests/jobs/test_stalls.py
+++ b/tests/jobs/test_stalls.py
@@ -1,4 +1,4 @@
-"""A sampler goes dark with texts on it, while others have free slots."""
+"""A sampler becomes unresponsive while others have free slots."""
 
 import pytest
 
@@ -13,58 +13,60 @@
 
 @pytest.fixture
 def fleet() -> JobFleet:
-    """Return instances whose samplers make long texts."""
+    """Return instances whose samplers generate long texts."""
     fleet = JobFleet(length=LENGTH)
     for node in fleet.nodes.values():
         node.samplers.length = LENGTH
     return fleet
 
 
-def _darken(node: Node, *names: str) -> None:
-    """Have samplers send nothing more, on old connections or new ones."""
+def _make_unresponsive(node: Node, *names: str) -> None:
+    """Make samplers send nothing on existing and new connections."""
     samplers = node.samplers
     samplers.stalled.update(names)
     report = samplers.report
 
-    def answer(upstream: Upstream) -> SamplerReport:
+    def report_or_fail(upstream: Upstream) -> SamplerReport:
         if upstream.id in samplers.stalled:
             node.clock.sleep(1)
             raise UpstreamError('silent', 'nothing')
         return report(upstream)
 
-    samplers.report = answer  # type: ignore[method-assign]
+    samplers.report = report_or_fail  # type: ignore[method-assign]
 
 
-def _count_on(node: Node, name: str) -> int:
+def _count_in_flight(node: Node, name: str) -> int:
     return node.states.get(UpstreamId(name)).in_flight
 
 
-def test_texts_on_a_dark_sampler_go_on_elsewhere_at_once(
+def test_texts_on_an_unresponsive_sampler_resume_elsewhere(
     fleet: JobFleet,
 ) -> None:
-    """Its streams stop without a reset, at events that come each 50 ms.
+    """Its streams stop without a reset, at an event interval of 50 ms.
 
-    The longest texts take most of the time that a step has. Each stream alone
-    may be silent for seconds; that all of one sampler are for fifteen events
-    tells that it is gone.
+    A single stream may stall for seconds, but the longest texts take most of a
+    step's time. When all streams of a sampler stall for fifteen intervals, the
+    sampler is gone and its texts must not wait.
     """
     node = fleet.nodes[fleet.owner()]
     fleet.submit(make_job(groups=4, size=2), 'a')
     fleet.clock.advance(1)
-    assert _count_on(node, 'x') >= 2
-    _darken(node, 'x')
+    assert _count_in_flight(node, 'x') >= 2
+    _make_unresponsive(node, 'x')
     fleet.clock.advance(1)
-    assert _count_on(node, 'x') == 0
+    assert _count_in_flight(node, 'x') == 0
     fleet.clock.advance(4)
     check_complete(fleet, 'a', 8)
 
 
-def test_a_dark_sampler_gets_nothing_until_it_answers(fleet: JobFleet) -> None:
-    """What is sent there would wait for seconds, the longest texts first."""
+def test_an_unresponsive_sampler_gets_no_items_until_it_responds(
+    fleet: JobFleet,
+) -> None:
+    """Items sent there would wait for seconds, the longest ones first."""
     node = fleet.nodes[fleet.owner()]
     fleet.submit(make_job(groups=9, size=2), 'a')
     fleet.clock.advance(1)
-    _darken(node, 'x')
+    _make_unresponsive(node, 'x')
     fleet.clock.advance(1)
     before = len(node.samplers.started)
     fleet.clock.advance(2)
@@ -75,11 +77,11 @@
     fleet.clock.advance(2)
     fleet.submit(make_job('job-2', groups=6, size=2), 'a')
     fleet.clock.advance(1)
-    assert _count_on(node, 'x') > 0
+    assert _count_in_flight(node, 'x') > 0
 
 
-def test_one_silent_stream_is_given_its_time(fleet: JobFleet) -> None:
-    """A sampler may put one text off while it lacks memory."""
+def test_a_single_stalled_stream_is_not_moved(fleet: JobFleet) -> None:
+    """A sampler may preempt one text while it lacks memory."""
     node = fleet.nodes[fleet.owner()]
     fleet.submit(make_job(groups=1, size=1), 'a')
     fleet.clock.advance(1)
@@ -88,26 +90,26 @@
     )
     node.samplers.stalled.add(running)
     fleet.clock.advance(1.2)
-    assert _count_on(node, running) == 1
+    assert _count_in_flight(node, running) == 1
 
 
-def test_a_sampler_that_loads_weights_is_not_dark(fleet: JobFleet) -> None:
-    """Its streams may stop for a second; moving them would gain nothing."""
+def test_a_weight_load_does_not_count_as_unresponsive(fleet: JobFleet) -> None:
+    """Its streams may stall for a second; moving them would gain nothing."""
     node = fleet.nodes[fleet.owner()]
     fleet.submit(make_job(groups=4, size=2), 'a')
     fleet.clock.advance(1)
-    held = _count_on(node, 'x')
+    in_flight = _count_in_flight(node, 'x')
     node.states.get(UpstreamId('x')).loading = True
     node.samplers.stalled.add('x')
     fleet.clock.advance(1.2)
-    assert _count_on(node, 'x') == held
+    assert _count_in_flight(node, 'x') == in_flight
 
 
-def test_slow_samplers_are_given_longer() -> None:
-    """At five times the usual time for an event silence takes longer to tell.
+def test_stall_timeout_grows_with_the_event_interval() -> None:
+    """Samplers have five times the usual event interval.
 
-    Bounds come from what samplers show, so a fleet of slow ones is not moved
-    about at each pause.
+    The timeout follows the measured interval, so texts on slow samplers don't
+    move at each pause.
     """
     fleet = JobFleet(length=LENGTH)
     for each in fleet.nodes.values():
@@ -116,8 +118,8 @@
     node = fleet.nodes[fleet.owner()]
     fleet.submit(make_job(groups=4, size=2), 'a')
     fleet.clock.advance(3)
-    held = _count_on(node, 'x')
-    assert held
+    in_flight = _count_in_flight(node, 'x')
+    assert in_flight
     node.samplers.stalled.add('x')
     fleet.clock.advance(1.2)
-    assert _count_on(node, 'x') == held
+    assert _count_in_flight(node, 'x') == in_flight
