--- a/standins/_safeguard_jobs.py
+++ b/standins/_safeguard_jobs.py
@@ -6,7 +6,7 @@
 
 JOB_SAFEGUARDS: Final = (
     Safeguard(
-        'an uncertain chunk is dropped once its number is taken',
+        'an uncertain chunk is dropped once its number exists',
         'guavagate/jobs/_result_log.py',
         '        self._next_number += 1\n'
         '        self._uncertain_chunk = None\n',
