--- a/guavagate/platform/_duties.py
+++ b/guavagate/platform/_duties.py
@@ -40,8 +40,7 @@
         body = {
             'service': order.service,
             'zone': order.zone,
-            # The wire's name is that of a step's groups; here it is the
-            # number of samplers.
+            # On this call `target-groups` is the number of samplers.
             'target-groups': order.amount,
         }
         if order.spot:
--- a/guavagate/platform/_edge.py
+++ b/guavagate/platform/_edge.py
@@ -22,9 +22,8 @@
 _LOGGER: Final = logging.getLogger(__name__)
 
 UNREADY_RETRY_SECONDS: Final = 0.3
-# A process that has just started reads its configuration in two calls of some
-# milliseconds. Callers that come meanwhile are served after that; one that was
-# refused comes back after ten times as long, or not at all.
+# A starting process loads its configuration in a few milliseconds. Waiting is
+# better for callers than a refusal: they retry ten times later, or never.
 LOADING_SECONDS: Final = 0.1
 _LOTS: Final = '/lots/'
 _ITEMS: Final = '/items/'
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -290,8 +290,7 @@
     def reload(self, path: str) -> None:
         """Read the settings file again.
 
-        Addresses are taken at the start only; the platform restarts a
-        process that is to have others.
+        The platform restarts a process to change its addresses.
         """
         try:
             self._settings = load_settings(path)
--- a/guavagate/platform/_servers.py
+++ b/guavagate/platform/_servers.py
@@ -23,8 +23,7 @@
 
 
 class _Server(msgspec.Struct, frozen=True, kw_only=True):
-    # The entry's `seq` counts its heartbeats; in a report the same name
-    # counts orders. It is left out here so that nobody mixes them up.
+    # `seq` is left out: it counts heartbeats here, but orders in a report.
     service: str
     address: str
     zone: str
