--- a/guavagate/jobs/_active.py
+++ b/guavagate/jobs/_active.py
@@ -297,7 +297,7 @@
         except StoreError as error:
             _LOGGER.debug('%s stays uncertain: %s', active.work.job.id, error)
             return
-        active.work.apply_listed()
+        active.work.apply_committed()
         # Writes in flight when the job ended may still take effect.
         ending = active.ended_at is not None and (
             started_at < active.ended_at + WRITE_TIMEOUT_SECONDS
--- a/guavagate/jobs/_committer.py
+++ b/guavagate/jobs/_committer.py
@@ -69,7 +69,7 @@
                 )
                 self._clock.sleep(RETRY_INTERVAL_SECONDS)
                 continue
-            work.apply_listed()
+            work.apply_committed()
             write(
                 _LOGGER,
                 events.LISTED,
--- a/guavagate/jobs/_work.py
+++ b/guavagate/jobs/_work.py
@@ -49,7 +49,7 @@
         return only_version is None or set(self.versions) <= {only_version}
 
     def join(self) -> str:
-        """Return the text as listed in a result."""
+        """Return the text as a result contains it."""
         return EVENT_SEPARATOR.join(self.events)
 
 
@@ -57,7 +57,7 @@
     """The progress of an item; `moves` counts its changes of sampler.
 
     `started_at` is None for an item that didn't run here: its result was
-    listed before or comes from an earlier job that submitted the same item.
+    already committed or comes from an earlier job with the same item.
     `reward_task` requests the reward of a complete text, and `reward_failures`
     counts responses with status 500.
     """
@@ -106,7 +106,7 @@
 
 
 class JobWork:
-    """A job's items and groups, and its results that aren't listed yet.
+    """A job's items and groups, and its results that aren't committed yet.
 
     `opened_at` is when the job was submitted and `acquired_at` when this
     instance became its owner, both on this instance's clock.
@@ -130,15 +130,15 @@
 
     @property
     def open(self) -> bool:
-        """Return whether the job is not ended and lacks listed results."""
+        """Return whether the job hasn't ended and lacks committed results."""
         return not self.ended and len(self.log.committed) < len(self.items)
 
     def add_result(self, result: Result) -> bool:
-        """Add an item's result; return whether to list it at once.
+        """Add an item's result; return whether to commit it at once.
 
         The trainer continues once enough groups are complete, so the result
-        that completes the last of them is listed at once. Others are batched,
-        because each write to the store has a cost.
+        that completes the last of them is committed at once. Others are
+        batched, because each write to the store has a cost.
         """
         progress = self.items[result.id]
         if progress.done:
@@ -149,11 +149,13 @@
         completes = self.complete_groups > before
         return completes and self.complete_groups >= self.job.target_groups
 
-    def apply_listed(self) -> None:
-        """Drop pending results that other instances have listed."""
-        listed = self.log.committed
-        self.pending = [each for each in self.pending if each.id not in listed]
-        for item in listed:
+    def apply_committed(self) -> None:
+        """Mark committed items as done; drop their pending results."""
+        committed = self.log.committed
+        self.pending = [
+            each for each in self.pending if each.id not in committed
+        ]
+        for item in committed:
             self._mark_done(item)
 
     def count_missing(self, group: GroupId) -> int:
--- a/tests/jobs/test_rewards.py
+++ b/tests/jobs/test_rewards.py
@@ -11,7 +11,7 @@
 from tests.jobs.fleet import JobFleet, Node, find_other, make_job
 from tests.jobs.rewards import FakeRewardClient
 
-_SETTLE_SECONDS = 20
+_COMPLETION_SECONDS = 20
 
 
 @pytest.fixture
@@ -25,7 +25,7 @@
 
 
 def _check_rated(fleet: JobFleet, items: int) -> list[Result]:
-    """Check that each item is listed once, with its own signature."""
+    """Check that each item has one result, with its own signature."""
     _, results = fleet.read('job-1', find_other(fleet))
     assert len({each.id for each in results}) == len(results) == items
     for result in results:
@@ -37,9 +37,9 @@
 def test_a_result_has_the_signature_of_its_reward(
     fleet: JobFleet,
 ) -> None:
-    """Each text is generated, rated once and listed with its signature."""
+    """Each text is generated and rated once; its result has the signature."""
     fleet.submit(make_job(rated=True), 'a')
-    fleet.clock.advance(_SETTLE_SECONDS)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     results = _check_rated(fleet, 6)
     assert all(each.signature for each in results)
     assert len(_owner(fleet).rewards.sent) == 6
@@ -68,7 +68,7 @@
         return send(reward)  # type: ignore[arg-type]
 
     owner.rewards.send = record_and_send  # type: ignore[method-assign, assignment]
-    fleet.clock.advance(_SETTLE_SECONDS)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     _check_rated(fleet, 6)
     assert len(generated) == 6
     assert min(generated.values()) >= 40
@@ -79,7 +79,7 @@
     rewards = _owner(fleet).rewards
     rewards.lost.update({'reward-0-0': 2, 'reward-1-1': 1})
     fleet.submit(make_job(rated=True), 'a')
-    fleet.clock.advance(_SETTLE_SECONDS)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     results = _check_rated(fleet, 6)
     assert {each.state for each in results} == {ResultState.COMPLETED}
     assert len(rewards.sent) == 9
@@ -97,7 +97,7 @@
     rewards.most_failures = 4
     rewards.failures['reward-0-0'] = 99
     fleet.submit(make_job(rated=True), 'a')
-    fleet.clock.advance(_SETTLE_SECONDS)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     results = _check_rated(fleet, 6)
     errored = [each.id for each in results if not each.signature]
     assert errored == ['0-0']
@@ -120,7 +120,7 @@
     fleet.nodes.pop(first)
     for node in fleet.nodes.values():
         node.rewards.seconds = 0.2
-    fleet.clock.advance(_SETTLE_SECONDS)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     _check_rated(fleet, 6)
     assert not _owner(fleet).samplers.started
 
@@ -139,7 +139,7 @@
     fleet.clock.advance(1)
     sent = len(owner.rewards.sent)
     assert len(owner.rewards.cancelled) == 2
-    fleet.clock.advance(_SETTLE_SECONDS)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     assert len(owner.rewards.sent) == sent
 
 
@@ -183,7 +183,7 @@
     changed = msgspec.structs.replace(again.items[0], reward=other)
     again = msgspec.structs.replace(again, items=[changed, *again.items[1:]])
     fleet.submit(again, 'a')
-    fleet.clock.advance(_SETTLE_SECONDS)
+    fleet.clock.advance(_COMPLETION_SECONDS)
     _, results = fleet.read('job-1', 'a')
     assert sorted(each.signature for each in results) == [
         'signature of reward-0-1',
