--- a/guavagate/callers/_completions.py
+++ b/guavagate/callers/_completions.py
@@ -47,7 +47,7 @@
 from guavagate.runtime import Runtime
 from guavagate.settings import DeploymentSettings, TeamSettings
 from guavagate.util.units import parse_duration
-from guavagate.web import decode_body, read_body, refusal_body
+from guavagate.web import decode_body, encode_refusal, read_body
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -317,7 +317,7 @@
     except RefusalError as refusal:
         # The status has been sent; the stream says so and lacks its terminal
         # event, so that no caller takes the part for the whole.
-        yield b'data: %b\n\n' % refusal_body(refusal)
+        yield b'data: %b\n\n' % encode_refusal(refusal)
     finally:
         if progress.finish is None:
             write(_LOGGER, CALLER_GONE, request=opened.id)
--- a/guavagate/daemon.py
+++ b/guavagate/daemon.py
@@ -8,11 +8,11 @@
 from typing import Protocol
 
 from guavagate.helpers.listeners import listen_early
-from guavagate.platform.early import read_callers_addresses
+from guavagate.platform.listen_addresses import read_listen_addresses
 
 # As many connections as a server of ours lets wait.
 if '--on-platform' in sys.argv:
-    listen_early(read_callers_addresses(), backlog=1024)
+    listen_early(read_listen_addresses(), backlog=1024)
 
 from guavagate.helpers.patching import patch_blocking_calls
 
--- a/guavagate/forwarding/__init__.py
+++ b/guavagate/forwarding/__init__.py
@@ -1,10 +1,10 @@
 """Requests passed on to upstreams, repeated only where that is allowed."""
 
 from guavagate.forwarding._answers import (
-    answer,
     read_or_refuse,
     refuse,
-    say,
+    send_outcome,
+    send_text,
 )
 from guavagate.forwarding._attempt import Attempt, Attempts, AttemptState
 from guavagate.forwarding._forward import (
@@ -25,9 +25,9 @@
     'OutcomeKind',
     'RewardForwarder',
     'StreamForwarder',
-    'answer',
     'log_outcome',
     'read_or_refuse',
     'refuse',
-    'say',
+    'send_outcome',
+    'send_text',
 )
--- a/guavagate/forwarding/_answers.py
+++ b/guavagate/forwarding/_answers.py
@@ -24,13 +24,13 @@
     try:
         return exchange.read_body(limit)
     except BodyTooLargeError:
-        say(exchange, 413, f'send a body of at most {limit} bytes')
+        send_text(exchange, 413, f'send a body of at most {limit} bytes')
     except SlowBodyError:
-        say(exchange, 408, 'send the whole body sooner')
+        send_text(exchange, 408, 'send the whole body sooner')
     return None
 
 
-def answer(exchange: Exchange, outcome: Outcome) -> None:
+def send_outcome(exchange: Exchange, outcome: Outcome) -> None:
     """Send the answer that an outcome calls for."""
     if outcome.kind is OutcomeKind.CALLER_LEFT:
         exchange.abort()
@@ -43,7 +43,7 @@
     if outcome.kind is OutcomeKind.NOT_RUN:
         refuse(exchange, outcome.reason, outcome.retry_after)
         return
-    say(exchange, _STATUS[outcome.kind], outcome.reason)
+    send_text(exchange, _STATUS[outcome.kind], outcome.reason)
 
 
 def refuse(exchange: Exchange, reason: str, retry_after: float) -> None:
@@ -55,7 +55,7 @@
     exchange.respond(NOT_RUN_STATUS, headers, f'not run: {reason}\n'.encode())
 
 
-def say(
+def send_text(
     exchange: Exchange, status: int, text: str, *headers: tuple[bytes, bytes]
 ) -> None:
     """Send a short text."""
--- a/guavagate/front/_gate.py
+++ b/guavagate/front/_authenticator.py
@@ -14,7 +14,7 @@
 )
 from guavagate.events import edge as events
 from guavagate.events import write
-from guavagate.forwarding import refuse, say
+from guavagate.forwarding import refuse, send_text
 from guavagate.http1 import Exchange
 from guavagate.metrics import Metrics, names
 from guavagate.models import TeamId
@@ -31,7 +31,7 @@
 UNPROVEN_RETRY_SECONDS: Final = 0.3
 
 
-class Gate:
+class KeyAuthenticator:
     """Judges callers' keys by the configuration in force.
 
     Parameters
@@ -52,7 +52,9 @@
         self._proof_age = proof_age
         self._bounds = bounds
 
-    def admit(self, exchange: Exchange, request_id: str) -> TeamId | None:
+    def authenticate(
+        self, exchange: Exchange, request_id: str
+    ) -> TeamId | None:
         """Return whose request it is, or nothing once it was refused."""
         verdict = check_key(
             self._routes.keys,
@@ -65,7 +67,7 @@
         self._deny(exchange, request_id, verdict)
         return None
 
-    def tell_no_route(self, exchange: Exchange, request_id: str) -> None:
+    def refuse_no_route(self, exchange: Exchange, request_id: str) -> None:
         """Say that there is no route, if no newer configuration may have it.
 
         Where nobody needs a key no proof is kept up for it, and by the time
@@ -73,7 +75,7 @@
         """
         proved = may_deny(self._proof_age(), self._bounds)
         if proved or not self._routes.keys.needed:
-            say(exchange, 404, 'no route of the configuration matches')
+            send_text(exchange, 404, 'no route of the configuration matches')
             return
         self._refuse(exchange, request_id)
 
@@ -92,7 +94,7 @@
             reason=reason,
             age=self._tell_age(),
         )
-        say(exchange, 401, _DENIALS[verdict.state], _CHALLENGE)
+        send_text(exchange, 401, _DENIALS[verdict.state], _CHALLENGE)
 
     def _refuse(self, exchange: Exchange, request_id: str) -> None:
         write(
--- a/guavagate/front/_jobs.py
+++ b/guavagate/front/_jobs.py
@@ -7,7 +7,7 @@
 from guavagate.clock import Clock
 from guavagate.events import jobs as events
 from guavagate.events import write
-from guavagate.forwarding import refuse, say
+from guavagate.forwarding import refuse, send_text
 from guavagate.helpers.store_writes import MaybeWrittenError, NotWrittenError
 from guavagate.http1 import Exchange
 from guavagate.jobs import (
@@ -35,7 +35,7 @@
 MAX_WAIT_SECONDS: Final = 1.0
 
 
-class JobCalls:
+class JobHandler:
     """Answers calls for jobs at any instance.
 
     Parameters
@@ -61,11 +61,13 @@
         self._encode_page = encode_page
 
     def accept(self, exchange: Exchange, job: Job) -> None:
-        """Keep a job, and say so once it is durable."""
+        """Keep a job, and answer once it is durable."""
         try:
             new = self._job_store.accept(job, ACCEPT_SECONDS)
         except JobConflictError:
-            say(exchange, 409, 'the id is taken by another job; use a new one')
+            send_text(
+                exchange, 409, 'the id is taken by another job; use a new one'
+            )
         except (NotWrittenError, MaybeWrittenError) as error:
             self._tell_not_accepted(exchange, job, error)
         else:
@@ -93,7 +95,7 @@
     ) -> None:
         if isinstance(error, MaybeWrittenError):
             write(_LOGGER, events.UNSURE, job=job.id)
-            say(exchange, 504, 'it may have been accepted; send it again')
+            send_text(exchange, 504, 'it may have been accepted; send it again')
             return
         write(_LOGGER, events.REFUSED, job=job.id, reason='no store')
         refuse(exchange, 'the store takes no writes', JOB_RETRY_SECONDS)
@@ -132,7 +134,7 @@
         exchange.respond(200, [_OCTETS], body)
 
     def end(self, exchange: Exchange, job: JobId, team: TeamId) -> None:
-        """End a job, and say so once that is durable."""
+        """End a job, and answer once that is durable."""
         services = self._routes.job_services()
         known = self._reader.exists(services, job, team)
         if known is not LookupStatus.FOUND:
@@ -141,13 +143,13 @@
         try:
             self._job_store.end(job, END_SECONDS)
         except (NotWrittenError, MaybeWrittenError):
-            say(exchange, 504, 'it may have been ended; send it again')
+            send_text(exchange, 504, 'it may have been ended; send it again')
         else:
             exchange.respond(200, [], b'')
 
 
 def _tell_unknown(exchange: Exchange, known: LookupStatus) -> None:
     if known is LookupStatus.MISSING:
-        say(exchange, 404, 'there is no such job or item')
+        send_text(exchange, 404, 'there is no such job or item')
         return
     refuse(exchange, 'not known at the moment', UNSURE_RETRY_SECONDS)
--- a/guavagate/front/_requests.py
+++ b/guavagate/front/_requests.py
@@ -9,8 +9,8 @@
     Forwarder,
     Outcome,
     StreamForwarder,
-    answer,
     log_outcome,
+    send_outcome,
 )
 from guavagate.http1 import Exchange
 from guavagate.metrics import Metrics, names
@@ -21,7 +21,7 @@
 CountUsage = Callable[[TeamId, float], None]
 
 
-class RequestCalls:
+class RequestHandler:
     """Passes requests on, answers their callers and counts them.
 
     Parameters
@@ -59,7 +59,7 @@
             names.FORWARD_SECONDS, seconds, outcome=outcome.kind.value
         )
         if not exchange.started:
-            answer(exchange, outcome)
+            send_outcome(exchange, outcome)
 
     def _pass_on(
         self, exchange: Exchange, call: Call, route: Route, service: ServiceId
--- a/guavagate/instance.py
+++ b/guavagate/instance.py
@@ -28,7 +28,7 @@
 )
 from guavagate.runtime import Runtime
 from guavagate.scoring import Scorer
-from guavagate.web import ActiveRequests, install_errors, make_server
+from guavagate.web import ActiveRequests, add_error_handlers, make_server
 from guavagate.weights import WeightRollout
 
 FINISH_PAUSE: Final = 0.05
@@ -102,7 +102,7 @@
 
     def _make_app(self) -> falcon.App:
         app = falcon.App()
-        install_errors(app)
+        add_error_handlers(app)
         callers.add_routes(
             app,
             callers.Completions(
--- a/guavagate/platform/_edge.py
+++ b/guavagate/platform/_edge.py
@@ -8,8 +8,8 @@
 from guavagate.clock import Clock
 from guavagate.events import edge as edge_events
 from guavagate.events import write
-from guavagate.forwarding import read_or_refuse, refuse, say
-from guavagate.front import Gate, JobCalls, RequestCalls
+from guavagate.forwarding import read_or_refuse, refuse, send_text
+from guavagate.front import JobHandler, KeyAuthenticator, RequestHandler
 from guavagate.http1 import Exchange
 from guavagate.jobs import ItemId, JobId
 from guavagate.models import TeamId
@@ -37,14 +37,14 @@
         self,
         clock: Clock,
         routes: RouteTable,
-        gate: Gate,
-        requests: RequestCalls,
-        jobs: JobCalls,
+        authenticator: KeyAuthenticator,
+        requests: RequestHandler,
+        jobs: JobHandler,
         wait_loaded: Callable[[float], bool],
     ) -> None:
         self._clock = clock
         self._routes = routes
-        self._gate = gate
+        self._authenticator = authenticator
         self._requests = requests
         self._jobs = jobs
         self._wait_loaded = wait_loaded
@@ -77,16 +77,16 @@
         )
         request_id = _find_id(exchange)
         if route is None:
-            self._gate.tell_no_route(exchange, request_id)
+            self._authenticator.refuse_no_route(exchange, request_id)
             return
         team: TeamId | None = _NO_TEAM
         if not route.open:
-            team = self._gate.admit(exchange, request_id)
+            team = self._authenticator.authenticate(exchange, request_id)
         if team is None:
             return
         if not request_id:
             name = const.REQUEST_ID.decode()
-            say(exchange, 400, f'send {name}')
+            send_text(exchange, 400, f'send {name}')
             return
         if route.kind is RouteKind.JOB:
             self._accept(exchange, route, request_id, body, team)
@@ -127,7 +127,7 @@
         team: TeamId,
     ) -> None:
         if exchange.request.method != 'POST':
-            say(exchange, 405, 'submit with POST')
+            send_text(exchange, 405, 'submit with POST')
             return
         try:
             job = decode_submission(
@@ -140,12 +140,12 @@
                 team,
             )
         except BadJobError as error:
-            say(exchange, 400, str(error))
+            send_text(exchange, 400, str(error))
         else:
             self._jobs.accept(exchange, job)
 
     def _handle_job(self, exchange: Exchange, target: str) -> None:
-        team = self._gate.admit(exchange, _find_id(exchange))
+        team = self._authenticator.authenticate(exchange, _find_id(exchange))
         if team is None:
             return
         parts = urlsplit(target)
@@ -160,14 +160,14 @@
         elif exchange.request.method == 'GET':
             self._read(exchange, parts, job, team)
         else:
-            say(exchange, 405, 'read with GET, end with DELETE')
+            send_text(exchange, 405, 'read with GET, end with DELETE')
 
     def _read(
         self, exchange: Exchange, parts: SplitResult, job: JobId, team: TeamId
     ) -> None:
         after = parse_qs(parts.query).get('after', ['0'])[0]
         if not after.isdigit():
-            say(exchange, 400, 'after is a whole number, 0 or more')
+            send_text(exchange, 400, 'after is a whole number, 0 or more')
             return
         wait = exchange.find(const.WAIT)
         seconds = int(wait) / const.MILLIS if wait.isdigit() else 0
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -16,7 +16,7 @@
     RewardForwarder,
     StreamForwarder,
 )
-from guavagate.front import Gate, JobCalls, RequestCalls
+from guavagate.front import JobHandler, KeyAuthenticator, RequestHandler
 from guavagate.helpers.mirror import Mirror
 from guavagate.http1 import (
     ConnectionPool,
@@ -206,7 +206,7 @@
             self._members.boot,
             first_start=self._settings.bootstrap,
             proof_prefix=const.CONFIG,
-            proof_path=self._settings.bounds.find_proof(),
+            proof_path=self._settings.bounds.get_proof_path(),
             may_be_standby=lambda: not self._services.active,
         )
         feed.register_handlers(const.CONFIG, self._put_config, None)
@@ -249,15 +249,17 @@
         return Edge(
             clock,
             routes,
-            Gate(routes, metrics, self._feed.proof.age, bounds.to_proof()),
-            RequestCalls(
+            KeyAuthenticator(
+                routes, metrics, self._feed.proof.age, bounds.to_proof_bounds()
+            ),
+            RequestHandler(
                 clock,
                 Forwarder(clock, self._upstreams, attempts),
                 StreamForwarder(clock, self._upstreams, attempts),
                 metrics,
                 self._usage.record,
             ),
-            JobCalls(clock, routes, job_store, reader, metrics, encode_page),
+            JobHandler(clock, routes, job_store, reader, metrics, encode_page),
             self._feed.wait_loaded,
         )
 
--- a/guavagate/platform/_settings.py
+++ b/guavagate/platform/_settings.py
@@ -33,11 +33,11 @@
     revoke_ms: float = 5000
     usage_window_s: float = 5
 
-    def find_proof(self) -> str:
+    def get_proof_path(self) -> str:
         """Return the object that has to be known to be the newest, if any."""
         return CONFIG_PATH if self.strict_revoke else ''
 
-    def to_proof(self) -> ProofBounds:
+    def to_proof_bounds(self) -> ProofBounds:
         """Return how new the configuration must surely be."""
         return make_bounds(
             self.config_apply_ms / MILLIS,
--- a/guavagate/platform/early.py
+++ b/guavagate/platform/listen_addresses.py
@@ -6,7 +6,7 @@
 from guavagate.platform.const import SETTINGS_VARIABLE
 
 
-def read_callers_addresses() -> list[str]:
+def read_listen_addresses() -> list[str]:
     """Return where callers and the balancer come; none where that is unclear.
 
     The settings are read again, and judged, once the program is loaded.
--- a/guavagate/web/__init__.py
+++ b/guavagate/web/__init__.py
@@ -2,14 +2,14 @@
 
 from guavagate.web._active import ActiveRequests
 from guavagate.web._bodies import decode_body, read_body
-from guavagate.web._errors import install_errors, refusal_body
+from guavagate.web._errors import add_error_handlers, encode_refusal
 from guavagate.web._server import make_server
 
 __all__ = (
     'ActiveRequests',
+    'add_error_handlers',
     'decode_body',
-    'install_errors',
+    'encode_refusal',
     'make_server',
     'read_body',
-    'refusal_body',
 )
--- a/guavagate/web/_errors.py
+++ b/guavagate/web/_errors.py
@@ -35,7 +35,7 @@
     error: ErrorDetail
 
 
-def refusal_body(refusal: RefusalError) -> bytes:
+def encode_refusal(refusal: RefusalError) -> bytes:
     """Return the JSON body of a refusal."""
     kind = 'invalid_request_error' if refusal.status < 500 else 'server_error'
     detail = ErrorDetail(
@@ -48,7 +48,7 @@
     return msgspec.json.encode(ErrorBody(error=detail))
 
 
-def install_errors(app: falcon.App) -> None:
+def add_error_handlers(app: falcon.App) -> None:
     """Answer every error with a refusal's body."""
     app.add_error_handler(RefusalError, _answer_refusal)
     app.add_error_handler(GuavagateError, _answer_guavagate)
@@ -64,7 +64,7 @@
 ) -> None:
     response.status = refusal.status
     response.content_type = falcon.MEDIA_JSON
-    response.data = refusal_body(refusal)
+    response.data = encode_refusal(refusal)
     if refusal.reason in UNREAD_BODY:
         response.set_header('Connection', 'close')
     if refusal.retry_after is not None:
--- a/guavagate/web/_server.py
+++ b/guavagate/web/_server.py
@@ -8,7 +8,7 @@
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
 from guavagate.exceptions import RefusalError
-from guavagate.web._errors import refusal_body
+from guavagate.web._errors import encode_refusal
 
 # A client that sends its headers a byte at a time holds a task and a socket;
 # a few thousand of them would use up the instance. Ten seconds is far beyond
@@ -116,7 +116,7 @@
 
 def _render(refusal: RefusalError) -> tuple[str, bytes]:
     """Return a whole answer, after which the connection is closed."""
-    body = refusal_body(refusal)
+    body = encode_refusal(refusal)
     line = _STATUS_LINES.get(refusal.status, '400 Bad Request')
     head = (
         f'HTTP/1.1 {line}\r\nConnection: close\r\n'
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -21,7 +21,7 @@
     ),
     Safeguard(
         'no route is denied by old news',
-        'guavagate/front/_gate.py',
+        'guavagate/front/_authenticator.py',
         'proved = may_deny(self._proof_age(), self._bounds)',
         'proved = True',
         'tests/platform/test_edge_keys.py',
--- a/tests/helpers/test_listeners.py
+++ b/tests/helpers/test_listeners.py
@@ -10,7 +10,7 @@
 from guavagate.helpers.listeners import listen_early, take_listener
 from guavagate.http1 import Exchange, HttpServer
 from guavagate.platform.const import SETTINGS_VARIABLE
-from guavagate.platform.early import read_callers_addresses
+from guavagate.platform.listen_addresses import read_listen_addresses
 
 
 def _find_free() -> str:
@@ -64,7 +64,7 @@
     path = tmp_path / 'node.toml'
     path.write_text(text)
     monkeypatch.setenv(SETTINGS_VARIABLE, str(path))
-    assert not read_callers_addresses()
+    assert not read_listen_addresses()
 
 
 def test_callers_and_the_balancer_are_listened_for(
@@ -74,6 +74,6 @@
     path = tmp_path / 'node.toml'
     path.write_text('[listen]\nfront = "127.0.0.1:1"\nready = "127.0.0.1:2"\n')
     monkeypatch.setenv(SETTINGS_VARIABLE, str(path))
-    assert read_callers_addresses() == ['127.0.0.1:1', '127.0.0.1:2']
+    assert read_listen_addresses() == ['127.0.0.1:1', '127.0.0.1:2']
     path.write_text('[listen]\n')
-    assert not read_callers_addresses()
+    assert not read_listen_addresses()
--- a/tests/platform/test_edge_keys.py
+++ b/tests/platform/test_edge_keys.py
@@ -11,7 +11,7 @@
 from guavagate.clock import SystemClock
 from guavagate.exceptions import StoreUnavailableError
 from guavagate.forwarding import Attempts, Forwarder, StreamForwarder
-from guavagate.front import Gate, JobCalls, RequestCalls
+from guavagate.front import JobHandler, KeyAuthenticator, RequestHandler
 from guavagate.http1 import ConnectionPool, HttpServer, ServerLimits
 from guavagate.jobs import Job, LookupStatus
 from guavagate.metrics import Metrics
@@ -84,20 +84,20 @@
         edge = Edge(
             clock,
             self.routes,
-            Gate(
+            KeyAuthenticator(
                 self.routes,
                 Metrics(),
                 lambda: self.age,
                 make_bounds(3, 5, strict=True),
             ),
-            RequestCalls(
+            RequestHandler(
                 clock,
                 Forwarder(clock, upstreams, attempts),
                 StreamForwarder(clock, upstreams, attempts),
                 Metrics(),
                 lambda team, _: self.usage.append(team),
             ),
-            JobCalls(
+            JobHandler(
                 clock,
                 self.routes,
                 jobs,  # type: ignore[arg-type]
