--- a/guavagate/callers/__init__.py
+++ b/guavagate/callers/__init__.py
@@ -6,11 +6,11 @@
 
 from guavagate.callers._completions import (
     ChatResource,
-    Completions,
+    CompletionContext,
     CompletionsResource,
 )
-from guavagate.callers._once import make_id
-from guavagate.callers._services import Services, ServicesSink
+from guavagate.callers._idempotency import make_attempt_id
+from guavagate.callers._services import ServiceContext, ServicesSink
 
 SERVICE_ROUTE = re.compile(
     r'^/v1/services/(?P<service>[^/]+)/?(?P<path>.*)$', re.DOTALL
@@ -18,7 +18,7 @@
 
 
 def add_routes(
-    app: falcon.App, completions: Completions, services: Services
+    app: falcon.App, completions: CompletionContext, services: ServiceContext
 ) -> None:
     """Add the callers' routes."""
     app.add_route('/v1/completions', CompletionsResource(completions))
@@ -26,4 +26,9 @@
     app.add_sink(ServicesSink(services), SERVICE_ROUTE)
 
 
-__all__ = ('Completions', 'Services', 'add_routes', 'make_id')
+__all__ = (
+    'CompletionContext',
+    'ServiceContext',
+    'add_routes',
+    'make_attempt_id',
+)
--- a/guavagate/callers/_completions.py
+++ b/guavagate/callers/_completions.py
@@ -8,7 +8,11 @@
 
 from guavagate.auth import Authenticator
 from guavagate.callers import _render
-from guavagate.callers._once import describe_once, read_key, run_keyed
+from guavagate.callers._idempotency import (
+    make_once_request,
+    read_idempotency_key,
+    run_keyed,
+)
 from guavagate.callers._request import (
     CallerRequest,
     find_caller,
@@ -52,7 +56,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class Completions(msgspec.Struct, frozen=True, kw_only=True):
+class CompletionContext(msgspec.Struct, frozen=True, kw_only=True):
     """What both routes work with."""
 
     runtime: Runtime
@@ -80,7 +84,7 @@
 class CompletionsResource:
     """``POST /v1/completions``."""
 
-    def __init__(self, parts: Completions) -> None:
+    def __init__(self, parts: CompletionContext) -> None:
         self._parts = parts
 
     def on_post(
@@ -106,7 +110,7 @@
 class ChatResource:
     """``POST /v1/chat/completions``."""
 
-    def __init__(self, parts: Completions) -> None:
+    def __init__(self, parts: CompletionContext) -> None:
         self._parts = parts
 
     def on_post(
@@ -131,7 +135,7 @@
 
 
 def answer_request(
-    parts: Completions,
+    parts: CompletionContext,
     request: falcon.Request,
     response: falcon.Response,
     opened: CallerRequest,
@@ -144,12 +148,12 @@
     reason to refuse one. A stream is not kept: its key is not looked at.
     """
     response.set_header(HEADER_REQUEST_ID, opened.id)
-    key = read_key(request)
+    key = read_idempotency_key(request)
     if ask.stream or not key:
         _answer_ask(parts, opened, ask, response)
         return
     clock = parts.runtime.clock
-    once = describe_once(request, opened, key, body)
+    once = make_once_request(request, opened, key, body)
     try:
         answer = run_keyed(
             parts.ledger,
@@ -165,7 +169,7 @@
 
 
 def _answer_ask(
-    parts: Completions,
+    parts: CompletionContext,
     opened: CallerRequest,
     ask: _Ask,
     response: falcon.Response,
@@ -195,7 +199,9 @@
     response.stream = _stream(opened, style, progress, first, pieces)
 
 
-def _run_whole(parts: Completions, opened: CallerRequest, ask: _Ask) -> Answer:
+def _run_whole(
+    parts: CompletionContext, opened: CallerRequest, ask: _Ask
+) -> Answer:
     """Run a request to its end and return its answer."""
     progress = Progress()
     exhaust(_start(parts, opened, ask, progress))
@@ -208,7 +214,7 @@
             (HEADER_VERSIONS, versions),
             (HEADER_SAMPLER, ','.join(progress.samplers)),
         ),
-        body=_render.render_whole(_make_style(parts, opened, ask), progress),
+        body=_render.render_complete(_make_style(parts, opened, ask), progress),
     )
 
 
@@ -220,9 +226,9 @@
 
 
 def _make_style(
-    parts: Completions, opened: CallerRequest, ask: _Ask
-) -> _render.Style:
-    return _render.Style(
+    parts: CompletionContext, opened: CallerRequest, ask: _Ask
+) -> _render.AnswerMetadata:
+    return _render.AnswerMetadata(
         request_id=opened.id,
         model=ask.model,
         created=int(parts.runtime.clock.wall()),
@@ -230,12 +236,12 @@
     )
 
 
-def _open(parts: Completions, request: falcon.Request) -> CallerRequest:
+def _open(parts: CompletionContext, request: falcon.Request) -> CallerRequest:
     return open_request(request, parts.authenticator, parts.runtime.clock)
 
 
 def _start(
-    parts: Completions,
+    parts: CompletionContext,
     opened: CallerRequest,
     ask: _Ask,
     progress: Progress,
@@ -263,7 +269,7 @@
 
 
 def _find_deployment(
-    parts: Completions,
+    parts: CompletionContext,
     opened: CallerRequest,
     model: DeploymentId,
 ) -> tuple[TeamSettings, DeploymentSettings]:
@@ -281,7 +287,7 @@
 
 
 def _describe(
-    parts: Completions,
+    parts: CompletionContext,
     opened: CallerRequest,
     team: TeamSettings,
     ask: _Ask,
@@ -303,7 +309,7 @@
 
 def _stream(
     opened: CallerRequest,
-    style: _render.Style,
+    style: _render.AnswerMetadata,
     progress: Progress,
     first: Piece,
     pieces: Iterator[Piece],
--- a/guavagate/callers/_once.py
+++ b/guavagate/callers/_idempotency.py
@@ -28,12 +28,12 @@
         self.refusal = refusal
 
 
-def make_id() -> str:
+def make_attempt_id() -> str:
     """Return a unique attempt id."""
     return uuid.uuid4().hex
 
 
-def read_key(request: falcon.Request) -> str:
+def read_idempotency_key(request: falcon.Request) -> str:
     """Return the idempotency key, or an empty text.
 
     Raises
@@ -52,7 +52,7 @@
     return key
 
 
-def describe_once(
+def make_once_request(
     request: falcon.Request,
     opened: CallerRequest,
     key: str,
--- a/guavagate/callers/_render.py
+++ b/guavagate/callers/_render.py
@@ -20,7 +20,7 @@
 _encode = msgspec.json.Encoder().encode
 
 
-class Style(msgspec.Struct, frozen=True, kw_only=True):
+class AnswerMetadata(msgspec.Struct, frozen=True, kw_only=True):
     """What all events of one answer share."""
 
     request_id: RequestId
@@ -29,7 +29,7 @@
     chat: bool
 
 
-def render_whole(style: Style, progress: Progress) -> bytes:
+def render_complete(style: AnswerMetadata, progress: Progress) -> bytes:
     """Return the body of a whole answer."""
     if style.chat:
         message = ChatMessage(role='assistant', content=progress.text)
@@ -41,7 +41,7 @@
     return _encode(_make_answer(style, choice, progress, whole=True))
 
 
-def render_event(style: Style, piece: Piece) -> bytes:
+def render_event(style: AnswerMetadata, piece: Piece) -> bytes:
     """Return one event of a streamed answer."""
     if style.chat:
         choice = Choice(
@@ -54,7 +54,7 @@
     return _frame(_make_answer(style, choice, None, whole=False))
 
 
-def render_end(style: Style, progress: Progress) -> bytes:
+def render_end(style: AnswerMetadata, progress: Progress) -> bytes:
     """Return the last events: usage with provenance, then the terminal."""
     return _frame(_make_answer(style, None, progress, whole=False)) + DONE
 
@@ -64,7 +64,7 @@
 
 
 def _make_answer(
-    style: Style,
+    style: AnswerMetadata,
     choice: Choice | None,
     progress: Progress | None,
     *,
--- a/guavagate/callers/_services.py
+++ b/guavagate/callers/_services.py
@@ -8,7 +8,11 @@
 import msgspec
 
 from guavagate.auth import Authenticator
-from guavagate.callers._once import describe_once, read_key, run_keyed
+from guavagate.callers._idempotency import (
+    make_once_request,
+    read_idempotency_key,
+    run_keyed,
+)
 from guavagate.callers._request import (
     CallerRequest,
     find_caller,
@@ -53,7 +57,7 @@
 )
 
 
-class Services(msgspec.Struct, frozen=True, kw_only=True):
+class ServiceContext(msgspec.Struct, frozen=True, kw_only=True):
     """What the route works with."""
 
     runtime: Runtime
@@ -75,7 +79,7 @@
 class ServicesSink:
     """All methods and paths below a service."""
 
-    def __init__(self, parts: Services) -> None:
+    def __init__(self, parts: ServiceContext) -> None:
         self._parts = parts
 
     def __call__(
@@ -109,7 +113,7 @@
         parts = self._parts
         if call.request.repeatable or not call.request.key:
             return run_call(parts, call)
-        once = describe_once(
+        once = make_once_request(
             req,
             call.opened,
             call.request.key,
@@ -121,7 +125,7 @@
         )
 
 
-def run_call(parts: Services, call: ServiceCall) -> Answer:
+def run_call(parts: ServiceContext, call: ServiceCall) -> Answer:
     """Run a call at most once if it may not be repeated.
 
     Raises
@@ -152,7 +156,7 @@
 
 
 def _acquire(
-    parts: Services,
+    parts: ServiceContext,
     pool: str,
     work: Work,
     failed: FailedAttempt | None,
@@ -168,7 +172,7 @@
 
 
 def _exchange(
-    parts: Services,
+    parts: ServiceContext,
     call: ServiceCall,
     permit: Permit,
     request: ServiceRequest,
@@ -203,7 +207,7 @@
 
 
 def _refuse_repeat(
-    parts: Services, permit: Permit, error: UpstreamError
+    parts: ServiceContext, permit: Permit, error: UpstreamError
 ) -> RefusalError:
     parts.permits.release(permit, Release.FAILED)
     return RefusalError(
@@ -216,7 +220,7 @@
 
 
 def _find_service(
-    parts: Services,
+    parts: ServiceContext,
     opened: CallerRequest,
     service: str,
 ) -> tuple[TeamSettings, ServiceSettings]:
@@ -253,12 +257,12 @@
         path=f'/{quote(path, safe=_PATH_SAFE)}{query}',
         headers=headers,
         body=read_body(request),
-        key=read_key(request),
+        key=read_idempotency_key(request),
         repeatable=request.method in settings.idempotent,
     )
 
 
-def _describe(parts: Services, call: ServiceCall) -> Work:
+def _describe(parts: ServiceContext, call: ServiceCall) -> Work:
     caller = find_caller(call.team, call.opened.identity)
     return Work(
         id=call.opened.id,
--- a/guavagate/instance.py
+++ b/guavagate/instance.py
@@ -7,7 +7,7 @@
 
 from guavagate import callers, trainers
 from guavagate.auth import Authenticator
-from guavagate.callers import make_id
+from guavagate.callers import make_attempt_id
 from guavagate.health import HealthResource, Readiness, ReadinessResource
 from guavagate.integrations.model_engine import HttpModelEngine
 from guavagate.integrations.plain_service import HttpPlainService
@@ -21,7 +21,7 @@
     serve_queue_owner,
 )
 from guavagate.runs import (
-    Hosted,
+    HostedStates,
     RunDriver,
     RunsClient,
     SampleWorker,
@@ -37,7 +37,7 @@
 class Instance:
     """The parts of one instance above its runtime."""
 
-    def __init__(self, runtime: Runtime, hosted: Hosted) -> None:
+    def __init__(self, runtime: Runtime, hosted: HostedStates) -> None:
         self.runtime = runtime
         self.engine = HttpModelEngine(runtime.clock)
         self.service = HttpPlainService(runtime.clock)
@@ -49,11 +49,11 @@
         self.reports = ReportReader(
             runtime, self.queue_owner, self.engine, self.service
         )
-        self.ledger = Ledger(runtime, make_id)
+        self.ledger = Ledger(runtime, make_attempt_id)
         self.runs = RunsClient(runtime)
         self.driver = RunDriver(runtime, hosted)
         self.weights = WeightRollout(
-            runtime, self.engine, hosted, self.driver.sample_seconds
+            runtime, self.engine, hosted, self.driver.mean_sample_seconds
         )
         self.scorer = Scorer(runtime, self.permits)
         self.worker = SampleWorker(
@@ -97,7 +97,7 @@
     def _wait_finished(self) -> None:
         """Wait for the answers and samples held, and what they need."""
         self.active.wait_idle()
-        while self.worker.count() or self.permits.count_permits():
+        while self.worker.count_active() or self.permits.count_permits():
             self.runtime.clock.sleep(FINISH_PAUSE)
 
     def _make_app(self) -> falcon.App:
@@ -105,7 +105,7 @@
         add_error_handlers(app)
         callers.add_routes(
             app,
-            callers.Completions(
+            callers.CompletionContext(
                 runtime=self.runtime,
                 authenticator=self.authenticator,
                 queue_owner=self.queue_owner,
@@ -114,7 +114,7 @@
                 engine=self.engine,
                 ledger=self.ledger,
             ),
-            callers.Services(
+            callers.ServiceContext(
                 runtime=self.runtime,
                 authenticator=self.authenticator,
                 permits=self.permits,
@@ -124,7 +124,7 @@
         )
         trainers.add_routes(
             app,
-            trainers.Trainers(
+            trainers.TrainerContext(
                 runtime=self.runtime,
                 authenticator=self.authenticator,
                 runs=self.runs,
--- a/guavagate/measure/slopes/_runs.py
+++ b/guavagate/measure/slopes/_runs.py
@@ -31,7 +31,9 @@
     state_bytes, scans, entries, pulls = [], [], [], []
     for size in _SIZES:
         state = _make_step(size)
-        scans.append(time_us(partial(state.pending, _DEPLOYMENT), _REPEATS))
+        scans.append(
+            time_us(partial(state.list_pending_by_run, _DEPLOYMENT), _REPEATS)
+        )
         entries.append(_time_entries(size))
         full = _make_step(size)
         _enter_all(full, size)
--- a/guavagate/operations.py
+++ b/guavagate/operations.py
@@ -10,7 +10,7 @@
     add_routes,
 )
 from guavagate.reports import ListHoldings, LiveReports, refresh_process
-from guavagate.runs import Hosted
+from guavagate.runs import HostedStates
 from guavagate.runtime import Runtime
 from guavagate.settings import TeamsInForce
 
@@ -24,7 +24,7 @@
         instance: Instance,
         teams: TeamsInForce,
         recent: RecentDecisions,
-        hosted: Hosted,
+        hosted: HostedStates,
         holdings: ListHoldings,
     ) -> None:
         self._runtime = runtime
--- a/guavagate/reports.py
+++ b/guavagate/reports.py
@@ -25,7 +25,7 @@
 )
 from guavagate.partitions.stored import Holding
 from guavagate.permits import OwnedPool
-from guavagate.runs import Hosted, Run
+from guavagate.runs import HostedStates, Run
 from guavagate.runtime import Runtime
 
 _READY: Final = 'ready'
@@ -42,7 +42,7 @@
         self,
         runtime: Runtime,
         instance: Instance,
-        hosted: Hosted,
+        hosted: HostedStates,
         holdings: ListHoldings,
     ) -> None:
         self._runtime = runtime
@@ -82,7 +82,7 @@
         found: list[RunReport] = []
         for _, state in self._hosted():
             for name, lineage in state.lineages.items():
-                newest = state.newest(name)
+                newest = state.find_newest_version(name)
                 found.extend(
                     self._describe_run(name, run, newest)
                     for run in lineage.runs.values()
--- a/guavagate/runs/__init__.py
+++ b/guavagate/runs/__init__.py
@@ -15,7 +15,7 @@
     SubmitStep,
     Verdict,
 )
-from guavagate.runs._driver import Hosted, RunDriver, find_lineage
+from guavagate.runs._driver import HostedStates, RunDriver, find_deployment
 from guavagate.runs._run import Run
 from guavagate.runs._state import RUN_COMMANDS, RunsState
 from guavagate.runs._step import PendingSample
@@ -28,7 +28,7 @@
     'FinishSample',
     'FinishedSample',
     'GroupSpec',
-    'Hosted',
+    'HostedStates',
     'KeepCursor',
     'PendingSample',
     'PublishVersion',
@@ -43,6 +43,6 @@
     'SampleWorker',
     'SubmitStep',
     'Verdict',
-    'find_lineage',
+    'find_deployment',
     'partition_key',
 )
--- a/guavagate/runs/_client.py
+++ b/guavagate/runs/_client.py
@@ -153,7 +153,7 @@
                 return batch
             self._runtime.clock.sleep(POLL_PAUSE)
 
-    def keep_cursor(
+    def store_cursor(
         self, address: RunAddress, consumer: str, cursor: str
     ) -> str:
         """Keep a consumer's cursor, or return the one kept."""
--- a/guavagate/runs/_driver.py
+++ b/guavagate/runs/_driver.py
@@ -60,7 +60,7 @@
     (Verdict.ACCEPTED, Verdict.DUPLICATE, Verdict.UNKNOWN_STEP)
 )
 
-Hosted = Callable[[], Iterable[tuple[Epoch, RunsState]]]
+HostedStates = Callable[[], Iterable[tuple[Epoch, RunsState]]]
 _Key = tuple[DeploymentId, RunId, SampleId]
 
 
@@ -76,7 +76,7 @@
 class RunDriver:
     """Assigns pending samples to workers."""
 
-    def __init__(self, runtime: Runtime, hosted: Hosted) -> None:
+    def __init__(self, runtime: Runtime, hosted: HostedStates) -> None:
         self._runtime = runtime
         self._hosted = hosted
         self._assigned: dict[_Key, Assignment] = {}
@@ -88,7 +88,7 @@
         """Assign until the instance stops."""
         self._runtime.clock.spawn(self._run)
 
-    def sample_seconds(self, lineage: DeploymentId) -> float | None:
+    def mean_sample_seconds(self, lineage: DeploymentId) -> float | None:
         """Return the mean time that a sample takes, once one is measured."""
         return self._seconds.get(lineage)
 
@@ -101,8 +101,11 @@
             self._forget_settled()
         for _, state in self._hosted():
             for lineage in list(state.lineages):
-                found = find_lineage(self._runtime, lineage)
-                if found is not None and state.newest(lineage) is not None:
+                found = find_deployment(self._runtime, lineage)
+                if (
+                    found is not None
+                    and state.find_newest_version(lineage) is not None
+                ):
                     self._assign(lineage, found, state)
 
     def _forget_settled(self) -> None:
@@ -110,7 +113,7 @@
         pending: set[_Key] = set()
         for _, state in self._hosted():
             for lineage in state.lineages:
-                for run, samples in state.pending(lineage).items():
+                for run, samples in state.list_pending_by_run(lineage).items():
                     pending.update((lineage, run, name) for name in samples)
         for key in [key for key in self._assigned if key not in pending]:
             self._assigned.pop(key)
@@ -129,7 +132,7 @@
         deployment: DeploymentSettings,
         state: RunsState,
     ) -> None:
-        by_run = state.pending(lineage)
+        by_run = state.list_pending_by_run(lineage)
         counts = self._count_by_run(lineage)
         slots = sum(sampler.slots for sampler in deployment.samplers)
         free = int(slots * WINDOW_PER_SLOT) - sum(counts.values())
@@ -203,7 +206,9 @@
                 sample_id=sample.sample_id,
                 attempt=attempt,
                 group=sample.group,
-                oldest=oldest_fresh(state, lineage, sample.max_staleness),
+                oldest=find_oldest_fresh_version(
+                    state, lineage, sample.max_staleness
+                ),
                 weight=weight,
             ),
         )
@@ -282,7 +287,7 @@
     )
 
 
-def find_lineage(
+def find_deployment(
     runtime: Runtime, lineage: DeploymentId
 ) -> DeploymentSettings | None:
     """Return the settings in force of a deployment named over all teams."""
@@ -294,7 +299,7 @@
     return None
 
 
-def oldest_fresh(
+def find_oldest_fresh_version(
     state: RunsState, lineage: DeploymentId, bound: int
 ) -> WeightVersion | None:
     """Return the oldest version whose samples are still within a bound."""
--- a/guavagate/runs/_run.py
+++ b/guavagate/runs/_run.py
@@ -27,10 +27,10 @@
 from guavagate.runs._step import (
     PendingSample,
     Step,
+    find_group_index,
     list_pending,
     list_ready,
     list_samples,
-    place_of,
 )
 
 
@@ -54,7 +54,7 @@
     regenerated: int = 0
 
 
-def lag_of(
+def count_versions_behind(
     versions: tuple[VersionTokens, ...],
     published: list[WeightVersion],
 ) -> int | None:
@@ -76,11 +76,11 @@
     bound: int,
 ) -> bool:
     """Tell whether a sample may be handed out."""
-    lag = lag_of(sample.versions, published)
+    lag = count_versions_behind(sample.versions, published)
     return lag is not None and lag <= bound
 
 
-def pending_samples(run: Run) -> list[PendingSample]:
+def list_pending_samples(run: Run) -> list[PendingSample]:
     """Return what has still to be generated, earlier steps first.
 
     Within a step the longest come first: a long one that starts last holds up
@@ -96,7 +96,7 @@
 
 def is_delivered(run: Run, step: Step, group_id: str) -> bool:
     """Tell whether the trainer has committed a group."""
-    place = place_of(step, group_id)
+    place = find_group_index(step, group_id)
     return place is not None and has_group(_bitmap(run.cursor, step), place)
 
 
@@ -129,7 +129,7 @@
     return run.offered
 
 
-def is_waiting(run: Run, command: PullBatch) -> bool:
+def is_empty_pull(run: Run, command: PullBatch) -> bool:
     """Tell whether a pull would find nothing and change nothing.
 
     Only newly published versions make samples stale, and those that are have
--- a/guavagate/runs/_state.py
+++ b/guavagate/runs/_state.py
@@ -21,13 +21,13 @@
 from guavagate.runs._run import (
     Run,
     is_delivered,
+    is_empty_pull,
     is_fresh,
-    is_waiting,
+    list_pending_samples,
     make_empty_batch,
-    pending_samples,
     pull,
 )
-from guavagate.runs._step import PendingSample, holds_sample, make_step
+from guavagate.runs._step import PendingSample, has_sample, make_step
 
 # A step in work holds its samples in memory and in the store; more steps than
 # this are refused rather than let a trainer that never pulls fill the memory.
@@ -103,7 +103,7 @@
             return None
         lineage = self.lineages.get(command.deployment)
         run = lineage and lineage.runs.get(command.run)
-        if not run or not is_waiting(run, command):
+        if not run or not is_empty_pull(run, command):
             return None
         return make_empty_batch(run, command)
 
@@ -117,14 +117,18 @@
         self.lineages = decoded.lineages
         self._pending.clear()
 
-    def newest(self, deployment: DeploymentId) -> WeightVersion | None:
+    def find_newest_version(
+        self, deployment: DeploymentId
+    ) -> WeightVersion | None:
         """Return the newest published version."""
         lineage = self.lineages.get(deployment)
         if lineage is None or not lineage.published:
             return None
         return lineage.published[-1]
 
-    def pending(self, deployment: DeploymentId) -> dict[RunId, Pending]:
+    def list_pending_by_run(
+        self, deployment: DeploymentId
+    ) -> dict[RunId, Pending]:
         """Return what has still to be generated, by run, in its order.
 
         Kept between calls and made anew only after a step has come or gone or
@@ -137,7 +141,8 @@
             key = (deployment, run.run)
             if key not in self._pending:
                 self._pending[key] = {
-                    sample.sample_id: sample for sample in pending_samples(run)
+                    sample.sample_id: sample
+                    for sample in list_pending_samples(run)
                 }
             found[run.run] = self._pending[key]
         return found
@@ -213,7 +218,7 @@
     published: list[WeightVersion],
 ) -> Verdict:
     step = run.steps.get(command.step_id)
-    if step is None or not holds_sample(step, command.sample):
+    if step is None or not has_sample(step, command.sample):
         return Verdict.UNKNOWN_STEP
     if is_delivered(run, step, command.sample.group_id):
         return Verdict.DUPLICATE
--- a/guavagate/runs/_step.py
+++ b/guavagate/runs/_step.py
@@ -54,7 +54,7 @@
     ]
 
 
-def place_of(step: Step, group_id: str) -> int | None:
+def find_group_index(step: Step, group_id: str) -> int | None:
     """Return a group's place in its step."""
     if not step.places:
         step.places.update(
@@ -63,9 +63,9 @@
     return step.places.get(group_id)
 
 
-def holds_sample(step: Step, sample: FinishedSample) -> bool:
+def has_sample(step: Step, sample: FinishedSample) -> bool:
     """Tell whether a sample belongs to one of the step's groups."""
-    place = place_of(step, sample.group_id)
+    place = find_group_index(step, sample.group_id)
     if place is None:
         return False
     names = list_samples(step.step_id, step.groups[place])
--- a/guavagate/runs/_worker.py
+++ b/guavagate/runs/_worker.py
@@ -37,7 +37,7 @@
 from guavagate.ports.engine import Generation, ModelEngine
 from guavagate.runs._client import RunsClient
 from guavagate.runs._commands import FinishedSample, Verdict
-from guavagate.runs._driver import find_lineage
+from guavagate.runs._driver import find_deployment
 from guavagate.runs._messages import (
     CancelSample,
     GenerateSample,
@@ -86,10 +86,10 @@
         self._score = scoring
         self._runs = runs
         self._tasks: dict[_Key, Task] = {}
-        runtime.bus.register(GenerateSample, self.take)
-        runtime.bus.register(CancelSample, self.cancel)
+        runtime.bus.register(GenerateSample, self.start_sample)
+        runtime.bus.register(CancelSample, self.cancel_sample)
 
-    def take(self, sender: InstanceId, message: Message) -> None:
+    def start_sample(self, sender: InstanceId, message: Message) -> None:
         """Start generating a sample, unless it is in work already."""
         order = expect(message, GenerateSample)
         key = (order.run, order.sample_id, order.attempt)
@@ -98,7 +98,7 @@
                 self._work, sender, order
             )
 
-    def cancel(self, sender: InstanceId, message: Message) -> None:
+    def cancel_sample(self, sender: InstanceId, message: Message) -> None:
         """Stop an attempt that another was faster than."""
         order = expect(message, CancelSample)
         task = self._tasks.pop(
@@ -107,7 +107,7 @@
         if task is not None:
             task.kill(block=False)
 
-    def count(self) -> int:
+    def count_active(self) -> int:
         """Return how many samples are in work."""
         return len(self._tasks)
 
@@ -147,7 +147,7 @@
 
     def _make(self, order: GenerateSample) -> Verdict:
         lineage = DeploymentId(f'{order.team}/{order.deployment}')
-        deployment = find_lineage(self._runtime, lineage)
+        deployment = find_deployment(self._runtime, lineage)
         if deployment is None:
             raise GuavagateError(
                 f'deployment {lineage} is not declared here',
--- a/guavagate/trainers/__init__.py
+++ b/guavagate/trainers/__init__.py
@@ -5,16 +5,16 @@
 from guavagate.trainers._resources import (
     BatchesResource,
     StepsResource,
-    Trainers,
+    TrainerContext,
     VersionsResource,
 )
 
 
-def add_routes(app: falcon.App, parts: Trainers) -> None:
+def add_routes(app: falcon.App, parts: TrainerContext) -> None:
     """Add the trainers' routes."""
     app.add_route('/v1/runs/{run}/versions', VersionsResource(parts))
     app.add_route('/v1/runs/{run}/steps', StepsResource(parts))
     app.add_route('/v1/runs/{run}/batches', BatchesResource(parts))
 
 
-__all__ = ('Trainers', 'add_routes')
+__all__ = ('TrainerContext', 'add_routes')
--- a/guavagate/trainers/_resources.py
+++ b/guavagate/trainers/_resources.py
@@ -62,7 +62,7 @@
     wait_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_WAIT)] = 0
 
 
-class Trainers(msgspec.Struct, frozen=True, kw_only=True):
+class TrainerContext(msgspec.Struct, frozen=True, kw_only=True):
     """What the routes work with."""
 
     runtime: Runtime
@@ -73,7 +73,7 @@
 class VersionsResource:
     """``POST /v1/runs/{run}/versions``."""
 
-    def __init__(self, parts: Trainers) -> None:
+    def __init__(self, parts: TrainerContext) -> None:
         self._parts = parts
 
     def on_post(
@@ -93,7 +93,7 @@
 class StepsResource:
     """``POST /v1/runs/{run}/steps``."""
 
-    def __init__(self, parts: Trainers) -> None:
+    def __init__(self, parts: TrainerContext) -> None:
         self._parts = parts
 
     def on_post(
@@ -118,7 +118,7 @@
 class BatchesResource:
     """``POST /v1/runs/{run}/batches``."""
 
-    def __init__(self, parts: Trainers) -> None:
+    def __init__(self, parts: TrainerContext) -> None:
         self._parts = parts
 
     def on_post(
@@ -143,7 +143,7 @@
 
 
 def _find_run(
-    parts: Trainers, request: falcon.Request, run: str
+    parts: TrainerContext, request: falcon.Request, run: str
 ) -> tuple[RunAddress, DeploymentSettings]:
     identity = parts.authenticator.identify(request.get_header('Authorization'))
     identity.require(Role.TRAINER)
@@ -212,7 +212,7 @@
 
 
 def _choose_cursor(
-    parts: Trainers, address: RunAddress, body: BatchBody
+    parts: TrainerContext, address: RunAddress, body: BatchBody
 ) -> str:
     """Return the cursor to pull with; a consumer's own is kept for it.
 
@@ -222,7 +222,7 @@
     """
     if body.consumer is None:
         return body.cursor or ''
-    return parts.runs.keep_cursor(address, body.consumer, body.cursor or '')
+    return parts.runs.store_cursor(address, body.consumer, body.cursor or '')
 
 
 def _render_batch(batch: Batch) -> dict[str, object]:
--- a/guavagate/weights/__init__.py
+++ b/guavagate/weights/__init__.py
@@ -2,8 +2,8 @@
 
 from guavagate.weights._plan import (
     OrderKind,
+    RolloutInputs,
     SamplerWeights,
-    Situation,
     WeightOrder,
     plan_orders,
 )
@@ -12,7 +12,7 @@
 __all__ = (
     'OrderKind',
     'SamplerWeights',
-    'Situation',
+    'RolloutInputs',
     'WeightOrder',
     'WeightRollout',
     'plan_orders',
--- a/guavagate/weights/_lineage.py
+++ b/guavagate/weights/_deployment.py
@@ -21,7 +21,7 @@
 IDLE_SECONDS: Final = 60.0
 
 
-class Lineage(msgspec.Struct, kw_only=True):
+class DeploymentRollout(msgspec.Struct, kw_only=True):
     """What this primary knows of one deployment's samplers."""
 
     epoch: Epoch
@@ -53,7 +53,7 @@
             and not self.reports[sampler.id].leaving
         ]
 
-    def pause_of(self, sampler: SamplerId) -> float:
+    def get_report_interval(self, sampler: SamplerId) -> float:
         """Return the seconds after which a sampler's report is read again."""
         report = self.reports.get(sampler)
         if report is not None and report.version == self.target:
--- a/guavagate/weights/_plan.py
+++ b/guavagate/weights/_plan.py
@@ -52,7 +52,7 @@
     ordered: OrderKind | None = None
 
 
-class Situation(msgspec.Struct, frozen=True, kw_only=True):
+class RolloutInputs(msgspec.Struct, frozen=True, kw_only=True):
     """What a deployment wants; times in seconds.
 
     Parameters
@@ -86,7 +86,7 @@
 
 
 def plan_orders(
-    situation: Situation,
+    situation: RolloutInputs,
     samplers: list[SamplerWeights],
 ) -> list[WeightOrder]:
     """Return the orders to give now."""
@@ -105,7 +105,7 @@
 
 
 def _plan_prefetches(
-    situation: Situation,
+    situation: RolloutInputs,
     behind: list[SamplerWeights],
     target: WeightVersion,
 ) -> list[WeightOrder]:
@@ -122,7 +122,7 @@
 
 
 def _plan_swaps(
-    situation: Situation,
+    situation: RolloutInputs,
     behind: list[SamplerWeights],
     samplers: list[SamplerWeights],
     target: WeightVersion,
@@ -146,7 +146,7 @@
     return orders
 
 
-def _reason_to_swap(situation: Situation, one: SamplerWeights) -> str:
+def _reason_to_swap(situation: RolloutInputs, one: SamplerWeights) -> str:
     """Return why a sampler should swap now; nothing lets its work end."""
     lag = _versions_behind(situation, one)
     if lag > situation.max_staleness:
@@ -166,7 +166,7 @@
     return ''
 
 
-def _versions_behind(situation: Situation, one: SamplerWeights) -> int:
+def _versions_behind(situation: RolloutInputs, one: SamplerWeights) -> int:
     """Return how far a sampler lags; an unknown version lags them all."""
     published = situation.published
     if one.version not in published:
--- a/guavagate/weights/_rollout.py
+++ b/guavagate/weights/_rollout.py
@@ -36,19 +36,19 @@
 from guavagate.ports.engine import EngineOrder, ModelEngine
 from guavagate.runs import (
     ConfirmOrder,
-    Hosted,
+    HostedStates,
     RunOutcome,
     RunsState,
-    find_lineage,
+    find_deployment,
     partition_key,
 )
 from guavagate.runtime import Runtime
 from guavagate.settings import DeploymentSettings, SamplerSettings
 from guavagate.util.boot_clock import read_boot_clock
-from guavagate.weights._lineage import TICK_SECONDS, Lineage
+from guavagate.weights._deployment import TICK_SECONDS, DeploymentRollout
 from guavagate.weights._plan import (
     OrderKind,
-    Situation,
+    RolloutInputs,
     WeightOrder,
     plan_orders,
 )
@@ -75,7 +75,7 @@
         self,
         runtime: Runtime,
         engine: ModelEngine,
-        hosted: Hosted,
+        hosted: HostedStates,
         sample_seconds: Callable[[DeploymentId], float | None],
         boot_clock: Callable[[], float] = read_boot_clock,
     ) -> None:
@@ -84,7 +84,7 @@
         self._hosted = hosted
         self._sample_seconds = sample_seconds
         self._boot_clock = boot_clock
-        self._lineages: dict[DeploymentId, Lineage] = {}
+        self._lineages: dict[DeploymentId, DeploymentRollout] = {}
         self._task: Task | None = None
 
     def start(self) -> None:
@@ -116,16 +116,16 @@
     def _look_at(
         self, name: DeploymentId, epoch: Epoch, state: RunsState
     ) -> None:
-        deployment = find_lineage(self._runtime, name)
-        if deployment is None or state.newest(name) is None:
+        deployment = find_deployment(self._runtime, name)
+        if deployment is None or state.find_newest_version(name) is None:
             return
         now = self._runtime.clock.now()
         lineage = self._lineages.get(name)
         if lineage is None or lineage.epoch != epoch:
-            lineage = Lineage(epoch=epoch, since=now, refilled_at=now)
+            lineage = DeploymentRollout(epoch=epoch, since=now, refilled_at=now)
             self._lineages[name] = lineage
-        if lineage.target != state.newest(name):
-            lineage.target = state.newest(name)
+        if lineage.target != state.find_newest_version(name):
+            lineage.target = state.find_newest_version(name)
             lineage.read_next.clear()
             lineage.fetching.clear()
         self._read(lineage, deployment, now)
@@ -133,7 +133,10 @@
             self._order(name, lineage, deployment, state)
 
     def _read(
-        self, lineage: Lineage, deployment: DeploymentSettings, now: float
+        self,
+        lineage: DeploymentRollout,
+        deployment: DeploymentSettings,
+        now: float,
     ) -> None:
         """Read the reports that are due."""
         tasks = [
@@ -145,10 +148,12 @@
             task.join()
         for sampler in deployment.samplers:
             if lineage.read_next.get(sampler.id, now) <= now:
-                pause = lineage.pause_of(sampler.id)
+                pause = lineage.get_report_interval(sampler.id)
                 lineage.read_next[sampler.id] = now + pause
 
-    def _read_one(self, lineage: Lineage, sampler: SamplerSettings) -> None:
+    def _read_one(
+        self, lineage: DeploymentRollout, sampler: SamplerSettings
+    ) -> None:
         before = lineage.reports.get(sampler.id)
         try:
             report = self._engine.report(sampler.address, REPORT_TIMEOUT)
@@ -166,7 +171,7 @@
             )
 
     def _may_order(
-        self, lineage: Lineage, deployment: DeploymentSettings
+        self, lineage: DeploymentRollout, deployment: DeploymentSettings
     ) -> bool:
         """Wait out a former primary's orders where engines don't fence."""
         if deployment.fences_orders:
@@ -177,7 +182,7 @@
     def _order(
         self,
         name: DeploymentId,
-        lineage: Lineage,
+        lineage: DeploymentRollout,
         deployment: DeploymentSettings,
         state: RunsState,
     ) -> None:
@@ -199,10 +204,10 @@
     def _describe(
         self,
         name: DeploymentId,
-        lineage: Lineage,
+        lineage: DeploymentRollout,
         deployment: DeploymentSettings,
         state: RunsState,
-    ) -> Situation:
+    ) -> RolloutInputs:
         now = self._runtime.clock.now()
         rate = deployment.prefetch_per_second
         lineage.allowance = min(
@@ -211,7 +216,7 @@
         )
         lineage.refilled_at = now
         held = state.lineages[name]
-        return Situation(
+        return RolloutInputs(
             published=tuple(held.published),
             max_staleness=deployment.max_staleness,
             staleness_weight=deployment.weights.staleness,
@@ -222,7 +227,7 @@
         )
 
     def _confirm(
-        self, name: DeploymentId, lineage: Lineage, order: WeightOrder
+        self, name: DeploymentId, lineage: DeploymentRollout, order: WeightOrder
     ) -> bool:
         """Have the store say that this epoch still decides."""
         asked = self._boot_clock()
@@ -247,7 +252,7 @@
     def _give(
         self,
         name: DeploymentId,
-        lineage: Lineage,
+        lineage: DeploymentRollout,
         address: str,
         order: WeightOrder,
     ) -> None:
@@ -269,7 +274,7 @@
     def _send(
         self,
         name: DeploymentId,
-        lineage: Lineage,
+        lineage: DeploymentRollout,
         address: str,
         order: WeightOrder,
     ) -> None:
--- a/tests/runs/test_delivery.py
+++ b/tests/runs/test_delivery.py
@@ -76,7 +76,9 @@
 
     def finish(self, rng: random.Random) -> None:
         """Generate one pending sample on weights of some age."""
-        pending = list(self.state.pending(_DEPLOYMENT)[_RUN].values())
+        pending = list(
+            self.state.list_pending_by_run(_DEPLOYMENT)[_RUN].values()
+        )
         if not pending:
             return
         wanted = rng.choice(pending)
@@ -131,8 +133,8 @@
         """Compare what is kept of the pending samples with a new count."""
         copy = RunsState()
         copy.restore(self.state.snapshot())
-        kept = self.state.pending(_DEPLOYMENT)
-        assert kept == copy.pending(_DEPLOYMENT)
+        kept = self.state.list_pending_by_run(_DEPLOYMENT)
+        assert kept == copy.list_pending_by_run(_DEPLOYMENT)
 
     def drain(self, rng: random.Random) -> None:
         """Go on without faults until nothing is left."""
--- a/tests/weights/test_plan.py
+++ b/tests/weights/test_plan.py
@@ -5,15 +5,15 @@
 from guavagate.models import SamplerId, WeightVersion
 from guavagate.weights import (
     OrderKind,
+    RolloutInputs,
     SamplerWeights,
-    Situation,
     plan_orders,
 )
 
 _OLD, _NEW = WeightVersion(1), WeightVersion(2)
 
 
-def _situation(**fields: float) -> Situation:
+def _situation(**fields: float) -> RolloutInputs:
     known = {
         'max_staleness': 1,
         'staleness_weight': 1.0,
@@ -22,7 +22,7 @@
         'step_seconds': 60.0,
         'prefetches': 2,
     }
-    return Situation(
+    return RolloutInputs(
         published=(_OLD, _NEW),
         **{**known, **fields},  # type: ignore[arg-type]
     )
