--- a/tests/jobs/test_overload.py
+++ b/tests/jobs/test_overload.py
@@ -68,12 +68,12 @@
 
 def test_one_slow_sampler_of_five_costs_little_value() -> None:
     """For ten seconds one is three times slower, at a load that fits."""
-    slowdown = [Slowdown(0, 10, 20, 3)]
+    slowdowns = [Slowdown(0, 10, 20, 3)]
     outcomes = _play(
-        [SMALL, SMALL], plan_forecast, samplers=5, slowdowns=slowdown
+        [SMALL, SMALL], plan_forecast, samplers=5, slowdowns=slowdowns
     )
     baseline = _play(
-        [SMALL, SMALL], plan_by_due, samplers=5, slowdowns=slowdown
+        [SMALL, SMALL], plan_by_due, samplers=5, slowdowns=slowdowns
     )
     assert _compute_value(outcomes) >= max(
         _compute_value(baseline) - 0.02, 0.75
@@ -97,8 +97,8 @@
 
     Steps requested later than one deadline after that are in time again.
     """
-    slowdown = [Slowdown(number, 5, 15, 4) for number in range(8)]
-    model = LoadModel([SMALL, SMALL], samplers=8, slowdowns=slowdown)
+    slowdowns = [Slowdown(number, 5, 15, 4) for number in range(8)]
+    model = LoadModel([SMALL, SMALL], samplers=8, slowdowns=slowdowns)
     outcome = model.run()
     assert model.find_last_late() < 15 + 12
     assert outcome.value >= 0.5
