--- a/guavagate/assembly.py
+++ b/guavagate/assembly.py
@@ -55,7 +55,9 @@
             _read_secret(settings.platform.credentials_file).decode(),
             clock,
         )
-        self._list = InstanceListPoller(carry, clock, self._members.take_list)
+        self._list = InstanceListPoller(
+            carry, clock, self._members.update_candidates
+        )
         store = ObjectApi(carry, clock, self._count_members)
         decisions = RecentDecisions(clock, settings.id)
         self._teams = TeamsInForce(
--- a/guavagate/feeds/_feed.py
+++ b/guavagate/feeds/_feed.py
@@ -37,7 +37,7 @@
 from guavagate.ports.store import ObjectStore, StoredObject
 from guavagate.runtime import Members
 from guavagate.util.boot_clock import read_boot_clock
-from guavagate.util.seniority import BootOf, forget_boots
+from guavagate.util.uptime import BootOf, ignore_boots
 
 _LOGGER: Final = logging.getLogger(__name__)
 
@@ -115,7 +115,7 @@
         me: InstanceId,
         prefixes: tuple[str, ...],
         lapsing: tuple[str, ...] = (),
-        boot_of: BootOf = forget_boots,
+        boot_of: BootOf = ignore_boots,
         *,
         first_start: bool = True,
         proof_prefix: str = '',
--- a/guavagate/feeds/_relays.py
+++ b/guavagate/feeds/_relays.py
@@ -15,7 +15,7 @@
 
 from guavagate.models import InstanceId
 from guavagate.settings import PeerSettings
-from guavagate.util.seniority import BootOf, forget_boots, rank_seniors
+from guavagate.util.uptime import BootOf, ignore_boots, rank_by_uptime
 
 # A change that the store acknowledged must take effect here within two seconds.
 # A relay sends the age of its data; beyond this age a standby reads the store,
@@ -31,7 +31,7 @@
 
 
 def rank_relays(
-    alive: Sequence[PeerSettings], boot_of: BootOf = forget_boots
+    alive: Sequence[PeerSettings], boot_of: BootOf = ignore_boots
 ) -> list[InstanceId]:
     """Return all instances in the order in which they become relays.
 
@@ -45,8 +45,8 @@
     without_edge = [each.id for each in alive if not each.http_address]
     with_edge = [each.id for each in alive if each.http_address]
     ranked = [
-        *rank_seniors('feed', without_edge, boot_of),
-        *rank_seniors('feed', with_edge, boot_of),
+        *rank_by_uptime('feed', without_edge, boot_of),
+        *rank_by_uptime('feed', with_edge, boot_of),
     ]
     for place, candidate in enumerate(ranked):
         if zones[candidate] != zones[ranked[0]]:
--- a/guavagate/jobs/_ownership.py
+++ b/guavagate/jobs/_ownership.py
@@ -4,11 +4,11 @@
 
 from guavagate.models import InstanceId, ServiceId
 from guavagate.runtime import Members
-from guavagate.util.seniority import (
+from guavagate.util.uptime import (
     BootOf,
-    find_age,
-    forget_boots,
-    rank_seniors,
+    find_start_bucket,
+    ignore_boots,
+    rank_by_uptime,
 )
 
 
@@ -34,7 +34,7 @@
         self,
         members: Members,
         me: InstanceId,
-        boot_of: BootOf = forget_boots,
+        boot_of: BootOf = ignore_boots,
     ) -> None:
         self._members = members
         self._boot_of = boot_of
@@ -62,13 +62,13 @@
 
     def rank_for_duty(self, duty: str) -> list[InstanceId]:
         """Return the candidates for a fleet-wide duty, first choice first."""
-        return rank_seniors(duty, self._list_candidates(), self._boot_of)
+        return rank_by_uptime(duty, self._list_candidates(), self._boot_of)
 
     def is_among_longest_running(self) -> bool:
         """Return whether no candidate has run for longer than this instance."""
-        own_age = find_age(self._me, self._boot_of)
+        own_bucket = find_start_bucket(self._me, self._boot_of)
         return all(
-            find_age(each, self._boot_of) >= own_age
+            find_start_bucket(each, self._boot_of) >= own_bucket
             for each in self._list_candidates()
         )
 
@@ -78,8 +78,11 @@
         return without_edge or [each.id for each in alive]
 
     def _started_together(self, *others: InstanceId) -> bool:
-        ages = {find_age(each, self._boot_of) for each in (self._me, *others)}
-        return len(ages) == 1
+        buckets = {
+            find_start_bucket(each, self._boot_of)
+            for each in (self._me, *others)
+        }
+        return len(buckets) == 1
 
     def is_owner(self, service: ServiceId) -> bool:
         """Return whether this instance owns a service's jobs.
--- a/guavagate/membership/_members.py
+++ b/guavagate/membership/_members.py
@@ -189,7 +189,7 @@
         """Call back, without blocking, when an instance's facts change."""
         self._fact_subscribers.append(changed)
 
-    def take_list(self, listed: Iterable[PeerSettings]) -> None:
+    def update_candidates(self, listed: Iterable[PeerSettings]) -> None:
         """Take the platform's lagging list: candidates to probe, no more."""
         addresses = {peer.id: peer.peer_address for peer in listed}
         self._detector.joiner.retain({*addresses, *self._peers})
--- a/guavagate/membership/registry.py
+++ b/guavagate/membership/registry.py
@@ -81,7 +81,7 @@
         """Register and list in a task."""
         self._clock.spawn(self._run)
 
-    def wait_settled(
+    def wait_for_discovery(
         self, is_enough: Callable[[], bool] = _is_never_enough
     ) -> None:
         """Block until this process has heard who else is there.
@@ -94,7 +94,7 @@
         """
         if self.first_start:
             self._clock.sleep(FIRST_SECONDS)
-        while not self.is_settled():
+        while not self.is_discovery_complete():
             if self._has_asked() and is_enough():
                 return
             self._clock.sleep(SETTLE_STEP)
@@ -106,7 +106,7 @@
         asked = self._clock.now() - self._listed_at > ANSWER_SECONDS
         return asked and len(self._members.alive()) > 1
 
-    def is_settled(self) -> bool:
+    def is_discovery_complete(self) -> bool:
         """Return whether this process has heard who else is there.
 
         One that starts alone believes itself to be everybody; after an
@@ -174,7 +174,7 @@
     def _list(self) -> None:
         stored, _ = self._store.list_under(MEMBERS)
         peers = list(filter(None, map(self._decode, stored)))
-        self._members.take_list(peers)
+        self._members.update_candidates(peers)
         self._others = len(peers) - 1
         if self._listed_at is None:
             self._listed_at = self._clock.now()
--- a/guavagate/service.py
+++ b/guavagate/service.py
@@ -133,9 +133,11 @@
         """Take what is this instance's, once it knows of the others."""
         was_owner = not registry.first_start and self._recall()
         if was_owner:
-            registry.wait_settled(self._ownership.is_among_longest_running)
+            registry.wait_for_discovery(
+                self._ownership.is_among_longest_running
+            )
         else:
-            registry.wait_settled()
+            registry.wait_for_discovery()
         self._ownership.ready = not self._leaving
         self.refresh()
 
--- a/guavagate/util/seniority.py
+++ b/guavagate/util/uptime.py
@@ -15,12 +15,12 @@
 
 # Milliseconds. Instances of one start differ by less than a second and by
 # their clocks; a restart comes later than that in nearly all cases.
-STEP_MILLIS: Final = 8000
+START_BUCKET_MILLIS: Final = 8000
 
 BootOf = Callable[[InstanceId], int | None]
 
 
-def rank_seniors(
+def rank_by_uptime(
     key: str, instances: Iterable[InstanceId], boot_of: BootOf
 ) -> list[InstanceId]:
     """Return instances by how long they run, then by weight for a key.
@@ -33,14 +33,14 @@
     """
     return sorted(
         instances,
-        key=lambda each: (find_age(each, boot_of), -weigh(key, each)),
+        key=lambda each: (find_start_bucket(each, boot_of), -weigh(key, each)),
     )
 
 
-def find_age(instance: InstanceId, boot_of: BootOf) -> int:
+def find_start_bucket(instance: InstanceId, boot_of: BootOf) -> int:
     """Return the step in which an instance started; lower is older."""
-    return (boot_of(instance) or 0) // STEP_MILLIS
+    return (boot_of(instance) or 0) // START_BUCKET_MILLIS
 
 
-def forget_boots(instance: InstanceId) -> int | None:
+def ignore_boots(instance: InstanceId) -> int | None:
     """Take all instances for equally old."""
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self.peers: list[Any] = []
 
-    def take_list(self, peers: list[Any]) -> None:
+    def update_candidates(self, peers: list[Any]) -> None:
         """Take in who is registered."""
         self.peers = peers
 
@@ -78,12 +78,12 @@
         world.settings_of('a'),
         first_start=False,
     )
-    members.take_list = lambda peers: None  # type: ignore[method-assign]
+    members.update_candidates = lambda peers: None  # type: ignore[method-assign]
     registry.start()
     heard = [object(), object()]
     members.peers = heard
     world.clock.advance(0.2)
-    waiting = world.clock.spawn(registry.wait_settled, lambda: True)
+    waiting = world.clock.spawn(registry.wait_for_discovery, lambda: True)
     world.clock.advance(0.05)
     assert not waiting.ready()
     world.clock.advance(0.2)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -10,7 +10,7 @@
 from guavagate.rollouts import Renewals
 from guavagate.routing import RouteTable, UpstreamTable
 from guavagate.service import Services
-from guavagate.util.seniority import BootOf, forget_boots
+from guavagate.util.uptime import BootOf, ignore_boots
 from tests.jobs.rewards import FakeRewardClient
 from tests.jobs.samplers import SERVICE, FakeSamplers
 from tests.rollouts.test_coordinator import make_configuration
@@ -26,7 +26,7 @@
         self.first_start = first_start
         self.enough = False
 
-    def wait_settled(self, is_enough: Callable[[], bool] = bool) -> None:
+    def wait_for_discovery(self, is_enough: Callable[[], bool] = bool) -> None:
         """Return at once, or as soon as that is enough where it is asked."""
         self.enough = is_enough()
 
@@ -35,7 +35,7 @@
     world: World,
     name: InstanceId,
     registry: _Registry,
-    boot_of: BootOf = forget_boots,
+    boot_of: BootOf = ignore_boots,
 ) -> Services:
     """Start what one instance does for services, and let it settle."""
     clock: PausedClock = world.clock
