--- a/guavagate/assembly.py
+++ b/guavagate/assembly.py
@@ -88,7 +88,7 @@
             self._teams,
             decisions,
             self._list_hosted,
-            self._partitions.holdings,
+            self._partitions.list_owned,
         )
         self._instance.readiness.add('stop', self._why_stopping)
         self._runtime.metrics.before_reading(self._count_traffic)
@@ -177,7 +177,7 @@
     def _list_hosted(self) -> list[tuple[Epoch, RunsState]]:
         return [
             (epoch, state)
-            for epoch, state in self._partitions.states_of(PublishVersion)
+            for epoch, state in self._partitions.list_states(PublishVersion)
             if isinstance(state, RunsState)
         ]
 
--- a/guavagate/callers/_idempotency.py
+++ b/guavagate/callers/_idempotency.py
@@ -11,8 +11,8 @@
 from guavagate.exceptions import RefusalError, UpstreamNotStartedError
 from guavagate.ledger import (
     Answer,
+    KeyedRequest,
     Ledger,
-    OnceRequest,
     digest_body,
 )
 from guavagate.models import NotRun
@@ -57,9 +57,9 @@
     opened: CallerRequest,
     key: str,
     body: bytes,
-) -> OnceRequest:
+) -> KeyedRequest:
     """Return what the ledger knows a keyed request by."""
-    return OnceRequest(
+    return KeyedRequest(
         team=opened.identity.team,
         caller=opened.identity.caller,
         key=key,
@@ -69,7 +69,7 @@
 
 def run_keyed(
     ledger: Ledger,
-    once: OnceRequest,
+    once: KeyedRequest,
     run: Callable[[], Answer],
     timeout: float,
 ) -> Answer:
--- a/guavagate/duties/_counter.py
+++ b/guavagate/duties/_counter.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from guavagate.models import InstanceId, TeamId
-from guavagate.ports.duties import Counts
+from guavagate.ports.duties import TeamCounts
 
 # An older window was reported already, or can no longer be reported.
 MAX_WINDOWS: Final = 8
@@ -21,7 +21,7 @@
 
     def __init__(self, length: float) -> None:
         self.length = length
-        self._windows: dict[int, Counts] = {}
+        self._windows: dict[int, TeamCounts] = {}
         self._confirmed: defaultdict[InstanceId, dict[int, int]] = defaultdict(
             dict
         )
@@ -33,7 +33,7 @@
         while len(self._windows) > MAX_WINDOWS:
             self._windows.pop(min(self._windows))
 
-    def list_unconfirmed(self, peer: InstanceId) -> dict[int, Counts]:
+    def list_unconfirmed(self, peer: InstanceId) -> dict[int, TeamCounts]:
         """Return the windows that a peer has not fully confirmed.
 
         Contains the complete current totals, so a repeated window adds nothing.
@@ -45,7 +45,7 @@
             if confirmed.get(window) != sum(counts.values())
         }
 
-    def confirm(self, peer: InstanceId, windows: dict[int, Counts]) -> None:
+    def confirm(self, peer: InstanceId, windows: dict[int, TeamCounts]) -> None:
         """Record that a peer has confirmed the totals sent to it."""
         for window, counts in windows.items():
             self._confirmed[peer][window] = sum(counts.values())
--- a/guavagate/duties/_messages.py
+++ b/guavagate/duties/_messages.py
@@ -1,7 +1,7 @@
 """The messages that carry usage counts to the reporter."""
 
 from guavagate.links import Message
-from guavagate.ports.duties import Counts
+from guavagate.ports.duties import TeamCounts
 
 
 class TellUsage(Message, frozen=True, kw_only=True):
@@ -9,7 +9,7 @@
 
     source: str
     wall: float
-    windows: dict[int, Counts] = {}
+    windows: dict[int, TeamCounts] = {}
 
 
 class UsageTaken(Message, frozen=True, kw_only=True):
--- a/guavagate/duties/_publisher.py
+++ b/guavagate/duties/_publisher.py
@@ -12,7 +12,7 @@
 from guavagate.exceptions import LinkError
 from guavagate.links import Bus
 from guavagate.models import InstanceId, TeamId
-from guavagate.ports.duties import Counts
+from guavagate.ports.duties import TeamCounts
 
 _LOGGER: Final = logging.getLogger(__name__)
 
@@ -75,7 +75,7 @@
             if windows or self._clock.now() - sent_at >= CLOCK_INTERVAL_SECONDS:
                 self._clock.spawn(self._send, peer, windows)
 
-    def _send(self, peer: InstanceId, windows: dict[int, Counts]) -> None:
+    def _send(self, peer: InstanceId, windows: dict[int, TeamCounts]) -> None:
         message = TellUsage(
             source=self._source, wall=self._clock.wall(), windows=windows
         )
--- a/guavagate/duties/_reporter.py
+++ b/guavagate/duties/_reporter.py
@@ -20,7 +20,12 @@
 )
 from guavagate.links import Bus, Message, expect
 from guavagate.models import InstanceId
-from guavagate.ports.duties import Counts, DutyAnswer, DutyClient, Holder
+from guavagate.ports.duties import (
+    DutyAnswer,
+    DutyClient,
+    LeaseHolder,
+    TeamCounts,
+)
 from guavagate.ports.store import ObjectStore
 from guavagate.rollouts import Lease, LeaseHeldError, acquire_for_orders
 
@@ -45,7 +50,7 @@
 class _Window(msgspec.Struct):
     """The stored content of a window."""
 
-    counts: Counts
+    counts: TeamCounts
 
 
 class UsageReporter:
@@ -87,7 +92,7 @@
         self._totals = UsageTotals()
         self._next: int | None = None
         self._first_window = 0
-        self._unreported: dict[int, Counts] = {}
+        self._unreported: dict[int, TeamCounts] = {}
         self._attempts: dict[int, int] = {}
         self._task: Task | None = None
         bus.register(TellUsage, self._on_usage)
@@ -184,7 +189,7 @@
             acquire_for_orders(self._lease, self._clock)
         if not self._lease.may_order():
             return
-        holder = Holder(self._me, self._lease.generation)
+        holder = LeaseHolder(self._me, self._lease.generation)
         counts = self._unreported[window]
         answer = self._client.report_usage(holder, window, counts)
         attempts = self._attempts.get(window, 0) + 1
@@ -198,7 +203,7 @@
         if retry and attempts > 1:
             return
         event = events.USAGE_REFUSED
-        if answer is DutyAnswer.TAKEN:
+        if answer is DutyAnswer.ACCEPTED:
             event = events.USAGE_REPORTED
         elif retry:
             event = events.USAGE_DELAYED
@@ -216,5 +221,5 @@
             self._attempts.pop(window)
 
 
-def _decode(value: bytes) -> Counts:
+def _decode(value: bytes) -> TeamCounts:
     return msgspec.json.decode(value, type=_Window).counts
--- a/guavagate/duties/_scaler.py
+++ b/guavagate/duties/_scaler.py
@@ -17,7 +17,12 @@
 from guavagate.exceptions import StoreUnavailableError
 from guavagate.models import InstanceId, ServiceId, ZoneId
 from guavagate.ports.configuration import Scaling
-from guavagate.ports.duties import DutyAnswer, DutyClient, Holder, ScaleOrder
+from guavagate.ports.duties import (
+    DutyAnswer,
+    DutyClient,
+    LeaseHolder,
+    ScaleOrder,
+)
 from guavagate.rollouts import Lease, LeaseHeldError, acquire_for_orders
 from guavagate.routing import RouteTable, UpstreamTable
 
@@ -112,7 +117,7 @@
             # The bursts are still unknown. One that gets too few slots is late,
             # and delays the next steps of its trainer; idle upstreams for half
             # a minute cost less.
-            demand = max(demand, configured.scaling.most * len(fleets))
+            demand = max(demand, configured.scaling.max_upstreams * len(fleets))
         spot_unavailable = [
             zone
             for zone, end in self._spot_unavailable_until.items()
@@ -180,7 +185,7 @@
         elapsed = self._clock.now() - self._ordered_at.get(
             key, self._started_at
         )
-        return elapsed > scaling.boot + OVERDUE_SECONDS
+        return elapsed > scaling.boot_seconds + OVERDUE_SECONDS
 
     def _send_order(self, key: _Key, amount: int) -> None:
         if not self._lease.may_order():
@@ -194,12 +199,12 @@
             spot=kind is CapacityType.SPOT,
             amount=amount,
         )
-        holder = Holder(self._me, self._lease.generation)
+        holder = LeaseHolder(self._me, self._lease.generation)
         answer = self._client.order(holder, order)
         now = self._clock.now()
         self._ordered[key] = amount
         self._ordered_at[key] = now
-        accepted = answer is DutyAnswer.TAKEN
+        accepted = answer is DutyAnswer.ACCEPTED
         if not accepted and kind is CapacityType.SPOT:
             self._spot_unavailable_until[zone] = now + SPOT_UNAVAILABLE_SECONDS
         write(
--- a/guavagate/duties/_targets.py
+++ b/guavagate/duties/_targets.py
@@ -59,7 +59,9 @@
     """
     zones = sorted(baseline, key=lambda each: scaling.zone_prices.get(each, 1))
     regular = {zone: _clamp(scaling, baseline[zone]) for zone in zones}
-    available = {zone: max(scaling.most - regular[zone], 0) for zone in zones}
+    available = {
+        zone: max(scaling.max_upstreams - regular[zone], 0) for zone in zones
+    }
     extra = max(math.ceil(demand * HEADROOM) - sum(regular.values()), 0)
     shares = _spread_over_zones(available, extra)
     targets: Targets = {}
@@ -73,7 +75,7 @@
 
 
 def _clamp(scaling: Scaling, amount: int) -> int:
-    return max(min(amount, scaling.most), scaling.least)
+    return max(min(amount, scaling.max_upstreams), scaling.min_upstreams)
 
 
 def _spread_over_zones(
--- a/guavagate/duties/_totals.py
+++ b/guavagate/duties/_totals.py
@@ -2,7 +2,7 @@
 
 from collections import defaultdict
 
-from guavagate.ports.duties import Counts
+from guavagate.ports.duties import TeamCounts
 
 
 class UsageTotals:
@@ -14,9 +14,11 @@
     """
 
     def __init__(self) -> None:
-        self._windows: defaultdict[int, dict[str, Counts]] = defaultdict(dict)
+        self._windows: defaultdict[int, dict[str, TeamCounts]] = defaultdict(
+            dict
+        )
 
-    def update(self, source: str, windows: dict[int, Counts]) -> None:
+    def update(self, source: str, windows: dict[int, TeamCounts]) -> None:
         """Record the totals of a process."""
         for window, counts in windows.items():
             known = self._windows[window].get(source, {})
@@ -27,9 +29,9 @@
         """Return whether any process reported totals for a window."""
         return window in self._windows
 
-    def sum_window(self, window: int) -> Counts:
+    def sum_window(self, window: int) -> TeamCounts:
         """Return the counts of a window by team, over all processes."""
-        sums: Counts = {}
+        sums: TeamCounts = {}
         for counts in self._windows.get(window, {}).values():
             for team, amount in counts.items():
                 sums[team] = sums.get(team, 0) + amount
--- a/guavagate/forwarding/_attempt.py
+++ b/guavagate/forwarding/_attempt.py
@@ -126,7 +126,7 @@
         marks = self._dialect.read(call, answer)
         if marks.busy is not None:
             self._upstreams.record_report(upstream.id, marks.busy)
-        if marks.crossed:
+        if marks.mismatched:
             answer.close()
             raise UpstreamError(
                 f'{upstream.id} sent the answer to another request',
--- a/guavagate/forwarding/_rewards.py
+++ b/guavagate/forwarding/_rewards.py
@@ -33,7 +33,7 @@
         self._clock = clock
         self._upstreams = upstreams
 
-    def count_room(self, service: ServiceId) -> int:
+    def count_available(self, service: ServiceId) -> int:
         """Return how many more requests a service's upstreams may get."""
         return sum(
             max(self._measure_room(each), 0)
@@ -101,12 +101,12 @@
             return None
         return RewardRoute(
             service=pick_service(route, reward.id),
-            most_failures=route.max_attempts,
+            max_failures=route.max_attempts,
         )
 
-    def count_room(self, service: ServiceId) -> int:
+    def count_available(self, service: ServiceId) -> int:
         """Return how many more requests the service's upstreams may get."""
-        return self._background.count_room(service)
+        return self._background.count_available(service)
 
     def send(self, reward: RewardRequest) -> RewardOutcome:
         """Send a request and wait for its end; cut when its task is killed."""
@@ -152,7 +152,7 @@
                 reason=f'{attempt.upstream.id} answered {attempt.status}',
             )
         return RewardOutcome(
-            kind=RewardKind.GIVEN,
+            kind=RewardKind.SUCCEEDED,
             signature=signature,
             failures=outcome.failed_answers,
         )
--- a/guavagate/jobs/_rewards.py
+++ b/guavagate/jobs/_rewards.py
@@ -88,7 +88,7 @@
             service = route.service
             capacity = capacities.get(service)
             if capacity is None:
-                capacity = self._client.count_room(service)
+                capacity = self._client.count_available(service)
             capacities[service] = capacity - 1
             if capacity > 0:
                 progress.reward_task = self._clock.spawn(
@@ -112,7 +112,7 @@
             names.REWARD_SECONDS, seconds, outcome=outcome.kind.value
         )
         progress.reward_failures += outcome.failures
-        if outcome.kind is RewardKind.GIVEN:
+        if outcome.kind is RewardKind.SUCCEEDED:
             self._finish_rated(work, progress, outcome, seconds)
         else:
             self._handle_failure(work, progress, route, outcome, seconds)
@@ -154,7 +154,7 @@
         progress.reward_retry_at = self._clock.now() + min(
             backoff, MAX_RETRY_SECONDS
         )
-        max_failures = max(work.job.max_attempts, route.most_failures)
+        max_failures = max(work.job.max_attempts, route.max_failures)
         gives_up = progress.reward_failures >= max_failures
         write(
             _LOGGER,
--- a/guavagate/ledger/__init__.py
+++ b/guavagate/ledger/__init__.py
@@ -1,7 +1,7 @@
 """The request ledger: a keyed request runs at most once, over all entries."""
 
 from guavagate.ledger._keys import digest_body
-from guavagate.ledger._ledger import Ledger, OnceRequest
+from guavagate.ledger._ledger import KeyedRequest, Ledger
 from guavagate.ledger._messages import Answer, BeginState, LedgerLimits
 from guavagate.ledger._state import (
     LedgerSafeguards,
@@ -16,7 +16,7 @@
     'LedgerLimits',
     'LedgerSafeguards',
     'LedgerState',
-    'OnceRequest',
+    'KeyedRequest',
     'digest_body',
     'make_ledger_states',
 )
--- a/guavagate/ledger/_ledger.py
+++ b/guavagate/ledger/_ledger.py
@@ -40,7 +40,7 @@
 _JOIN_PAUSE: Final = 0.2
 
 
-class OnceRequest(msgspec.Struct, frozen=True, kw_only=True):
+class KeyedRequest(msgspec.Struct, frozen=True, kw_only=True):
     """A request that carries an idempotency key.
 
     Parameters
@@ -94,7 +94,7 @@
 
     def run_once(
         self,
-        request: OnceRequest,
+        request: KeyedRequest,
         run: Callable[[], Answer],
         timeout: float,
     ) -> Answer:
@@ -127,7 +127,7 @@
             self._join(request, outcome, end)
 
     def _begin(
-        self, request: OnceRequest, end: float
+        self, request: KeyedRequest, end: float
     ) -> tuple[BeginOutcome, str]:
         """Ask to run under a new attempt."""
         attempt = self._make_id()
@@ -155,7 +155,7 @@
 
     def _run(
         self,
-        request: OnceRequest,
+        request: KeyedRequest,
         attempt: str,
         run: Callable[[], Answer],
     ) -> Answer:
@@ -186,7 +186,7 @@
 
     def _end(
         self,
-        request: OnceRequest,
+        request: KeyedRequest,
         attempt: str,
         kind: type[Abort] | type[Expire],
         wait: float,
@@ -198,7 +198,7 @@
         self._wait(self._settle(request, command, attempt), wait)
 
     def _settle(
-        self, request: OnceRequest, command: Command, attempt: str = ''
+        self, request: KeyedRequest, command: Command, attempt: str = ''
     ) -> Event:
         """Have a command recorded, however long that takes."""
         done = Event()
@@ -227,7 +227,7 @@
         self._forget(attempt)
 
     def _join(
-        self, request: OnceRequest, outcome: BeginOutcome, end: float
+        self, request: KeyedRequest, outcome: BeginOutcome, end: float
     ) -> None:
         """Wait for the end of the run under way, or find that it has none."""
         wait = min(end - self._clock.now(), _JOIN_WAIT)
--- a/guavagate/measure/outcomes/_costs.py
+++ b/guavagate/measure/outcomes/_costs.py
@@ -8,8 +8,8 @@
 
 from guavagate.ledger import (
     Answer,
+    KeyedRequest,
     Ledger,
-    OnceRequest,
     make_ledger_states,
 )
 from guavagate.measure.outcomes._counts import Add, Counters, Total
@@ -58,7 +58,7 @@
     cpu = time.process_time()
     for number in range(_REQUESTS):
         start = fleet.clock.now()
-        request = OnceRequest(
+        request = KeyedRequest(
             team=TeamId('team'),
             caller=CallerId('caller'),
             key=f'key-{number}',
--- a/guavagate/measure/outcomes/_fleet.py
+++ b/guavagate/measure/outcomes/_fleet.py
@@ -71,7 +71,9 @@
     def primaries(self) -> list[str]:
         """Return the running instances that decide something."""
         return [
-            name for name in self.running() if self.partitions[name].holdings()
+            name
+            for name in self.running()
+            if self.partitions[name].list_owned()
         ]
 
     def _start(self, name: str) -> None:
--- a/guavagate/measure/outcomes/_requests.py
+++ b/guavagate/measure/outcomes/_requests.py
@@ -11,10 +11,10 @@
 from guavagate.exceptions import GuavagateError, RefusalError, UpstreamError
 from guavagate.ledger import (
     Answer,
+    KeyedRequest,
     Ledger,
     LedgerLimits,
     LedgerSafeguards,
-    OnceRequest,
     make_ledger_states,
 )
 from guavagate.measure import history as hist
@@ -183,7 +183,7 @@
     ) -> None:
         """Handle a request at an instance, as its HTTP edge does."""
         host = self._fleet.host(entry)
-        once = OnceRequest(
+        once = KeyedRequest(
             team=TeamId('team'),
             caller=CallerId(caller),
             key=key,
--- a/guavagate/operations.py
+++ b/guavagate/operations.py
@@ -9,7 +9,7 @@
     add_metrics_route,
     add_routes,
 )
-from guavagate.reports import ListHoldings, LiveReports, refresh_process
+from guavagate.reports import ListPartitions, LiveReports, refresh_process
 from guavagate.runs import HostedStates
 from guavagate.runtime import Runtime
 from guavagate.settings import TeamsInForce
@@ -25,11 +25,11 @@
         teams: TeamsInForce,
         recent: RecentDecisions,
         hosted: HostedStates,
-        holdings: ListHoldings,
+        list_owned: ListPartitions,
     ) -> None:
         self._runtime = runtime
         self._teams = teams
-        self._reports = LiveReports(runtime, instance, hosted, holdings)
+        self._reports = LiveReports(runtime, instance, hosted, list_owned)
         self._series = SeriesKeeper(runtime.clock, runtime.metrics)
         explainer = Explainer(
             runtime.settings.id, runtime.bus, runtime.members, recent
--- a/guavagate/partitions/_hosting.py
+++ b/guavagate/partitions/_hosting.py
@@ -18,10 +18,10 @@
 from guavagate.links import Bus, Message
 from guavagate.models import InstanceId, PartitionId
 from guavagate.partitions import _messages as msg
-from guavagate.partitions._keeping import RecordKeeping, SupersededError
-from guavagate.partitions._machine import Machine, States
 from guavagate.partitions._primary import Primary
+from guavagate.partitions._record_writer import RecordWriter, SupersededError
 from guavagate.partitions._safeguards import Safeguards
+from guavagate.partitions._state_machine import StateMachine, States
 from guavagate.ports.store import ObjectStore
 from guavagate.settings import PeerSettings
 from guavagate.util.rendezvous import weigh
@@ -102,7 +102,7 @@
         self._count = count
         self._leaving: dict[InstanceId, float] = {}
         self._owners: dict[PartitionId, InstanceId] = {}
-        self._left: dict[PartitionId, Machine] = {}
+        self._left: dict[PartitionId, StateMachine] = {}
         self._taking: set[PartitionId] = set()
         self._not_before: dict[PartitionId, float] = {}
         self._losses: dict[PartitionId, _Losses] = {}
@@ -220,8 +220,8 @@
         around = self.around
         machine = self._left.pop(partition, None)
         if machine is None:
-            machine = Machine(self._make_states(partition))
-        keeping = RecordKeeping(
+            machine = StateMachine(self._make_states(partition))
+        keeping = RecordWriter(
             around.store,
             around.clock,
             partition,
--- a/guavagate/partitions/_primary.py
+++ b/guavagate/partitions/_primary.py
@@ -19,10 +19,10 @@
 from guavagate.exceptions import StoreError
 from guavagate.helpers.waits import wait_for
 from guavagate.models import Epoch, InstanceId
-from guavagate.partitions._keeping import RecordKeeping, SupersededError
-from guavagate.partitions._machine import Applied, Machine
 from guavagate.partitions._messages import Entry, SubmitReply, Verdict
+from guavagate.partitions._record_writer import RecordWriter, SupersededError
 from guavagate.partitions._safeguards import Safeguards
+from guavagate.partitions._state_machine import Applied, StateMachine
 
 _LOGGER: Final = logging.getLogger(__name__)
 
@@ -70,8 +70,8 @@
     def __init__(
         self,
         clock: Clock,
-        keeping: RecordKeeping,
-        machine: Machine,
+        keeping: RecordWriter,
+        machine: StateMachine,
         safeguards: Safeguards,
         lost: Callable[[], None],
     ) -> None:
--- a/guavagate/partitions/_keeping.py
+++ b/guavagate/partitions/_record_writer.py
@@ -10,7 +10,6 @@
 from guavagate.exceptions import StoreConflictError, StoreUnavailableError
 from guavagate.models import Epoch, InstanceId, PartitionId, Revision
 from guavagate.partitions._blobs import Blob, BlobGoneError, Blobs
-from guavagate.partitions._machine import Machine
 from guavagate.partitions._messages import Entry
 from guavagate.partitions._record import (
     Record,
@@ -19,6 +18,7 @@
     path_of,
 )
 from guavagate.partitions._safeguards import Safeguards
+from guavagate.partitions._state_machine import StateMachine
 from guavagate.ports.store import ObjectStore, StoredObject
 
 _LOGGER: Final = logging.getLogger(__name__)
@@ -46,7 +46,7 @@
         self.unsure = unsure
 
 
-class RecordKeeping:
+class RecordWriter:
     """Reads a partition's record and replaces it.
 
     Parameters
@@ -74,7 +74,7 @@
         self._revision = _ABSENT
         self.record = Record()
 
-    def take_over(self, machine: Machine) -> None:
+    def take_over(self, machine: StateMachine) -> None:
         """Read all that is there into a machine and become the holder.
 
         Raises
@@ -100,7 +100,7 @@
         # Only the holder names blobs, and that is this instance now.
         self._clock.spawn(self._blobs.keep_only, taken.list_blobs())
 
-    def add(self, entries: Sequence[Entry], machine: Machine) -> None:
+    def add(self, entries: Sequence[Entry], machine: StateMachine) -> None:
         """Add entries that the machine has applied already.
 
         Returns when the store holds them. Raises `SupersededError`.
@@ -180,7 +180,7 @@
                     return found
             self._clock.sleep(RETRY_SECONDS)
 
-    def _read_into(self, machine: Machine) -> None:
+    def _read_into(self, machine: StateMachine) -> None:
         """Bring a machine to where the record is."""
         record = self.record
         try:
--- a/guavagate/partitions/_state.py
+++ b/guavagate/partitions/_state.py
@@ -45,7 +45,7 @@
 
 
 @runtime_checkable
-class Previews(Protocol):
+class SupportsPreview(Protocol):
     """A state some of whose commands need no entry in the record."""
 
     def preview(self, command: Command) -> Outcome | None:
--- a/guavagate/partitions/_machine.py
+++ b/guavagate/partitions/_state_machine.py
@@ -10,7 +10,7 @@
 
 from guavagate.exceptions import StoreError
 from guavagate.partitions._messages import Entry
-from guavagate.partitions._state import Command, PartitionState, Previews
+from guavagate.partitions._state import Command, PartitionState, SupportsPreview
 
 _RESULTS: Final = 4096
 _RESULT_BYTES: Final = 4_000_000
@@ -34,7 +34,7 @@
     horizon: float
 
 
-class Machine:
+class StateMachine:
     """Applies entries in order."""
 
     def __init__(self, states: States) -> None:
@@ -64,7 +64,7 @@
         """Return the outcome of an entry that the record need not hold."""
         kind = self._kinds[entry.kind]
         state = self._states[kind]
-        if not isinstance(state, Previews):
+        if not isinstance(state, SupportsPreview):
             return None
         command = msgspec.msgpack.decode(entry.payload, type=kind)
         outcome = state.preview(command)
--- a/guavagate/partitions/_stored.py
+++ b/guavagate/partitions/_stored.py
@@ -38,7 +38,7 @@
 )
 
 
-class Holding(msgspec.Struct, frozen=True):
+class OwnedPartition(msgspec.Struct, frozen=True):
     """A partition that an instance decides, for operators."""
 
     partition: PartitionId
@@ -135,15 +135,15 @@
         raw = _conclude(reply, unsure)
         return msgspec.msgpack.decode(raw, type=outcome)
 
-    def holdings(self) -> list[Holding]:
+    def list_owned(self) -> list[OwnedPartition]:
         """Return the partitions whose primary this instance is."""
         return [
-            Holding(partition, primary.epoch)
+            OwnedPartition(partition, primary.epoch)
             for partition, primary in sorted(self._hosting.primaries.items())
             if not primary.closed
         ]
 
-    def states_of(
+    def list_states(
         self, command: type[Command]
     ) -> list[tuple[Epoch, PartitionState]]:
         """Return the states that take a command, where this is the primary.
--- a/guavagate/partitions/stored.py
+++ b/guavagate/partitions/stored.py
@@ -2,10 +2,10 @@
 
 from guavagate.partitions._record import find_partition
 from guavagate.partitions._safeguards import Safeguards
-from guavagate.partitions._stored import Holding, StoredPartitions
+from guavagate.partitions._stored import OwnedPartition, StoredPartitions
 
 __all__ = (
-    'Holding',
+    'OwnedPartition',
     'Safeguards',
     'StoredPartitions',
     'find_partition',
--- a/guavagate/platform/_dialect.py
+++ b/guavagate/platform/_dialect.py
@@ -71,7 +71,7 @@
     refused = bool(answer.find(const.NOT_RUN)) or answer.status == _MISDIRECTED
     return AnswerMarks(
         not_run=refused,
-        crossed=bool(echoed) and echoed != request_id,
+        mismatched=bool(echoed) and echoed != request_id,
         busy=_read_busy(answer.find(const.LOAD)),
     )
 
--- a/guavagate/platform/_duties.py
+++ b/guavagate/platform/_duties.py
@@ -8,14 +8,19 @@
 from guavagate.exceptions import UpstreamError, UpstreamNotStartedError
 from guavagate.http1 import ConnectionPool, Request
 from guavagate.platform import const
-from guavagate.ports.duties import Counts, DutyAnswer, Holder, ScaleOrder
+from guavagate.ports.duties import (
+    DutyAnswer,
+    LeaseHolder,
+    ScaleOrder,
+    TeamCounts,
+)
 
 _LOGGER: Final = logging.getLogger(__name__)
 CALL_SECONDS: Final = 1.5
 _ANSWERS: Final = {
-    200: DutyAnswer.TAKEN,
-    202: DutyAnswer.TAKEN,
-    409: DutyAnswer.NOT_NOW,
+    200: DutyAnswer.ACCEPTED,
+    202: DutyAnswer.ACCEPTED,
+    409: DutyAnswer.UNAVAILABLE,
     429: DutyAnswer.UNKNOWN,
 }
 _CLIENT_ERRORS: Final = range(400, 500)
@@ -29,13 +34,13 @@
         self._pool = pool
 
     def report_usage(
-        self, holder: Holder, window: int, counts: Counts
+        self, holder: LeaseHolder, window: int, counts: TeamCounts
     ) -> DutyAnswer:
         """Report the requests of each team that began in a window."""
         body = {'window-id': window, 'counts': counts}
         return self._call(holder, '/usage', body)
 
-    def order(self, holder: Holder, order: ScaleOrder) -> DutyAnswer:
+    def order(self, holder: LeaseHolder, order: ScaleOrder) -> DutyAnswer:
         """Order samplers."""
         body = {
             'service': order.service,
@@ -48,7 +53,7 @@
         return self._call(holder, '/scale', body)
 
     def _call(
-        self, holder: Holder, path: str, body: dict[str, Any]
+        self, holder: LeaseHolder, path: str, body: dict[str, Any]
     ) -> DutyAnswer:
         headers = [
             (b'Host', self._address.encode()),
--- a/guavagate/platform/_manifest.py
+++ b/guavagate/platform/_manifest.py
@@ -159,9 +159,9 @@
     assert service.scaling is not None
     wire = service.scaling
     return Scaling(
-        least=wire.min,
-        most=wire.max,
-        boot=wire.boot_s,
+        min_upstreams=wire.min,
+        max_upstreams=wire.max,
+        boot_seconds=wire.boot_s,
         spot_price=wire.spot_price,
         zone_prices={ZoneId(zone): p for zone, p in wire.zone_prices.items()},
     )
--- a/guavagate/platform/_samplers.py
+++ b/guavagate/platform/_samplers.py
@@ -127,7 +127,7 @@
 def _check(item: str, upstream: Upstream, answer: Answer) -> None:
     """Raise what an answer means that is no stream of this item."""
     marks = read_marks(item, answer)
-    if marks.crossed:
+    if marks.mismatched:
         answer.close()
         raise _broken(f'{upstream.id} sent the answer to another request')
     if answer.status == _OK:
--- a/guavagate/ports/configuration.py
+++ b/guavagate/ports/configuration.py
@@ -69,9 +69,9 @@
         What a second of an upstream costs by zone.
     """
 
-    least: int = 0
-    most: int = 0
-    boot: float = 0
+    min_upstreams: int = 0
+    max_upstreams: int = 0
+    boot_seconds: float = 0
     spot_price: float = 1
     zone_prices: dict[ZoneId, float] = {}
 
--- a/guavagate/ports/dialect.py
+++ b/guavagate/ports/dialect.py
@@ -29,11 +29,11 @@
     """What an answer says besides its content.
 
     `not_run`: the upstream has certainly not run the request.
-    `crossed`: the answer belongs to another request.
+    `mismatched`: the answer belongs to another request.
     """
 
     not_run: bool = False
-    crossed: bool = False
+    mismatched: bool = False
     busy: int | None = None
 
 
--- a/guavagate/ports/duties.py
+++ b/guavagate/ports/duties.py
@@ -7,10 +7,10 @@
 
 from guavagate.models import InstanceId, ServiceId, TeamId, ZoneId
 
-Counts = dict[TeamId, int]
+TeamCounts = dict[TeamId, int]
 
 
-class Holder(msgspec.Struct, frozen=True):
+class LeaseHolder(msgspec.Struct, frozen=True):
     """Who makes a call, and under which generation of its lease."""
 
     instance: InstanceId
@@ -20,8 +20,8 @@
 class DutyAnswer(enum.Enum):
     """What the platform made of a call."""
 
-    TAKEN = 'taken'
-    NOT_NOW = 'not now'
+    ACCEPTED = 'taken'
+    UNAVAILABLE = 'not now'
     REFUSED = 'refused'
     UNKNOWN = 'unknown'
 
@@ -39,9 +39,9 @@
     """Makes the calls; none of them raises."""
 
     def report_usage(
-        self, holder: Holder, window: int, counts: Counts
+        self, holder: LeaseHolder, window: int, counts: TeamCounts
     ) -> DutyAnswer:
         """Report the requests of each team that began in a window."""
 
-    def order(self, holder: Holder, order: ScaleOrder) -> DutyAnswer:
+    def order(self, holder: LeaseHolder, order: ScaleOrder) -> DutyAnswer:
         """Order upstreams; `NOT_NOW` says that none are to be had."""
--- a/guavagate/ports/rewards.py
+++ b/guavagate/ports/rewards.py
@@ -20,7 +20,7 @@
 class RewardKind(enum.Enum):
     """How a reward request ended."""
 
-    GIVEN = 'given'
+    SUCCEEDED = 'given'
     FAILED = 'failed'
     NO_ROUTE = 'no route'
 
@@ -37,11 +37,11 @@
 class RewardRoute(msgspec.Struct, frozen=True, kw_only=True):
     """Where a reward request goes by the configuration in force.
 
-    `most_failures` is how many answers of 500 the route allows.
+    `max_failures` is how many answers of 500 the route allows.
     """
 
     service: ServiceId
-    most_failures: int
+    max_failures: int
 
 
 class RewardClient(Protocol):
@@ -50,7 +50,7 @@
     def find_route(self, reward: RewardRequest) -> RewardRoute | None:
         """Return where a request would go now, or nothing."""
 
-    def count_room(self, service: ServiceId) -> int:
+    def count_available(self, service: ServiceId) -> int:
         """Return how many more requests the service's upstreams may get."""
 
     def send(self, reward: RewardRequest) -> RewardOutcome:
--- a/guavagate/reports.py
+++ b/guavagate/reports.py
@@ -23,7 +23,7 @@
     RunReport,
     SamplerReport,
 )
-from guavagate.partitions.stored import Holding
+from guavagate.partitions.stored import OwnedPartition
 from guavagate.permits import OwnedPool
 from guavagate.runs import HostedStates, Run
 from guavagate.runtime import Runtime
@@ -32,7 +32,7 @@
 _NOT_READY: Final = 'not ready'
 _DRAINING: Final = 'draining'
 
-ListHoldings = Callable[[], Iterable[Holding]]
+ListPartitions = Callable[[], Iterable[OwnedPartition]]
 
 
 class LiveReports:
@@ -43,12 +43,12 @@
         runtime: Runtime,
         instance: Instance,
         hosted: HostedStates,
-        holdings: ListHoldings,
+        list_owned: ListPartitions,
     ) -> None:
         self._runtime = runtime
         self._instance = instance
         self._hosted = hosted
-        self._holdings = holdings
+        self._list_owned = list_owned
         self._me = runtime.settings.id
         self._draining = False
 
@@ -104,7 +104,7 @@
         metrics.set_gauge(
             names.MEMBERS, float(len(self._runtime.members.alive()))
         )
-        led = len(list(self._holdings()))
+        led = len(list(self._list_owned()))
         metrics.set_gauge(names.PARTITIONS_LED, float(led))
         metrics.clear(names.QUEUED)
         metrics.clear(names.RUNNING)
@@ -119,7 +119,7 @@
         return _READY if ready else _NOT_READY
 
     def _list_partitions(self) -> Iterator[PartitionReport]:
-        for held in self._holdings():
+        for held in self._list_owned():
             yield PartitionReport(
                 partition=held.partition,
                 role='primary',
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -241,7 +241,7 @@
     Safeguard(
         'an answer is matched by its id',
         'guavagate/forwarding/_attempt.py',
-        'if marks.crossed:',
+        'if marks.mismatched:',
         'if False:',
         'tests/forwarding',
     ),
--- a/tests/duties/test_reporter.py
+++ b/tests/duties/test_reporter.py
@@ -12,7 +12,12 @@
 )
 from guavagate.measure.fakes import World
 from guavagate.models import InstanceId, TeamId
-from guavagate.ports.duties import Counts, DutyAnswer, Holder, ScaleOrder
+from guavagate.ports.duties import (
+    DutyAnswer,
+    LeaseHolder,
+    ScaleOrder,
+    TeamCounts,
+)
 from guavagate.rollouts import Lease, Renewals
 
 _BLUE = TeamId('blue')
@@ -25,22 +30,22 @@
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self.reports: list[tuple[float, Holder, int, Counts]] = []
+        self.reports: list[tuple[float, LeaseHolder, int, TeamCounts]] = []
         self.answers: list[DutyAnswer] = []
 
     def report_usage(
-        self, holder: Holder, window: int, counts: Counts
+        self, holder: LeaseHolder, window: int, counts: TeamCounts
     ) -> DutyAnswer:
         """Record a report and return the next configured answer."""
         now = self._world.clock.now()
         self.reports.append((now, holder, window, dict(counts)))
-        return self.answers.pop(0) if self.answers else DutyAnswer.TAKEN
+        return self.answers.pop(0) if self.answers else DutyAnswer.ACCEPTED
 
-    def order(self, holder: Holder, order: ScaleOrder) -> DutyAnswer:
+    def order(self, holder: LeaseHolder, order: ScaleOrder) -> DutyAnswer:
         """Accept no orders."""
         raise NotImplementedError
 
-    def list_contents(self, window: int) -> list[Counts]:
+    def list_contents(self, window: int) -> list[TeamCounts]:
         """Return the reported contents of a window."""
         return [
             counts for _, _, number, counts in self.reports if number == window
--- a/tests/duties/test_scaler.py
+++ b/tests/duties/test_scaler.py
@@ -4,7 +4,12 @@
 from guavagate.measure.fakes import MemoryStore, World
 from guavagate.models import InstanceId, ServiceId, UpstreamId, ZoneId
 from guavagate.ports.configuration import Configuration, Scaling, Service
-from guavagate.ports.duties import Counts, DutyAnswer, Holder, ScaleOrder
+from guavagate.ports.duties import (
+    DutyAnswer,
+    LeaseHolder,
+    ScaleOrder,
+    TeamCounts,
+)
 from guavagate.ports.upstreams import Upstream
 from guavagate.rollouts import Lease, Renewals, lease_path
 from guavagate.routing import RouteTable, UpstreamTable
@@ -26,21 +31,21 @@
         self._number = 0
 
     def report_usage(
-        self, holder: Holder, window: int, counts: Counts
+        self, holder: LeaseHolder, window: int, counts: TeamCounts
     ) -> DutyAnswer:
         """Accept no reports."""
         raise NotImplementedError
 
-    def order(self, holder: Holder, order: ScaleOrder) -> DutyAnswer:
+    def order(self, holder: LeaseHolder, order: ScaleOrder) -> DutyAnswer:
         """Execute or refuse an order."""
         self.orders.append(order)
         if self.unresponsive:
             return DutyAnswer.UNKNOWN
         if order.spot and order.amount and order.zone in self.spot_unavailable:
-            return DutyAnswer.NOT_NOW
+            return DutyAnswer.UNAVAILABLE
         clock = self._setup.clock
         clock.call_at(clock.now() + _BOOT, lambda: self._execute(order))
-        return DutyAnswer.TAKEN
+        return DutyAnswer.ACCEPTED
 
     def _execute(self, order: ScaleOrder) -> None:
         current = self._setup.list_kind(order.zone, spot=order.spot)
@@ -63,9 +68,9 @@
         self.routes = RouteTable()
         self.put_scaling(
             Scaling(
-                least=1,
-                most=16,
-                boot=_BOOT,
+                min_upstreams=1,
+                max_upstreams=16,
+                boot_seconds=_BOOT,
                 spot_price=0.2,
                 zone_prices=dict.fromkeys(_ZONES, 1.0),
             )
--- a/tests/duties/test_targets.py
+++ b/tests/duties/test_targets.py
@@ -6,7 +6,11 @@
 
 _A, _B, _C = ZoneId('a'), ZoneId('b'), ZoneId('c')
 _SCALING = Scaling(
-    least=1, most=16, boot=4, spot_price=0.2, zone_prices={_A: 1.0, _B: 0.8}
+    min_upstreams=1,
+    max_upstreams=16,
+    boot_seconds=4,
+    spot_price=0.2,
+    zone_prices={_A: 1.0, _B: 0.8},
 )
 _BASE = {_A: 8, _B: 8, _C: 8}
 
@@ -66,7 +70,7 @@
 
 def test_the_baseline_is_clamped_to_the_limits() -> None:
     """The configured limits are narrower than the existing number."""
-    narrow = Scaling(least=2, most=6)
+    narrow = Scaling(min_upstreams=2, max_upstreams=6)
     targets = choose_targets(narrow, {_A: 8, _B: 0}, 100)
     assert targets[_A, CapacityType.REGULAR] == 6
     assert targets[_B, CapacityType.REGULAR] >= 2
--- a/tests/duties/test_usage.py
+++ b/tests/duties/test_usage.py
@@ -4,7 +4,12 @@
 from guavagate.jobs import Ownership
 from guavagate.measure.fakes import World
 from guavagate.models import InstanceId, TeamId
-from guavagate.ports.duties import Counts, DutyAnswer, Holder, ScaleOrder
+from guavagate.ports.duties import (
+    DutyAnswer,
+    LeaseHolder,
+    ScaleOrder,
+    TeamCounts,
+)
 from guavagate.rollouts import Renewals
 
 _BLUE = TeamId('blue')
@@ -15,16 +20,16 @@
     """Accepts all reports."""
 
     def __init__(self) -> None:
-        self.windows: dict[int, Counts] = {}
+        self.windows: dict[int, TeamCounts] = {}
 
     def report_usage(
-        self, holder: Holder, window: int, counts: Counts
+        self, holder: LeaseHolder, window: int, counts: TeamCounts
     ) -> DutyAnswer:
         """Record a report."""
         self.windows[window] = counts
-        return DutyAnswer.TAKEN
+        return DutyAnswer.ACCEPTED
 
-    def order(self, holder: Holder, order: ScaleOrder) -> DutyAnswer:
+    def order(self, holder: LeaseHolder, order: ScaleOrder) -> DutyAnswer:
         """Accept no orders."""
         raise NotImplementedError
 
--- a/tests/forwarding/test_rewards.py
+++ b/tests/forwarding/test_rewards.py
@@ -104,7 +104,7 @@
     """Its own id, a deadline, the target's id; path and body byte for byte."""
     setting.add('a', _GOOD)
     outcome = setting.send()
-    assert (outcome.kind, outcome.signature) == (RewardKind.GIVEN, 's-1')
+    assert (outcome.kind, outcome.signature) == (RewardKind.SUCCEEDED, 's-1')
     head, _, body = setting.requests[0].partition(b'\r\n\r\n')
     assert body == _REWARD.body
     lines = head.split(b'\r\n')
@@ -149,7 +149,7 @@
     setting.add('b', b'silence', zone='y')
     setting.add('c', _GOOD, zone='y')
     outcome = setting.send()
-    assert outcome.kind is RewardKind.GIVEN
+    assert outcome.kind is RewardKind.SUCCEEDED
     assert outcome.failures == 1
 
 
@@ -178,10 +178,10 @@
     setting.add('a', _GOOD)
     setting.add('b', _GOOD, zone='y')
     service = ServiceId('s')
-    assert setting.client.count_room(service) == 6
+    assert setting.client.count_available(service) == 6
     setting.upstreams.load(UpstreamId('a')).in_flight = 3
     for _ in range(2):
         setting.upstreams.record_failure(UpstreamId('b'))
-    assert setting.client.count_room(service) == 0
+    assert setting.client.count_available(service) == 0
     assert setting.send().kind is RewardKind.FAILED
     assert not setting.requests
--- a/tests/forwarding/test_stream.py
+++ b/tests/forwarding/test_stream.py
@@ -68,7 +68,7 @@
         """Return whether the upstream ran it, and whose answer it is."""
         return AnswerMarks(
             not_run=bool(answer.find(b'not-run')),
-            crossed=answer.find(b'answers') not in {'', call.id},
+            mismatched=answer.find(b'answers') not in {'', call.id},
         )
 
 
--- a/tests/jobs/rewards.py
+++ b/tests/jobs/rewards.py
@@ -32,7 +32,7 @@
         self.clock = clock
         self.capacity = capacity
         self.seconds = 0.2
-        self.most_failures = 3
+        self.max_failures = 3
         self.has_route = True
         self.in_flight = 0
         self.sent: list[tuple[float, str]] = []
@@ -44,9 +44,9 @@
         """Return the route, or None without one."""
         if not self.has_route:
             return None
-        return RewardRoute(service=RATING, most_failures=self.most_failures)
+        return RewardRoute(service=RATING, max_failures=self.max_failures)
 
-    def count_room(self, service: ServiceId) -> int:
+    def count_available(self, service: ServiceId) -> int:
         """Return the free capacity."""
         return self.capacity - self.in_flight
 
@@ -68,5 +68,5 @@
             self.lost[reward.id] -= 1
             return RewardOutcome(kind=RewardKind.FAILED, reason='lost')
         return RewardOutcome(
-            kind=RewardKind.GIVEN, signature=f'signature of {reward.id}'
+            kind=RewardKind.SUCCEEDED, signature=f'signature of {reward.id}'
         )
--- a/tests/jobs/test_rewards.py
+++ b/tests/jobs/test_rewards.py
@@ -94,7 +94,7 @@
     its group incomplete forever.
     """
     rewards = _owner(fleet).rewards
-    rewards.most_failures = 4
+    rewards.max_failures = 4
     rewards.failures['reward-0-0'] = 99
     fleet.submit(make_job(rated=True), 'a')
     fleet.clock.advance(_COMPLETION_SECONDS)
--- a/tests/partitions/test_keeping.py
+++ b/tests/partitions/test_record_writer.py
@@ -12,12 +12,12 @@
 from guavagate.measure.fakes import MemoryStore, StoreState
 from guavagate.measure.outcomes import Add, Counters
 from guavagate.models import InstanceId, PartitionId
-from guavagate.partitions import _keeping as keeping
+from guavagate.partitions import _record_writer as keeping
 from guavagate.partitions._blobs import PART_BYTES
-from guavagate.partitions._keeping import RecordKeeping, SupersededError
-from guavagate.partitions._machine import Machine
 from guavagate.partitions._messages import Entry
+from guavagate.partitions._record_writer import RecordWriter, SupersededError
 from guavagate.partitions._safeguards import Safeguards
+from guavagate.partitions._state_machine import StateMachine
 
 
 class Bench:
@@ -36,9 +36,9 @@
         self.clock.advance(1)
         return task.get(block=False)
 
-    def take(self, name: str = 'a') -> tuple[RecordKeeping, Machine]:
+    def take(self, name: str = 'a') -> tuple[RecordWriter, StateMachine]:
         """Take the partition over as an instance."""
-        held = RecordKeeping(
+        held = RecordWriter(
             self.store,
             self.clock,
             PartitionId(7),
@@ -46,11 +46,13 @@
             lambda: f'id-{next(self._ids)}',
             Safeguards(),
         )
-        machine = Machine({Add: Counters()})
+        machine = StateMachine({Add: Counters()})
         self.run(held.take_over, machine)
         return held, machine
 
-    def add(self, held: RecordKeeping, machine: Machine, size: int = 0) -> None:
+    def add(
+        self, held: RecordWriter, machine: StateMachine, size: int = 0
+    ) -> None:
         """Add one entry whose payload has about so many bytes."""
         filler = 'x' * size
         command = Add(at=0, key=f'{next(self._ids)}{filler}')
--- a/tests/partitions/test_stored.py
+++ b/tests/partitions/test_stored.py
@@ -254,7 +254,7 @@
     primary = fleet.primary()
     other = next(name for name in 'abc' if name != primary)
     partitions = fleet.partitions[primary]
-    epoch = partitions.holdings()[0].epoch
+    epoch = partitions.list_owned()[0].epoch
     fleet.world.pause(primary)
     fleet.clock.advance(6)
     assert fleet.total(other, timeout=8) == 0
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -8,7 +8,7 @@
 
 from guavagate.metrics import Metrics
 from guavagate.models import Epoch, PartitionId, UpstreamState
-from guavagate.partitions.stored import Holding
+from guavagate.partitions.stored import OwnedPartition
 from guavagate.reports import LiveReports, refresh_process
 from tests.test_instance import Path
 
@@ -24,7 +24,9 @@
 
 
 def _reports(path: Path) -> LiveReports:
-    held = [Holding(PartitionId(number), Epoch(2)) for number in range(2)]
+    held = [
+        OwnedPartition(PartitionId(number), Epoch(2)) for number in range(2)
+    ]
     instance = path.instance
     hosted = instance.driver._hosted
     return LiveReports(instance.runtime, instance, hosted, lambda: held)
