--- a/guavagate/platform/__init__.py
+++ b/guavagate/platform/__init__.py
@@ -1,5 +1,4 @@
-"""The users' platform: its words are known here and nowhere else.
+"""Adapter to the users' platform, the only package that knows its protocol.
 
-This folder decodes each name of the wire once into the product's types and
-encodes back; it decides nothing.
+It decodes each message once, encodes answers, and makes no decisions.
 """
--- a/guavagate/platform/_dialect.py
+++ b/guavagate/platform/_dialect.py
@@ -1,4 +1,4 @@
-"""Headers of requests to samplers and of their answers."""
+"""Headers of requests to upstreams and of their answers."""
 
 from guavagate.http1 import (
     Answer,
@@ -30,16 +30,16 @@
     def prepare(
         self, call: Call, upstream: Upstream, left: float, resume_after: int
     ) -> Request:
-        """Return the request as it goes to a sampler."""
+        """Return the request as it is sent to an upstream."""
         headers = [
             each
             for each in drop_hop_by_hop(call.request.headers)
             if each[0].lower() not in _REPLACED
             and not (call.keyed and each[0].lower() in _CREDENTIALS)
         ]
-        millis = max(int(left * const.MILLIS), 1)
+        milliseconds = max(int(left * const.MILLIS), 1)
         headers += [
-            (const.DEADLINE, str(millis).encode()),
+            (const.DEADLINE, str(milliseconds).encode()),
             (const.TARGET, upstream.id.encode()),
         ]
         if call.team:
@@ -49,7 +49,7 @@
         return Request(call.request.method, call.request.target, headers)
 
     def compose(self, request_id: str, host: str, path: str) -> Request:
-        """Return a request of our own, to be prepared as callers' are."""
+        """Return a request that this instance itself makes."""
         headers = [
             (b'Host', host.encode()),
             (const.REQUEST_ID, request_id.encode()),
@@ -57,44 +57,43 @@
         return Request('POST', path, headers)
 
     def read_signature(self, headers: Headers) -> str:
-        """Return the signature of an answer's sampler, or nothing."""
+        """Return the upstream's signature of an answer, or ''."""
         return find_header(headers, const.SEAL)
 
     def read(self, call: Call, answer: Answer) -> AnswerMarks:
-        """Return what an answer's head says."""
+        """Return what the headers of an answer say about its request."""
         return read_marks(call.id, answer)
 
 
 def read_marks(request_id: str, answer: Answer) -> AnswerMarks:
-    """Return what an answer's head says about a request."""
+    """Return what the headers of an answer say about a request."""
     echoed = answer.find(const.REQUEST_ID.lower())
-    refused = bool(answer.find(const.NOT_RUN)) or answer.status == _MISDIRECTED
+    not_run = bool(answer.find(const.NOT_RUN)) or answer.status == _MISDIRECTED
     return AnswerMarks(
-        not_run=refused,
+        not_run=not_run,
         mismatched=bool(echoed) and echoed != request_id,
-        busy=_read_busy(answer.find(const.LOAD)),
+        busy=_parse_load(answer.find(const.LOAD)),
     )
 
 
 def to_headers(headers: dict[str, str], team: TeamId) -> Headers:
-    """Return an item's headers in the form that they are sent in.
+    """Return an item's headers as they are sent to a sampler.
 
-    A trainer must not name a team for its items; neither it nor a sampler is
-    told of keys.
+    A job's team replaces any team and key that the trainer sent.
     """
-    sent = [
+    encoded = [
         (name.encode('latin-1'), value.encode('latin-1'))
         for name, value in headers.items()
     ]
     if not team:
-        return sent
-    ours = {const.TENANT.lower(), const.AUTHORIZATION}
-    kept = [each for each in sent if each[0].lower() not in ours]
-    return [*kept, (const.TENANT, team.encode())]
+        return encoded
+    replaced = {const.TENANT.lower(), const.AUTHORIZATION}
+    forwarded = [each for each in encoded if each[0].lower() not in replaced]
+    return [*forwarded, (const.TENANT, team.encode())]
 
 
-def _read_busy(text: str) -> int | None:
-    """Return running and waiting requests, from "running,waiting,slots"."""
+def _parse_load(text: str) -> int | None:
+    """Return running plus waiting, from "running,waiting,slots"."""
     parts = text.split(',')
     if len(parts) < 2 or not all(part.strip().isdigit() for part in parts):
         return None
--- a/guavagate/platform/_duties.py
+++ b/guavagate/platform/_duties.py
@@ -1,4 +1,4 @@
-"""Usage reports and orders of samplers on the platform's wire."""
+"""Client for usage reports and scaling orders."""
 
 import logging
 from typing import Any, Final
@@ -17,7 +17,7 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 CALL_SECONDS: Final = 1.5
-_ANSWERS: Final = {
+_ANSWER_BY_STATUS: Final = {
     200: DutyAnswer.ACCEPTED,
     202: DutyAnswer.ACCEPTED,
     409: DutyAnswer.UNAVAILABLE,
@@ -36,12 +36,12 @@
     def report_usage(
         self, holder: LeaseHolder, window: int, counts: TeamCounts
     ) -> DutyAnswer:
-        """Report the requests of each team that began in a window."""
+        """Report how many requests of each team began in a window."""
         body = {'window-id': window, 'counts': counts}
         return self._call(holder, '/usage', body)
 
     def order(self, holder: LeaseHolder, order: ScaleOrder) -> DutyAnswer:
-        """Order samplers."""
+        """Order a number of samplers for a service in a zone."""
         body = {
             'service': order.service,
             'zone': order.zone,
@@ -73,8 +73,8 @@
         except (UpstreamError, UpstreamNotStartedError) as error:
             _LOGGER.debug('%s got no answer: %s', path, error)
             return DutyAnswer.UNKNOWN
-        if answer.status in _ANSWERS:
-            return _ANSWERS[answer.status]
+        if answer.status in _ANSWER_BY_STATUS:
+            return _ANSWER_BY_STATUS[answer.status]
         _LOGGER.debug('%s got %s: %r', path, answer.status, text[:200])
         if answer.status in _CLIENT_ERRORS:
             return DutyAnswer.REFUSED
--- a/guavagate/platform/_edge.py
+++ b/guavagate/platform/_edge.py
@@ -1,4 +1,4 @@
-"""The callers' edge on the platform: which call is which."""
+"""Dispatches HTTP requests of callers and trainers to their handlers."""
 
 import logging
 from collections.abc import Callable
@@ -24,14 +24,14 @@
 UNREADY_RETRY_SECONDS: Final = 0.3
 # A starting process loads its configuration in a few milliseconds. Waiting is
 # better for callers than a refusal: they retry ten times later, or never.
-LOADING_SECONDS: Final = 0.1
+LOADING_WAIT_SECONDS: Final = 0.1
 _LOTS: Final = '/lots/'
 _ITEMS: Final = '/items/'
 _NO_TEAM: Final = TeamId('')
 
 
 class Edge:
-    """Answers callers' requests."""
+    """Decodes requests of callers and trainers, and dispatches them."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
 
     def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
-        loaded = self._wait_loaded(LOADING_SECONDS)
+        loaded = self._wait_loaded(LOADING_WAIT_SECONDS)
         configuration = self._routes.configuration
         if configuration is None or not loaded:
             write(
@@ -67,7 +67,7 @@
             return
         target = exchange.request.target
         if target.startswith((_LOTS, _ITEMS)):
-            self._handle_job(exchange, target)
+            self._handle_job_call(exchange, target)
         else:
             self._handle_route(exchange, body)
 
@@ -89,7 +89,7 @@
             send_text(exchange, 400, f'send {name}')
             return
         if route.kind is RouteKind.JOB:
-            self._accept(exchange, route, request_id, body, team)
+            self._accept_job(exchange, route, request_id, body, team)
             return
         call = self._make_call(exchange, route, request_id, body, team)
         service = pick_service(route, request_id)
@@ -103,22 +103,22 @@
         body: bytes,
         team: TeamId,
     ) -> Call:
-        allowed = route.timeout
+        timeout = route.timeout
         deadline = exchange.find(const.DEADLINE.lower())
         if deadline.isdigit():
-            allowed = min(allowed, int(deadline) / const.MILLIS)
+            timeout = min(timeout, int(deadline) / const.MILLIS)
         resume = exchange.find(const.RESUME.lower())
         return Call(
             id=request_id,
             request=exchange.request,
             body=body,
-            until=exchange.arrived + allowed,
+            until=exchange.arrived + timeout,
             resume_after=int(resume) if resume.isdigit() else 0,
             team=team,
             keyed=self._routes.keys.needed,
         )
 
-    def _accept(
+    def _accept_job(
         self,
         exchange: Exchange,
         route: Route,
@@ -144,28 +144,28 @@
         else:
             self._jobs.accept(exchange, job)
 
-    def _handle_job(self, exchange: Exchange, target: str) -> None:
+    def _handle_job_call(self, exchange: Exchange, target: str) -> None:
         team = self._authenticator.authenticate(exchange, _find_id(exchange))
         if team is None:
             return
-        parts = urlsplit(target)
+        url = urlsplit(target)
         if target.startswith(_ITEMS):
-            job = JobId(unquote(parts.path.removeprefix(_ITEMS)))
-            item = ItemId(parse_qs(parts.query).get('id', [''])[0])
+            job = JobId(unquote(url.path.removeprefix(_ITEMS)))
+            item = ItemId(parse_qs(url.query).get('id', [''])[0])
             self._jobs.read_item(exchange, job, item, team)
             return
-        job = JobId(unquote(parts.path.removeprefix(_LOTS)))
+        job = JobId(unquote(url.path.removeprefix(_LOTS)))
         if exchange.request.method == 'DELETE':
             self._jobs.end(exchange, job, team)
         elif exchange.request.method == 'GET':
-            self._read(exchange, parts, job, team)
+            self._read_results(exchange, url, job, team)
         else:
             send_text(exchange, 405, 'read with GET, end with DELETE')
 
-    def _read(
-        self, exchange: Exchange, parts: SplitResult, job: JobId, team: TeamId
+    def _read_results(
+        self, exchange: Exchange, url: SplitResult, job: JobId, team: TeamId
     ) -> None:
-        after = parse_qs(parts.query).get('after', ['0'])[0]
+        after = parse_qs(url.query).get('after', ['0'])[0]
         if not after.isdigit():
             send_text(exchange, 400, 'after is a whole number, 0 or more')
             return
--- a/guavagate/platform/_jobs.py
+++ b/guavagate/platform/_jobs.py
@@ -1,4 +1,4 @@
-"""Batch submissions on the wire: decoded into jobs, results encoded back."""
+"""Decodes batch submissions into jobs and encodes their results."""
 
 import base64
 import binascii
@@ -16,7 +16,7 @@
 
 
 class BadJobError(Exception):
-    """The body is no proper submission; the text says what to correct."""
+    """The submission is invalid; the message says what to correct."""
 
 
 class _Scorer(msgspec.Struct):
@@ -41,7 +41,7 @@
     step: int = 0
     model: str = ''
     min_version: int = 0
-    # How many whole groups the trainer waits for, not how many it sends.
+    # The number of complete groups the trainer waits for; it may send more.
     target_groups: int = 0
 
 
@@ -59,27 +59,23 @@
     hosts: Container[str] = (),
     team: TeamId = _NO_TEAM,
 ) -> Job:
-    """Return a submission as a job; `now` in seconds since 1970.
+    """Return the job of a submission; `now` in Unix seconds.
 
-    Parameters
-    ----------
-    hosts
-        Those of the configuration in force, for reward requests.
-    team
-        Whose key the trainer showed.
+    `hosts` of the configuration in force are those that reward requests may
+    name; `team` is the team whose key the trainer sent.
 
     Raises
     ------
     BadJobError
-        Nothing of it runs.
+        The submission is invalid; none of its items runs.
     """
     if not request_id or len(request_id) > _MAX_ID or '/' in request_id:
         raise BadJobError('send an id of 1 to 200 characters without a slash')
     try:
-        sent = msgspec.json.decode(body, type=_Submission)
+        submission = msgspec.json.decode(body, type=_Submission)
     except msgspec.MsgspecError as error:
         raise BadJobError(f'correct the body: {error}') from error
-    items = [_to_item(each) for each in sent.items]
+    items = [_to_item(each) for each in submission.items]
     if not items:
         raise BadJobError('send at least one item')
     if len({each.id for each in items}) < len(items):
@@ -89,10 +85,10 @@
         id=JobId(request_id),
         host=route.host,
         service=service,
-        model=sent.model,
-        step=sent.step,
-        min_version=WeightVersion(sent.min_version),
-        target_groups=sent.target_groups,
+        model=submission.model,
+        step=submission.step,
+        min_version=WeightVersion(submission.min_version),
+        target_groups=submission.target_groups,
         submitted_at=now,
         fingerprint=xxhash.xxh3_128_hexdigest(body),
         max_attempts=route.max_attempts,
@@ -105,7 +101,7 @@
 
 
 def encode_page(page: Page) -> bytes:
-    """Return results as they are read."""
+    """Return a page of results as JSON."""
     return msgspec.json.encode(
         {
             'total': page.total,
@@ -135,23 +131,23 @@
         headers=item.headers,
         body=body,
         tokens=item.tokens,
-        expected_tokens=_read_hint(item.headers),
+        expected_tokens=_read_length_hint(item.headers),
         group=GroupId(item.group_id or item.id),
         reward=None if item.scorer is None else _to_reward(item.scorer),
     )
 
 
 def _to_reward(scorer: _Scorer) -> RewardRequest:
-    named = f'scorer {scorer.id}'
+    label = f'scorer {scorer.id}'
     if not scorer.id or len(scorer.id) > _MAX_ID:
-        raise BadJobError(f'{named}: send an id of 1 to 200 characters')
+        raise BadJobError(f'{label}: send an id of 1 to 200 characters')
     if not scorer.path.startswith('/') or ' ' in scorer.path:
-        raise BadJobError(f'{named}: send a path of /, without spaces')
+        raise BadJobError(f'{label}: send a path of /, without spaces')
     if not f'{scorer.id}{scorer.host}{scorer.path}'.isascii():
-        raise BadJobError(f'{named}: send id, host and path in ASCII')
-    body = _decode_body(scorer.body, named)
+        raise BadJobError(f'{label}: send id, host and path in ASCII')
+    body = _decode_body(scorer.body, label)
     if len(body) > _MAX_REWARD_BYTES:
-        raise BadJobError(f'{named}: send a body of at most 1 MB')
+        raise BadJobError(f'{label}: send a body of at most 1 MB')
     return RewardRequest(
         id=scorer.id, host=scorer.host, path=scorer.path, body=body
     )
@@ -168,14 +164,14 @@
             )
 
 
-def _decode_body(text: str, named: str) -> bytes:
+def _decode_body(text: str, label: str) -> bytes:
     try:
         return base64.b64decode(text, validate=True)
     except (binascii.Error, ValueError) as error:
-        raise BadJobError(f'{named}: its body is no base64') from error
+        raise BadJobError(f'{label}: its body is no base64') from error
 
 
-def _read_hint(headers: dict[str, Any]) -> int:
+def _read_length_hint(headers: dict[str, Any]) -> int:
     for name, value in headers.items():
         if name.lower() == const.LENGTH_HINT and value.strip().isdigit():
             return int(value)
--- a/guavagate/platform/_manifest.py
+++ b/guavagate/platform/_manifest.py
@@ -1,4 +1,4 @@
-"""The operator's manifest, decoded into the product's configuration."""
+"""Decodes the operators' manifest into a configuration."""
 
 from typing import Final
 
@@ -27,7 +27,7 @@
 
 
 class _Table(msgspec.Struct, frozen=True, kw_only=True, rename='kebab'):
-    """A table whose names the platform writes with hyphens."""
+    """Base of the manifest's objects, whose field names have hyphens."""
 
 
 class _Backend(_Table, frozen=True, kw_only=True):
@@ -124,7 +124,7 @@
         name=route.name,
         host=route.host.lower(),
         prefix=route.path_prefix,
-        # A kind that is not known here is treated as the strictest one.
+        # An unknown kind is treated as the strictest one.
         kind=_KINDS.get(route.route_type, RouteKind.NON_IDEMPOTENT),
         shares=tuple(
             ServiceShare(ServiceId(each.service), each.weight)
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -1,4 +1,4 @@
-"""One process on the platform: the product's parts over its wire."""
+"""Builds, starts and stops the parts of an instance on the platform."""
 
 import logging
 import secrets
@@ -55,12 +55,12 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# What the metric shows where there is no proof.
+# Value of the metric while the configuration is not proven.
 NO_PROOF_SECONDS: Final = 1e6
 
 
 class PlatformProcess:
-    """A running process; which parts it has follows from its settings."""
+    """An instance's process, with the parts that its settings call for."""
 
     def __init__(self, settings: NodeSettings) -> None:
         self._settings = settings
@@ -75,7 +75,7 @@
             me.id, me.peer_address, self._members.address, self._clock
         )
         self._pool = ConnectionPool(self._clock)
-        self._route = self._make_route()
+        self._store_route = self._make_store_route()
         self._store = self._make_store()
         self._routes = RouteTable()
         self._upstreams = UpstreamTable(
@@ -89,7 +89,7 @@
         )
         ownership = Ownership(self._members, me.id, self._members.boot)
         self._ownership = ownership
-        self._me = me.id
+        self._instance_id = me.id
         self._renewals = Renewals(self._bus)
         self._duties = PlatformDuties(settings.cloud_api.address, self._pool)
         job_store = JobStore(
@@ -132,7 +132,7 @@
             self._clock,
             self._metrics,
             self._members,
-            self._is_able,
+            self._is_ready,
             self._hand_over,
             settings.bounds.grace_s,
         )
@@ -143,10 +143,10 @@
         self.wait_asked = self.lifecycle.wait_asked
 
     def start(self) -> None:
-        """Start every part, the callers' edge last."""
+        """Start every part; HTTP servers follow the feed and registry."""
         self._members.start()
         self._bus.start()
-        self._route.start()
+        self._store_route.start()
         self._registry.start()
         self._feed.start()
         if self._settings.data_dir:
@@ -164,11 +164,11 @@
         self._pool.start_sweeping()
 
     def stop(self) -> None:
-        """Stop as planned: cut no request."""
+        """Stop without interrupting requests."""
         balanced = bool(self._settings.listen.front)
         self.lifecycle.stop(self._servers, balanced=balanced)
 
-    def _make_route(self) -> PeerRoute:
+    def _make_store_route(self) -> PeerRoute:
         table = self._settings.platform
         return PeerRoute(
             time_calls(
@@ -186,7 +186,7 @@
     def _make_store(self) -> PlatformStore:
         table = self._settings.platform
         caller = share_rates(
-            self._route.carry,
+            self._store_route.carry,
             self._clock,
             lambda: len(self._members.alive()),
             reads=table.reads_per_s,
@@ -200,7 +200,7 @@
             self._clock,
             self._bus,
             self._members,
-            self._me,
+            self._instance_id,
             (const.CONFIG, const.SERVERS),
             (const.SERVERS,),
             self._members.boot,
@@ -211,7 +211,7 @@
         )
         feed.register_handlers(const.CONFIG, self._put_config, None)
         feed.register_handlers(
-            const.SERVERS, self._put_server, self._drop_server
+            const.SERVERS, self._put_server, self._remove_server
         )
         versions = Mirror(
             self._store, self._clock, const.VERSIONS, self._put_version
@@ -266,7 +266,7 @@
     def _make_usage(self) -> UsageAccounting:
         bounds = self._settings.bounds
         return UsageAccounting(
-            self._me,
+            self._instance_id,
             self._clock,
             self._bus,
             self._store,
@@ -286,14 +286,11 @@
         )
 
     def _get_limits(self) -> ServerLimits:
-        held = self._routes.configuration
-        return ServerLimits() if held is None else held.limits
+        configuration = self._routes.configuration
+        return ServerLimits() if configuration is None else configuration.limits
 
     def reload(self, path: str) -> None:
-        """Read the settings file again.
-
-        The platform restarts a process to change its addresses.
-        """
+        """Read the settings again; new addresses take a restart."""
         try:
             self._settings = load_settings(path)
         except SettingsError as error:
@@ -301,7 +298,7 @@
         else:
             write(_LOGGER, edge_events.SETTINGS_READ)
 
-    def _is_able(self) -> bool:
+    def _is_ready(self) -> bool:
         return self._routes.configuration is not None and self._feed.loaded
 
     def _refresh_gauges(self) -> None:
@@ -312,7 +309,7 @@
     def _put_config(self, stored: StoredObject) -> None:
         if stored.path != const.CONFIG_PATH:
             return
-        # Until it is read: an older one stays in force if it can not be.
+        # If decoding fails, the older configuration stays in force, unproven.
         self._feed.proof.invalidate()
         self._routes.apply(decode_manifest(stored.value))
         self._feed.proof.restore()
@@ -322,7 +319,7 @@
         name = stored.path.partition('/')[2]
         self._upstreams.put(decode_server(name, stored.value))
 
-    def _drop_server(self, name: str) -> None:
+    def _remove_server(self, name: str) -> None:
         self._upstreams.remove(UpstreamId(name))
 
     def _put_version(self, name: str, stored: StoredObject) -> None:
@@ -330,8 +327,8 @@
         self._services.name_version(model, version)
 
     def _put_retirement(self, name: str, stored: StoredObject) -> None:
-        """Hand this machine's work over if it is the one that is named."""
-        if name == self._me:
+        """Hand over this instance's work if the object names it."""
+        if name == self._instance_id:
             Retirement(
                 self._clock,
                 self._hand_over,
--- a/guavagate/platform/_samplers.py
+++ b/guavagate/platform/_samplers.py
@@ -1,4 +1,4 @@
-"""Requests to model samplers: items, reports, orders."""
+"""Client for model samplers: items, reports and version orders."""
 
 from typing import Final
 
@@ -48,7 +48,7 @@
     def run(
         self, upstream: Upstream, item: ItemRequest, model: str
     ) -> EventStream:
-        """Start an item and wait for the head of its stream."""
+        """Start an item and wait for the headers of its stream."""
         headers = [
             (b'Host', item.host.encode()),
             (const.REQUEST_ID, item.id.encode()),
@@ -62,7 +62,7 @@
         answer = self._pool.send(
             upstream.address, request, item.body, timeout=None
         )
-        _check(item.id, upstream, answer)
+        _raise_unless_stream(item.id, upstream, answer)
         return EventStream(answer, item.resume_after, const.VERSION)
 
     def report(self, upstream: Upstream) -> SamplerReport:
@@ -78,11 +78,11 @@
         )
         body = answer.read()
         if answer.status != _OK:
-            raise _broken(f'{upstream.id} answered {answer.status}')
+            raise _make_error(f'{upstream.id} answered {answer.status}')
         try:
             report = msgspec.json.decode(body, type=_Report)
         except msgspec.MsgspecError as error:
-            raise _broken(f'{upstream.id} sent no report') from error
+            raise _make_error(f'{upstream.id} sent no valid report') from error
         return SamplerReport(
             busy=report.busy,
             orders_taken=report.seq,
@@ -124,26 +124,26 @@
         return answer.status == _OK
 
 
-def _check(item: str, upstream: Upstream, answer: Answer) -> None:
-    """Raise what an answer means that is no stream of this item."""
+def _raise_unless_stream(item: str, upstream: Upstream, answer: Answer) -> None:
+    """Raise an error unless the answer is the stream of this item."""
     marks = read_marks(item, answer)
     if marks.mismatched:
         answer.close()
-        raise _broken(f'{upstream.id} sent the answer to another request')
+        raise _make_error(f'{upstream.id} sent the answer to another request')
     if answer.status == _OK:
         return
     answer.close()
     if marks.not_run:
         raise UpstreamNotStartedError(
             f'{upstream.id} answered {answer.status}, not run',
-            'ask another sampler',
+            'use another sampler',
         )
     if answer.status == _IMPOSSIBLE:
         raise ItemImpossibleError
     if answer.status == _FAILED:
         raise ItemFailedError
-    raise _broken(f'{upstream.id} answered {answer.status}')
+    raise _make_error(f'{upstream.id} answered {answer.status}')
 
 
-def _broken(problem: str) -> UpstreamError:
-    return UpstreamError(problem, 'nothing; the item goes on elsewhere')
+def _make_error(problem: str) -> UpstreamError:
+    return UpstreamError(problem, 'nothing; the item continues elsewhere')
--- a/guavagate/platform/_servers.py
+++ b/guavagate/platform/_servers.py
@@ -1,4 +1,4 @@
-"""Samplers' registrations, decoded into the product's upstreams."""
+"""Decodes samplers' registrations into upstreams."""
 
 import ipaddress
 from typing import Final
@@ -9,14 +9,14 @@
 from guavagate.ports.upstreams import Upstream
 
 _READY: Final = 'ready'
-_MOST_PORT: Final = 65_535
-# Far beyond any engine's batch; more is no number of places.
-_MOST_SLOTS: Final = 100_000
+_MAX_PORT: Final = 65_535
+# Far beyond any engine's batch size; a larger number is an error.
+_MAX_SLOTS: Final = 100_000
 _STATES: Final = frozenset((_READY, 'draining'))
 
 
 class ModelState(msgspec.Struct, frozen=True):
-    """A model that a sampler holds, under which version of its weights."""
+    """A model that a sampler serves, and the version of its weights."""
 
     name: str
     version: int = 1
@@ -30,7 +30,7 @@
     slots: int
     state: str
     models: list[ModelState] = []
-    # Of its start, in Unix milliseconds by its own clock.
+    # Start time in Unix milliseconds by the sampler's own clock.
     born: float = 0
     spot: bool = False
 
@@ -46,15 +46,15 @@
     Raises
     ------
     ValueError
-        It is none, whoever wrote it, and names no sampler.
+        The value is not a valid registration of a sampler.
     """
     server = msgspec.json.decode(value, type=_Server)
     if server.state not in _STATES:
-        raise ValueError(f'the state {server.state!r} is not known')
+        raise ValueError(f'unknown state {server.state!r}')
     if not _is_address(server.address):
-        raise ValueError(f'{server.address!r} is no IP address with a port')
-    if not 0 <= server.slots <= _MOST_SLOTS:
-        raise ValueError(f'{server.slots} slots are none')
+        raise ValueError(f'{server.address!r} is not an IP address with a port')
+    if not 0 <= server.slots <= _MAX_SLOTS:
+        raise ValueError(f'{server.slots} slots are out of range')
     return Upstream(
         id=UpstreamId(name),
         service=ServiceId(server.service),
@@ -72,17 +72,17 @@
     host, _, port = text.rpartition(':')
     try:
         ipaddress.ip_address(host)
-        return 0 < int(port.encode('ascii')) <= _MOST_PORT
+        return 0 < int(port.encode('ascii')) <= _MAX_PORT
     except ValueError:
         return False
 
 
 def read_models(models: list[ModelState]) -> dict[str, WeightVersion]:
-    """Return versions by model."""
+    """Return the weight version of each model."""
     return {each.name: WeightVersion(each.version) for each in models}
 
 
 def decode_version(value: bytes) -> tuple[str, WeightVersion]:
-    """Return the model and version that a trainer has named."""
-    named = msgspec.json.decode(value, type=_Version)
-    return named.model, WeightVersion(named.version)
+    """Return the model and version that a trainer has published."""
+    published = msgspec.json.decode(value, type=_Version)
+    return published.model, WeightVersion(published.version)
--- a/guavagate/platform/_settings.py
+++ b/guavagate/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of the platform, as a process finds it."""
+"""Reads the settings file that the platform writes for a process."""
 
 import msgspec
 
@@ -10,18 +10,18 @@
 
 
 class _Table(msgspec.Struct, frozen=True, kw_only=True, rename='kebab'):
-    """Base: names with hyphens; unknown fields are left out."""
+    """Base of the tables: names with hyphens; unknown ones are ignored."""
 
 
 class ListenTable(_Table, frozen=True, kw_only=True):
-    """Where the role is to listen; a role may have none."""
+    """Addresses to listen on; empty where the process has no such role."""
 
     front: str = ''
     ready: str = ''
 
 
 class BoundsTable(_Table, frozen=True, kw_only=True):
-    """Times that the operators promise to keep to, or expect to be kept."""
+    """Time limits that operators guarantee, or that instances must meet."""
 
     grace_s: float = 8.0
     lease_ms: float = 3000
@@ -34,11 +34,11 @@
     usage_window_s: float = 5
 
     def get_proof_path(self) -> str:
-        """Return the object that has to be known to be the newest, if any."""
+        """Return the object that must be proven current, or ''."""
         return CONFIG_PATH if self.strict_revoke else ''
 
     def to_proof_bounds(self) -> ProofBounds:
-        """Return how new the configuration must surely be."""
+        """Return how recently the configuration must be proven current."""
         return make_bounds(
             self.config_apply_ms / MILLIS,
             self.revoke_ms / MILLIS,
@@ -47,7 +47,7 @@
 
 
 class StoreTable(_Table, frozen=True, kw_only=True):
-    """The platform's store and its rates for all machines together."""
+    """The platform's store, with rate limits for all instances together."""
 
     address: str
     writes_per_s: float = 400
@@ -56,7 +56,7 @@
 
 
 class DutiesTable(_Table, frozen=True, kw_only=True):
-    """Where the platform takes calls that one instance makes for all."""
+    """The calls to the platform that one instance makes for all."""
 
     address: str = ''
     duties: list[str] = []
@@ -64,7 +64,7 @@
 
 
 class NodeSettings(_Table, frozen=True, kw_only=True):
-    """One process's settings."""
+    """The settings of one process."""
 
     node_name: str
     ip: str
@@ -80,7 +80,7 @@
     cloud_api: DutiesTable = DutiesTable()
 
     def to_instance(self) -> InstanceSettings:
-        """Return the product's form of these settings."""
+        """Return these settings as instance settings."""
         return InstanceSettings(
             id=InstanceId(self.node_name),
             availability_zone=ZoneId(self.zone),
@@ -100,13 +100,13 @@
     Raises
     ------
     SettingsError
-        The file can not be read or lacks a field; the message names it.
+        The file cannot be read or lacks a field; the message names it.
     """
     try:
         with open(path, 'rb') as file:
             return msgspec.toml.decode(file.read(), type=NodeSettings)
     except (OSError, msgspec.MsgspecError) as error:
         raise SettingsError(
-            f'the settings file {path} can not be used ({error})',
+            f'the settings file {path} cannot be used ({error})',
             'correct it; the platform writes it at each start',
         ) from error
--- a/guavagate/platform/_store.py
+++ b/guavagate/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store behind the product's store port."""
+"""Client for the platform's object store."""
 
 from typing import Any, Final
 from urllib.parse import quote
@@ -26,11 +26,11 @@
 
 _UNREADABLE: Final = UnreadableObjects()
 _OK: Final = 200
-_MISSING: Final = 404
+_NOT_FOUND: Final = 404
 _CONFLICT: Final = 409
-_COMPACTED: Final = 410
+_GONE: Final = 410
 _CREATE: Final = Revision(0)
-# It answers in milliseconds; at sixty times that it is still in time.
+# Allows for answers that take sixty times the usual few milliseconds.
 CALL_SECONDS: Final = 1.0
 DEADLINE_SECONDS: Final = 2.5
 _WATCH_GRACE: Final = 1.5
@@ -69,17 +69,17 @@
 
 
 class PlatformStore:
-    """Objects under ``kind/name``; the value is an object's ``spec``."""
+    """Stores objects under ``kind/name``; the value is the ``spec``."""
 
     def __init__(self, caller: Caller) -> None:
         self._caller = caller
 
     def get(self, path: str) -> StoredObject | None:
-        """Return the object, or nothing."""
-        answer = self._call('GET', _locate(path))
-        if answer.status == _MISSING:
+        """Return the object, or `None`."""
+        answer = self._call('GET', _make_target(path))
+        if answer.status == _NOT_FOUND:
             return None
-        return _to_stored(path, _decode(_expect(answer), _Object))
+        return _to_stored(path, _decode(_require_ok(answer), _Object))
 
     def list_under(self, prefix: str) -> tuple[list[StoredObject], Revision]:
         """Return all objects of a kind, and the store's revision."""
@@ -87,12 +87,11 @@
         first = Revision(0)
         query = ''
         while True:
-            answer = self._call('GET', f'{_locate(prefix)}{query}')
-            page = _decode(_expect(answer), _List)
-            # What changes while later pages are read is seen by the watch
-            # that starts at the first page's revision.
+            answer = self._call('GET', f'{_make_target(prefix)}{query}')
+            page = _decode(_require_ok(answer), _List)
+            # The watch starts here and so reports changes during later pages.
             first = first or Revision(page.store_revision)
-            read = _read_each(prefix, page.items)
+            read = _decode_readable(prefix, page.items)
             objects += [
                 _to_stored(f'{prefix}/{each.metadata.name}', each)
                 for each in read
@@ -104,52 +103,52 @@
     def put(
         self, path: str, value: bytes, expected: Revision | None
     ) -> Revision:
-        """Write if the object's version is as expected (0: not there)."""
+        """Write if the revision is as expected; 0 creates the object."""
         kind, _, name = path.partition('/')
         revision = None if expected == _CREATE else expected
         body = msgspec.json.encode(
             _NewObject(_Metadata(name, revision), msgspec.Raw(value))
         )
         if expected == _CREATE:
-            answer = self._call('POST', _locate(kind), body)
+            answer = self._call('POST', _make_target(kind), body)
         else:
-            answer = self._call('PUT', _locate(path), body)
-            if answer.status == _MISSING and expected is None:
+            answer = self._call('PUT', _make_target(path), body)
+            if answer.status == _NOT_FOUND and expected is None:
                 return self.put(path, value, _CREATE)
-        return _read_written(path, answer)
+        return _read_new_revision(path, answer)
 
     def put_status(self, path: str, value: dict[str, Any]) -> None:
         """Replace an object's status."""
         name = path.partition('/')[2]
         body = {'metadata': {'name': name}, 'status': value}
         answer = self._call(
-            'PUT', f'{_locate(path)}/status', msgspec.json.encode(body)
+            'PUT', f'{_make_target(path)}/status', msgspec.json.encode(body)
         )
-        _expect(answer)
+        _require_ok(answer)
 
     def delete(self, path: str, expected: Revision | None) -> None:
-        """Delete under the same condition; one that is gone is no error."""
+        """Delete if the revision is as expected; ignore a missing object."""
         query = '' if expected is None else f'?revision={expected}'
-        answer = self._call('DELETE', f'{_locate(path)}{query}')
-        if answer.status != _MISSING:
-            _read_written(path, answer)
+        answer = self._call('DELETE', f'{_make_target(path)}{query}')
+        if answer.status != _NOT_FOUND:
+            _read_new_revision(path, answer)
 
     def watch(
         self, prefix: str, since: Revision, timeout: float
     ) -> tuple[list[StoreChange], Revision]:
-        """Wait for changes after a revision; may return none."""
-        millis = round(timeout * MILLIS)
-        target = f'{_locate(prefix)}?watch={since}&wait-ms={millis}'
+        """Wait for changes after a revision; return none on a timeout."""
+        milliseconds = round(timeout * MILLIS)
+        target = f'{_make_target(prefix)}?watch={since}&wait-ms={milliseconds}'
         answer = self._call(
             'GET', target, timeout=timeout + _WATCH_GRACE, deadline=0
         )
-        if answer.status == _COMPACTED:
+        if answer.status == _GONE:
             raise WatchCompactedError(prefix)
-        body = _decode(_expect(answer), _Events)
+        body = _decode(_require_ok(answer), _Events)
         changes = [
             _to_change(prefix, read, each.deleted)
             for each in body.events
-            for read in _read_each(prefix, [each.object])
+            for read in _decode_readable(prefix, [each.object])
         ]
         return changes, Revision(max(body.store_revision, since))
 
@@ -165,35 +164,35 @@
         return self._caller.call(call, Priority.RECORDS, deadline)
 
 
-def _locate(path: str) -> str:
+def _make_target(path: str) -> str:
     return f'/objects/{quote(path)}'
 
 
-def _expect(answer: Answer) -> Answer:
+def _require_ok(answer: Answer) -> Answer:
     if answer.status != _OK:
         raise StoreUnavailableError(
             f'the store answered {answer.status}: {answer.body[:200]!r}',
-            'see the log; the call is not one that this store takes',
+            'see the log; the store does not support this call',
             may_be_written=False,
         )
     return answer
 
 
-def _read_written(path: str, answer: Answer) -> Revision:
+def _read_new_revision(path: str, answer: Answer) -> Revision:
     if answer.status == _CONFLICT:
         raise StoreConflictError(
-            f'{path} is not as it was expected to be',
-            'read it and decide again',
+            f'{path} does not have the expected revision',
+            'read it again and retry',
             _to_stored(path, _decode(answer, _Object)),
         )
-    if answer.status == _MISSING:
-        raise StoreConflictError(f'{path} is gone', 'decide again')
-    written = _decode(_expect(answer), _Object)
+    if answer.status == _NOT_FOUND:
+        raise StoreConflictError(f'{path} does not exist', 'retry')
+    written = _decode(_require_ok(answer), _Object)
     return Revision(written.metadata.revision or 0)
 
 
-def _read_each(prefix: str, items: list[msgspec.Raw]) -> list[_Object]:
-    """Return the objects that can be read; others hide none of these."""
+def _decode_readable(prefix: str, items: list[msgspec.Raw]) -> list[_Object]:
+    """Return the readable objects; an unreadable one hides no other."""
     read = []
     for raw in items:
         try:
@@ -208,8 +207,8 @@
         return decode_leniently(answer.body, kind)
     except msgspec.MsgspecError as error:
         raise StoreUnavailableError(
-            f'the store sent what is no answer ({error})',
-            'check what the address of the store leads to',
+            f'the store sent a malformed answer ({error})',
+            'check which server listens at the address of the store',
         ) from error
 
 
--- a/guavagate/platform/const.py
+++ b/guavagate/platform/const.py
@@ -1,10 +1,10 @@
-"""Names on the platform's wire."""
+"""Names in the platform's protocol."""
 
 from typing import Final
 
 SETTINGS_VARIABLE: Final = 'GUAVAGATE_SETTINGS'
 
-# Headers, in lower case for look-ups and as they are written.
+# Headers: in lower case those that are looked up, others as they are sent.
 REQUEST_ID: Final = b'Guavagate-Request-Id'
 DEADLINE: Final = b'Guavagate-Deadline-Ms'
 TARGET: Final = b'Guavagate-Target-Instance'
@@ -28,13 +28,13 @@
 VERSIONS: Final = 'versions'
 RETIREMENTS: Final = 'retirements'
 
-# As the deploy file tells the platform.
+# The deploy file gives the platform these values too.
 METRICS_PORT: Final = 9464
 METRICS_PATH: Final = '/metrics'
 
 MILLIS: Final = 1000
 
-# A machine that was asked to leave and holds nothing any more.
+# Status of an instance that was retired and has handed over its work.
 RETIRED: Final = {'state': 'completed'}
-# A read from an old copy costs a tenth; what it finds does not matter.
+# A stale read costs a tenth of a normal one; its answer is not used.
 PROBE_PATH: Final = '/objects/leases?stale-read=1'
--- a/guavagate/platform/listen_addresses.py
+++ b/guavagate/platform/listen_addresses.py
@@ -1,4 +1,4 @@
-"""Which addresses a process listens at, read before the rest is loaded."""
+"""Reads the listen addresses before the rest of the program is loaded."""
 
 import os
 import tomllib
@@ -7,9 +7,9 @@
 
 
 def read_listen_addresses() -> list[str]:
-    """Return where callers and the balancer come; none where that is unclear.
+    """Return the addresses for callers and the balancer; none on an error.
 
-    The settings are read again, and judged, once the program is loaded.
+    Once the program is loaded, it reads and validates the settings again.
     """
     try:
         with open(os.environ.get(SETTINGS_VARIABLE, ''), 'rb') as file:
--- a/guavagate/platform/process.py
+++ b/guavagate/platform/process.py
@@ -1,4 +1,4 @@
-"""What the daemon runs on the platform."""
+"""The process that the daemon runs on the platform, and its settings."""
 
 from guavagate.platform._process import PlatformProcess
 from guavagate.platform._settings import load_settings
--- a/tests/platform/test_edge_keys.py
+++ b/tests/platform/test_edge_keys.py
@@ -1,4 +1,4 @@
-"""Callers' keys at the edge, over real sockets to a real upstream."""
+"""Keys at the edge, with real sockets and a real upstream."""
 
 import math
 from collections.abc import Iterator
@@ -29,49 +29,49 @@
 _TEAMS = (Team(id=_BLUE, key_hashes=(hash_token('key-1'),)),)
 
 
-class _Jobs:
-    """Stands for the job store and the reader; notes whose calls come."""
+class _FakeJobs:
+    """Fake job store and reader that record the team of each call."""
 
     def __init__(self) -> None:
         self.teams: list[TeamId] = []
 
     def accept(self, job: Job, limit: float) -> bool:
-        """Note an accepted job's team."""
+        """Record the team of an accepted job."""
         self.teams.append(job.team)
         return True
 
     def cache_job(self, job: Job) -> None:
-        """Keep nothing."""
+        """Do nothing."""
 
-    def read(self, *asked: object) -> tuple[LookupStatus, None]:
-        """Note who reads; there is nothing."""
-        self.teams.append(asked[-1])  # type: ignore[arg-type]
+    def read(self, *args: object) -> tuple[LookupStatus, None]:
+        """Record the team; find no job."""
+        self.teams.append(args[-1])  # type: ignore[arg-type]
         return LookupStatus.MISSING, None
 
-    def read_item(self, *asked: object) -> tuple[LookupStatus, bytes]:
-        """Note who reads a body; there is none."""
-        self.teams.append(asked[-1])  # type: ignore[arg-type]
+    def read_item(self, *args: object) -> tuple[LookupStatus, bytes]:
+        """Record the team; find no item."""
+        self.teams.append(args[-1])  # type: ignore[arg-type]
         return LookupStatus.MISSING, b''
 
-    def exists(self, *asked: object) -> LookupStatus:
-        """Note who ends a job; there is none."""
-        self.teams.append(asked[-1])  # type: ignore[arg-type]
+    def exists(self, *args: object) -> LookupStatus:
+        """Record the team; find no job to end."""
+        self.teams.append(args[-1])  # type: ignore[arg-type]
         return LookupStatus.MISSING
 
-    def end(self, *asked: object) -> None:
-        """End nothing."""
+    def end(self, *args: object) -> None:
+        """Fail: no job can be ended."""
         raise StoreUnavailableError('no store', 'nothing')
 
 
-class _Setting:
-    """An edge with one upstream that keeps what it is sent."""
+class _EdgeBench:
+    """An edge with one upstream that records what it receives."""
 
     def __init__(self) -> None:
         clock = SystemClock()
         self.age = float(0)
         self.seen: list[bytes] = []
         self.usage: list[TeamId] = []
-        self.jobs = _Jobs()
+        self.jobs = _FakeJobs()
         self.routes = RouteTable()
         self.put(_TEAMS)
         upstreams = UpstreamTable(clock, ZoneId('z'))
@@ -114,7 +114,7 @@
 
     def put(self, teams: tuple[Team, ...]) -> None:
         """Put a configuration in force."""
-        held = self.routes.configuration
+        configuration = self.routes.configuration
         routes = (
             make_route('/p/'),
             make_route('/open/', open=True),
@@ -122,7 +122,9 @@
         )
         self.routes.apply(
             Configuration(
-                version=1 if held is None else held.version + 1,
+                version=1
+                if configuration is None
+                else configuration.version + 1,
                 routes=routes,
                 teams=teams,
             )
@@ -133,7 +135,7 @@
             self.seen.append(data)
             sock.sendall(_ANSWER)
 
-    def ask(
+    def send(
         self, path: str, *lines: str, method: str = 'POST', body: bytes = b''
     ) -> str:
         """Send a request; return the answer's head."""
@@ -154,46 +156,46 @@
 
 
 @pytest.fixture
-def setting() -> Iterator[_Setting]:
-    """Return one setting; its servers end with the test."""
-    held = _Setting()
-    yield held
-    held.upstream.stop(0)
-    held.server.finish(SystemClock().now())
+def bench() -> Iterator[_EdgeBench]:
+    """Return an edge whose servers stop after the test."""
+    running = _EdgeBench()
+    yield running
+    running.upstream.stop(0)
+    running.server.finish(SystemClock().now())
 
 
-def test_the_upstream_is_told_the_team_and_never_the_key(
-    setting: _Setting,
+def test_the_upstream_receives_the_team_and_never_the_key(
+    bench: _EdgeBench,
 ) -> None:
-    """Whatever the caller itself sent under that name."""
-    told = setting.ask(
+    """The team replaces any that the caller sent in that header."""
+    answer = bench.send(
         '/p/x', 'Authorization: Bearer key-1', 'guavagate-tenant: red'
     )
-    assert told.startswith('HTTP/1.1 200')
-    sent = setting.seen[0].lower()
+    assert answer.startswith('HTTP/1.1 200')
+    sent = bench.seen[0].lower()
     assert b'guavagate-tenant: blue' in sent
     assert sent.count(b'guavagate-tenant') == 1
     assert b'key-1' not in sent
-    assert setting.usage == [_BLUE]
+    assert bench.usage == [_BLUE]
 
 
-def test_an_open_route_needs_no_key_and_passes_none_on(
-    setting: _Setting,
+def test_an_open_route_needs_no_key_and_forwards_none(
+    bench: _EdgeBench,
 ) -> None:
-    """Nor does it tell a team."""
-    assert ' 200 ' in setting.ask('/open/x', 'Authorization: Bearer key-1')
-    sent = setting.seen[0].lower()
+    """The upstream receives neither a key nor a team."""
+    assert ' 200 ' in bench.send('/open/x', 'Authorization: Bearer key-1')
+    sent = bench.seen[0].lower()
     assert b'authorization' not in sent
     assert b'tenant' not in sent
 
 
-def test_without_teams_credentials_are_the_upstreams(
-    setting: _Setting,
+def test_without_teams_credentials_are_forwarded(
+    bench: _EdgeBench,
 ) -> None:
-    """A configuration that knows no keys changes nothing of them."""
-    setting.put(())
-    assert ' 200 ' in setting.ask('/p/x', 'Authorization: Basic abc')
-    assert b'Basic abc' in setting.seen[0]
+    """Without configured keys, credentials pass through unchanged."""
+    bench.put(())
+    assert ' 200 ' in bench.send('/p/x', 'Authorization: Basic abc')
+    assert b'Basic abc' in bench.seen[0]
 
 
 @pytest.mark.parametrize(
@@ -205,10 +207,10 @@
         ('Authorization: Bearer key-1', 'Authorization: Bearer other'),
     ],
 )
-def test_without_a_good_key_nothing_runs(
-    setting: _Setting, lines: tuple[str, ...]
+def test_without_a_valid_key_nothing_runs(
+    bench: _EdgeBench, lines: tuple[str, ...]
 ) -> None:
-    """Neither a request nor a job, and no job is read."""
+    """No request or job runs, and no job can be read."""
     for method, path in (
         ('POST', '/p/x'),
         ('POST', '/jobs/x'),
@@ -216,65 +218,67 @@
         ('DELETE', '/lots/j'),
         ('GET', '/items/j?id=1'),
     ):
-        told = setting.ask(path, *lines, method=method)
-        assert told.startswith('HTTP/1.1 401')
-        assert 'WWW-Authenticate: Bearer' in told
-        assert 'key-1' not in told
-    assert not setting.seen
-    assert not setting.jobs.teams
+        answer = bench.send(path, *lines, method=method)
+        assert answer.startswith('HTTP/1.1 401')
+        assert 'WWW-Authenticate: Bearer' in answer
+        assert 'key-1' not in answer
+    assert not bench.seen
+    assert not bench.jobs.teams
 
 
-def test_a_key_that_was_taken_away_is_denied(setting: _Setting) -> None:
-    """The team is still there, with another key."""
-    assert ' 200 ' in setting.ask('/p/x', 'Authorization: Bearer key-1')
-    setting.put((Team(id=_BLUE, key_hashes=(hash_token('key-2'),)),))
-    assert ' 401 ' in setting.ask('/p/x', 'Authorization: Bearer key-1')
-    assert ' 200 ' in setting.ask('/p/x', 'Authorization: Bearer key-2')
+def test_a_revoked_key_is_denied(bench: _EdgeBench) -> None:
+    """The team remains, with another key."""
+    assert ' 200 ' in bench.send('/p/x', 'Authorization: Bearer key-1')
+    bench.put((Team(id=_BLUE, key_hashes=(hash_token('key-2'),)),))
+    assert ' 401 ' in bench.send('/p/x', 'Authorization: Bearer key-1')
+    assert ' 200 ' in bench.send('/p/x', 'Authorization: Bearer key-2')
 
 
 @pytest.mark.parametrize('age', [4.6, math.inf])
-def test_without_proof_nothing_runs_and_that_is_said(
-    setting: _Setting, age: float
+def test_without_proof_requests_are_refused_and_do_not_run(
+    bench: _EdgeBench, age: float
 ) -> None:
-    """The instance is cut off, or was suspended; another one may serve."""
-    setting.age = age
+    """An isolated or suspended instance refuses; another one may serve."""
+    bench.age = age
     for path, method in (('/p/x', 'POST'), ('/lots/j', 'GET')):
-        told = setting.ask(path, 'Authorization: Bearer key-1', method=method)
-        assert told.startswith('HTTP/1.1 503')
-        assert 'Retry-After' in told
-    assert not setting.seen
+        answer = bench.send(path, 'Authorization: Bearer key-1', method=method)
+        assert answer.startswith('HTTP/1.1 503')
+        assert 'Retry-After' in answer
+    assert not bench.seen
 
 
-def test_with_old_news_nobody_is_denied(setting: _Setting) -> None:
-    """The newest configuration may know the key, or the route."""
-    setting.age = 2.9
+def test_with_an_old_proof_nothing_is_denied_for_good(
+    bench: _EdgeBench,
+) -> None:
+    """A newer configuration may contain the key or the route."""
+    bench.age = 2.9
     for path, key in (('/p/x', 'new'), ('/nowhere/x', 'key-1')):
-        told = setting.ask(path, f'Authorization: Bearer {key}')
-        assert told.startswith('HTTP/1.1 503')
-    setting.age = 0
-    told = setting.ask('/nowhere/x', 'Authorization: Bearer key-1')
-    assert told.startswith('HTTP/1.1 404')
+        answer = bench.send(path, f'Authorization: Bearer {key}')
+        assert answer.startswith('HTTP/1.1 503')
+    bench.age = 0
+    answer = bench.send('/nowhere/x', 'Authorization: Bearer key-1')
+    assert answer.startswith('HTTP/1.1 404')
 
 
-def test_without_teams_a_missing_route_is_told_whatever_the_proof(
-    setting: _Setting,
+def test_without_teams_a_missing_route_needs_no_proof(
+    bench: _EdgeBench,
 ) -> None:
-    """A caller with a wrong path would else be told to come back for ever."""
-    setting.put(())
+    """With 503 a caller with a wrong path would retry for ever."""
+    bench.put(())
     for age in (0, 2.9, math.inf):
-        setting.age = age
-        assert ' 404 ' in setting.ask('/nowhere/x')
+        bench.age = age
+        assert ' 404 ' in bench.send('/nowhere/x')
 
 
-def test_a_teams_calls_are_the_teams(setting: _Setting) -> None:
-    """Its job is accepted as its own, and it asks for its own only."""
+def test_calls_for_jobs_carry_the_team_of_the_key(bench: _EdgeBench) -> None:
+    """Jobs are accepted, read and ended under the key's team."""
     job = (
         b'{"items":[{"id":"i","path":"/jobs/1","body":"","group-id":"g"}],'
         b'"model":"m","target-groups":1}'
     )
     key = 'Authorization: Bearer key-1'
-    assert ' 202 ' in setting.ask('/jobs/x', key, body=job)
-    assert ' 404 ' in setting.ask('/lots/j', key, method='GET')
-    assert ' 404 ' in setting.ask('/items/j?id=1', key, method='GET')
-    assert ' 404 ' in setting.ask('/lots/j', key, method='DELETE')
-    assert setting.jobs.teams == [_BLUE] * 4
+    assert ' 202 ' in bench.send('/jobs/x', key, body=job)
+    assert ' 404 ' in bench.send('/lots/j', key, method='GET')
+    assert ' 404 ' in bench.send('/items/j?id=1', key, method='GET')
+    assert ' 404 ' in bench.send('/lots/j', key, method='DELETE')
+    assert bench.jobs.teams == [_BLUE] * 4
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,12 +1,12 @@
-"""The platform's words stay in the folder that translates them."""
+"""Names of the platform's protocol occur only in `guavagate/platform`."""
 
 import pathlib
 import re
 
 _ROOT = pathlib.Path(__file__).parents[2]
-_FOLDER = _ROOT / 'guavagate' / 'platform'
-_MOST_LINES = 1_700
-_WORDS = re.compile(
+_ADAPTER = _ROOT / 'guavagate' / 'platform'
+_MAX_LINES = 1_700
+_PROTOCOL_NAMES = re.compile(
     r'(?<!x-)guavagate-(request-id|server-seal|target-instance|not-executed'
     '|deadline-ms|weight-versions|server-load|wait-ms|length-hint)'
     '|kv-capacity|target-groups|store-revision|path-prefix|route-type'
@@ -15,22 +15,23 @@
 )
 
 
-def test_no_name_of_the_wire_stands_outside_the_folder() -> None:
-    """The product's own headers start with an X.
+def test_protocol_names_occur_only_in_the_adapter() -> None:
+    """A protocol name elsewhere would tie the product to one platform.
 
-    A name elsewhere would tie a decision to one platform's spelling.
+    The product's own headers start with `X-`, so they do not match.
     """
     found = [
         str(path.relative_to(_ROOT))
         for path in (_ROOT / 'guavagate').rglob('*.py')
-        if _FOLDER not in path.parents and _WORDS.search(path.read_text())
+        if _ADAPTER not in path.parents
+        and _PROTOCOL_NAMES.search(path.read_text())
     ]
     assert not found
 
 
-def test_the_folder_stays_a_translator() -> None:
-    """What decides belongs to the product."""
+def test_the_adapter_stays_small() -> None:
+    """The adapter only translates; decisions belong to other packages."""
     lines = sum(
-        len(path.read_text().splitlines()) for path in _FOLDER.glob('*.py')
+        len(path.read_text().splitlines()) for path in _ADAPTER.glob('*.py')
     )
-    assert lines <= _MOST_LINES
+    assert lines <= _MAX_LINES
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -1,4 +1,4 @@
-"""Objects by other writers: any bytes, fields of any type, unknown words."""
+"""Objects by other writers: any bytes, wrong types, unknown values."""
 
 import contextlib
 import json
@@ -47,10 +47,10 @@
 
 
 @given(st.binary() | _JSON.map(msgspec.json.encode))
-def test_decoders_tell_what_they_can_not_read(value: bytes) -> None:
-    """Whatever the bytes, a decoder returns or raises `ValueError`.
+def test_decoders_raise_only_value_errors(value: bytes) -> None:
+    """For any bytes, a decoder returns or raises `ValueError`.
 
-    Any other error would end the task that reads the others.
+    Any other error would end the task that reads the remaining objects.
     """
     for decode in (_decode_server, decode_version, decode_manifest):
         with contextlib.suppress(ValueError):
@@ -62,16 +62,16 @@
 
 
 @given(st.sampled_from(_READ), _JSON)
-def test_an_entry_names_a_sampler_only_with_all_it_needs(
+def test_a_registration_is_accepted_only_with_all_required_fields(
     field: str, value: object
 ) -> None:
-    """One field is of any other type or content, or missing.
+    """One field has another type or value, or is missing.
 
-    An entry that is read all the same is one that work can be sent to.
+    If the registration is accepted nevertheless, work can be sent to it.
     """
     for entry in (
         {**_SERVER, field: value},
-        {name: held for name, held in _SERVER.items() if name != field},
+        {name: each for name, each in _SERVER.items() if name != field},
     ):
         try:
             upstream = decode_server('i-1', msgspec.json.encode(entry))
@@ -83,8 +83,8 @@
 
 
 @pytest.mark.parametrize('state', ['', 'READY', 'retired', 'joining'])
-def test_an_unknown_state_names_no_sampler(state: str) -> None:
-    """Work sent there might be run by something that is no sampler."""
+def test_a_registration_with_an_unknown_state_is_rejected(state: str) -> None:
+    """Work might otherwise be sent to something that is not a sampler."""
     with pytest.raises(ValueError, match='state'):
         decode_server('i-1', msgspec.json.encode({**_SERVER, 'state': state}))
 
@@ -102,12 +102,10 @@
         ('address', '":80"'),
     ],
 )
-def test_an_entry_out_of_range_is_told_as_unreadable(
-    field: str, text: str
-) -> None:
-    """Taken in, it would raise where a connection is made, or a number used.
+def test_a_registration_out_of_range_is_rejected(field: str, text: str) -> None:
+    """Accepted, it would raise where a connection is made or a number used.
 
-    Such an error is none of those that a request is repeated after.
+    Requests are not retried after an error of that kind.
     """
     entry = {**_SERVER, field: msgspec.Raw(text.encode())}
     with pytest.raises(ValueError, match=r'\w+'):
@@ -120,14 +118,14 @@
     )
 
 
-def test_one_bad_entry_hides_no_other(
+def test_an_unreadable_registration_hides_no_other(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """A copy of a relay holds an unreadable registration between good ones.
+    """A relay's snapshot has an unreadable registration between valid ones.
 
-    Read up to the bad one only, the samplers behind it would be unknown. It
-    changes with each heartbeat, and is told once; one that named a sampler
-    before names none any more.
+    If decoding stopped there, the samplers after it would stay unknown. It
+    changes with each heartbeat but is logged once. A registration that becomes
+    unreadable removes its sampler.
     """
     world = World()
     upstreams = UpstreamTable(world.clock, ZoneId('z'))
@@ -141,8 +139,8 @@
         'servers', put, lambda name: upstreams.remove(UpstreamId(name))
     )
     good = msgspec.json.encode(_SERVER)
-    told: list[FeedEntry] = []
-    table.on_change = told.append
+    changes_seen: list[FeedEntry] = []
+    table.on_change = changes_seen.append
     entries = [
         _entry('a', good, 1),
         _entry('b', b'"\xff', 2),
@@ -159,13 +157,13 @@
     assert (
         sum('can not be read' in each.message for each in caplog.records) == 1
     )
-    assert len(told) == 29
+    assert len(changes_seen) == 29
     table.apply(_entry('c', b'{}', 30))
     assert [each.id for each in upstreams.all()] == ['a']
 
 
-# Half of a character, as JSON may spell it.
-_HALF = json.dumps(chr(0xD800)).encode()
+# A lone surrogate as JSON escapes it.
+_LONE_SURROGATE = json.dumps(chr(0xD800)).encode()
 _OBJECT = b'{"metadata":{"name":"%s","revision":5},"spec":%s}'
 
 
@@ -175,13 +173,13 @@
         b'{"metadata":{"name":7},"spec":{}}',
         b'{"spec":{}}',
         b'[]',
-        _OBJECT % (b'x', b'{"a":%s}' % _HALF),
+        _OBJECT % (b'x', b'{"a":%s}' % _LONE_SURROGATE),
         _OBJECT % (b'x', b'{"a":NaN}'),
         _OBJECT % (b'x', b'{"a":"\xff\xfe"}'),
     ],
 )
-def test_a_bad_object_of_a_page_hides_no_other(bad: bytes) -> None:
-    """Another writer's object has no name, half a character, bytes, NaN."""
+def test_an_unreadable_object_of_a_page_hides_no_other(bad: bytes) -> None:
+    """The bad object has no name, a lone surrogate, invalid UTF-8 or NaN."""
     page = b'{"items":[%s,%s,%s],"has-more":false,"store-revision":9}'
     good = [_OBJECT % (name, b'{"v":1}') for name in (b'a', b'c')]
     body = page % (good[0], bad, good[1])
@@ -194,11 +192,11 @@
     assert changes[-1].path == 'k/c'
 
 
-def test_records_of_others_stop_no_owner() -> None:
-    """Jobs, results and leases hold what nobody here has written.
+def test_unreadable_records_do_not_stop_a_job_owner() -> None:
+    """Jobs, results and leases contain objects that guavagate did not write.
 
-    The owner goes on with its own job, whose results keep their positions;
-    an unreadable job was never accepted.
+    The job owner finishes its own job and the results keep their positions;
+    an unreadable job counts as never accepted.
     """
     fleet = JobFleet()
     store = fleet.world.store
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""Messages of the platform, decoded once and encoded back."""
+"""Decoding and encoding of the platform's messages."""
 
 import msgspec
 import pytest
@@ -51,19 +51,19 @@
 
 
 def test_a_manifest_becomes_routes_and_services() -> None:
-    """Times are seconds; an unknown kind is treated as the strictest."""
-    held = decode_manifest(_MANIFEST)
-    job, other = held.routes
+    """Times become seconds; an unknown kind is treated as the strictest."""
+    configuration = decode_manifest(_MANIFEST)
+    job, other = configuration.routes
     assert (job.kind, job.timeout, job.host) == (RouteKind.JOB, 10, 'a.example')
     assert job.job_objective == 7.5
     assert other.kind is RouteKind.NON_IDEMPOTENT
     assert [share.weight for share in other.shares] == [90, 10]
-    assert held.services[0].models == ('m',)
-    assert held.limits.body_bytes == 1000
+    assert configuration.services[0].models == ('m',)
+    assert configuration.limits.body_bytes == 1000
 
 
-def test_a_registrations_counter_is_not_taken_for_orders() -> None:
-    """The same name counts heartbeats here and orders in a report."""
+def test_a_registrations_counter_is_not_read_as_orders() -> None:
+    """`seq` counts heartbeats in a registration and orders in a report."""
     upstream = decode_server(
         'i-1',
         b'{"service":"s","address":"10.0.0.1:80","zone":"z","slots":12,'
@@ -78,7 +78,7 @@
     return msgspec.json.encode({**submission, **fields})
 
 
-def _rate(**fields: object) -> dict[str, object]:
+def _with_reward(**fields: object) -> dict[str, object]:
     scorer = {'id': 'r1', 'host': 'A.example', 'path': '/q/1', 'body': 'AP8='}
     return {**_ITEM, 'scorer': {**scorer, **fields}}
 
@@ -90,15 +90,15 @@
 
 
 def test_an_item_names_its_reward_request() -> None:
-    """Its body is decoded; its host may be in any case."""
-    reward = _decode(_submit(items=[_rate()])).items[0].reward
+    """The body is decoded; the host matches in upper or lower case."""
+    reward = _decode(_submit(items=[_with_reward()])).items[0].reward
     assert reward is not None
     assert (reward.id, reward.host, reward.path) == ('r1', 'A.example', '/q/1')
     assert reward.body == b'\x00\xff'
 
 
-def test_a_signature_is_encoded_where_there_is_one() -> None:
-    """A result of an item without a reward has no such field."""
+def test_a_signature_is_encoded_if_present() -> None:
+    """The result of an item without a reward has no `score` field."""
     rated = Result('i1', ResultState.COMPLETED, 'a', [6], 's-1')  # type: ignore[arg-type, list-item]
     plain = Result('i2', ResultState.COMPLETED, 'a', [6])  # type: ignore[arg-type, list-item]
     page = msgspec.json.decode(encode_page(Page(2, 2, [rated, plain])))
@@ -107,7 +107,7 @@
 
 
 def test_a_submission_becomes_a_job() -> None:
-    """Bodies are decoded, hints taken from the items' headers."""
+    """Bodies are decoded; length hints come from the items' headers."""
     job = decode_submission(
         'id-1', _submit(step=7), make_route('/p/'), ServiceId('s'), 5
     )
@@ -126,34 +126,34 @@
         _submit(items=[_ITEM, _ITEM]),
         _submit(items=[{**_ITEM, 'body': '!'}]),
         _submit(items=[{'id': 'i1'}]),
-        _submit(items=[_rate(id='')]),
-        _submit(items=[_rate(body='!')]),
-        _submit(items=[_rate(host='other.example')]),
-        _submit(items=[_rate(path='x')]),
-        _submit(items=[_rate(path='/x y')]),
-        _submit(items=[_rate(path='/\u00e9')]),
-        _submit(items=[_rate(id='\u00e9')]),
-        _submit(items=[_rate(body='QUFB' * 400_000)]),
-        _submit(items=[_rate(), {**_rate(), 'id': 'i2'}]),
+        _submit(items=[_with_reward(id='')]),
+        _submit(items=[_with_reward(body='!')]),
+        _submit(items=[_with_reward(host='other.example')]),
+        _submit(items=[_with_reward(path='x')]),
+        _submit(items=[_with_reward(path='/x y')]),
+        _submit(items=[_with_reward(path='/\u00e9')]),
+        _submit(items=[_with_reward(id='\u00e9')]),
+        _submit(items=[_with_reward(body='QUFB' * 400_000)]),
+        _submit(items=[_with_reward(), {**_with_reward(), 'id': 'i2'}]),
         _submit(items=[{**_ITEM, 'scorer': {'id': 'r1'}}]),
     ],
 )
-def test_a_bad_submission_is_refused_with_what_to_correct(
+def test_an_invalid_submission_is_rejected_with_a_message(
     body: bytes,
 ) -> None:
-    """Malformed JSON, no items, one id twice, a body that is no base64."""
+    """Malformed JSON, no items, repeated ids, invalid base64 and others."""
     with pytest.raises(BadJobError, match=r'\w+'):
         _decode(body)
 
 
-def test_an_id_that_can_not_be_a_name_is_refused() -> None:
-    """It would be another path in the store."""
+def test_an_id_with_a_slash_is_rejected() -> None:
+    """An id with a slash would be another path in the store."""
     with pytest.raises(BadJobError):
         _decode(_submit(), 'a/b')
 
 
 def test_results_are_encoded_by_their_wire_names() -> None:
-    """Positions follow from `next` and the order."""
+    """Results have no positions: these follow from `next` and the order."""
     result = Result('i1', ResultState.COMPLETED, 'a\nb', [6, 7])  # type: ignore[arg-type, list-item]
     assert msgspec.json.decode(encode_page(Page(40, 13, [result]))) == {
         'total': 40,
@@ -169,8 +169,8 @@
     }
 
 
-def test_a_forwarded_request_names_its_target_and_what_is_left() -> None:
-    """Headers of the caller's connection stay behind, others go on."""
+def test_a_forwarded_request_has_its_target_and_remaining_time() -> None:
+    """Hop-by-hop headers are dropped, others are forwarded."""
     call = dialect.Call(
         id='1',
         request=Request(
@@ -203,8 +203,10 @@
     ]
 
 
-def test_settings_that_lack_a_field_name_it(tmp_path: object) -> None:
-    """The platform writes the file; a wrong one is told clearly."""
+def test_an_error_in_the_settings_names_the_missing_field(
+    tmp_path: object,
+) -> None:
+    """The platform writes the file; the error names the missing field."""
     path = f'{tmp_path}/node.toml'
     with open(path, 'w', encoding='utf-8') as file:
         file.write('node-name = "a"\n')
@@ -212,8 +214,8 @@
         load_settings(path)
 
 
-class _Caller:
-    """Answers calls to the store from a list."""
+class _FakeCaller:
+    """Fake store connection with prepared answers."""
 
     def __init__(self, *answers: Answer) -> None:
         self.answers = list(answers)
@@ -225,8 +227,10 @@
         return self.answers.pop(0)
 
 
-def _make_store(*answers: tuple[int, bytes]) -> tuple[PlatformStore, _Caller]:
-    caller = _Caller(
+def _make_store(
+    *answers: tuple[int, bytes],
+) -> tuple[PlatformStore, _FakeCaller]:
+    caller = _FakeCaller(
         *(Answer(status=status, body=body) for status, body in answers)
     )
     return PlatformStore(caller), caller  # type: ignore[arg-type]
@@ -235,8 +239,8 @@
 _OBJECT = b'{"metadata":{"name":"n","revision":5},"spec":{"a":1},"status":null}'
 
 
-def test_a_list_is_read_to_its_end() -> None:
-    """Its revision is the first page's: changes since are watched."""
+def test_a_list_is_read_to_its_last_page() -> None:
+    """The revision is the first page's; the watch starts there."""
     store, caller = _make_store(
         (200, b'{"items":[%s],"has-more":true,"store-revision":9}' % _OBJECT),
         (200, b'{"items":[],"has-more":false,"store-revision":12}'),
@@ -247,8 +251,8 @@
     assert caller.calls[1].path == '/objects/k?after=n'
 
 
-def test_a_conflict_tells_what_is_there() -> None:
-    """Whoever lost a race reads the winner's object from the answer."""
+def test_a_conflict_contains_the_current_object() -> None:
+    """A writer that lost a race finds the winner's object in the error."""
     store, _ = _make_store((409, _OBJECT))
     with pytest.raises(StoreConflictError) as caught:
         store.put('k/n', b'{}', Revision(0))
@@ -256,8 +260,8 @@
     assert caught.value.current.value == b'{"a":1}'
 
 
-def test_a_watch_names_deleted_objects_and_dropped_history() -> None:
-    """A deleted object has no value; dropped history is an error of its own."""
+def test_a_watch_reports_deleted_objects_and_compacted_history() -> None:
+    """A deleted object has no value; compacted history has its own error."""
     event = b'{"events":[{"deleted":true,"object":%s}],"store-revision":8}'
     store, _ = _make_store((200, event % _OBJECT), (410, b''))
     changes, revision = store.watch('k', Revision(5), 1)
@@ -266,8 +270,8 @@
         store.watch('k', Revision(5), 1)
 
 
-def test_an_answer_that_is_none_is_told_as_such() -> None:
-    """Something else listens at the store's address."""
+def test_a_malformed_answer_raises_store_unavailable() -> None:
+    """Something other than the store listens at its address."""
     store, _ = _make_store((200, b'<html>'))
     with pytest.raises(StoreUnavailableError):
         store.get('k/n')
