--- a/guavagate/runs/__init__.py
+++ b/guavagate/runs/__init__.py
@@ -1,4 +1,4 @@
-"""Training runs: steps, samples and their delivery."""
+"""Training runs: steps, their samples and the delivery to trainers."""
 
 from guavagate.runs._client import RunAddress, RunsClient, partition_key
 from guavagate.runs._commands import (
--- a/guavagate/runs/_client.py
+++ b/guavagate/runs/_client.py
@@ -1,4 +1,4 @@
-"""The trainers' way to a run's partition, from any instance."""
+"""Client for the runs: submits commands to a run's partition."""
 
 import hashlib
 from typing import Final, TypeVar
@@ -28,14 +28,14 @@
 from guavagate.runs._cursor import decode_cursor
 from guavagate.runtime import Runtime
 
-COMMAND_TIMEOUT: Final = 5.0
-POLL_PAUSE: Final = 0.1
+COMMAND_TIMEOUT_SECONDS: Final = 5.0
+POLL_INTERVAL_SECONDS: Final = 0.1
 
 Result = TypeVar('Result', bound=Outcome)
 
 
 class RunAddress(msgspec.Struct, frozen=True, kw_only=True):
-    """A run and the deployment, unique over teams, that serves it."""
+    """A run, its team and the deployment that serves it."""
 
     team: TeamId
     deployment: DeploymentId
@@ -43,21 +43,21 @@
 
     @property
     def lineage(self) -> DeploymentId:
-        """Return the deployment's name over all teams."""
+        """Return the deployment's id, made unique across teams."""
         return DeploymentId(f'{self.team}/{self.deployment}')
 
 
 def partition_key(lineage: DeploymentId) -> str:
-    """Return what decides the partition of a deployment's runs.
+    """Return the key that determines the partition of a deployment's runs.
 
-    All runs of a deployment share it, so that "newest version" is exact
-    where staleness is checked.
+    All runs of a deployment share one partition, so that the staleness check
+    always compares with the newest published version.
     """
     return f'runs/{lineage}'
 
 
 class RunsClient:
-    """Submits run commands and turns verdicts into refusals."""
+    """Submits run commands and raises refusals for failed verdicts."""
 
     def __init__(self, runtime: Runtime) -> None:
         self._runtime = runtime
@@ -65,10 +65,10 @@
     def publish(
         self, address: RunAddress, version: WeightVersion
     ) -> RunOutcome:
-        """Record a published version; publishing it again is harmless."""
+        """Record a published version; the call is idempotent."""
         outcome = self._submit(
             PublishVersion(
-                at=self._wall(),
+                at=self._wall_time(),
                 deployment=address.lineage,
                 run=address.run,
                 version=version,
@@ -77,8 +77,9 @@
         )
         if outcome.verdict is Verdict.CONFLICT:
             raise RefusalError(
-                f'version {version} is below the newest, {outcome.newest}',
-                'publish versions in rising order',
+                f'version {version} is lower than the newest published'
+                f' version, {outcome.newest}',
+                'publish versions in ascending order',
                 reason='version_order',
                 status=409,
             )
@@ -91,11 +92,11 @@
         groups: tuple[GroupSpec, ...],
         max_staleness: int,
     ) -> RunOutcome:
-        """Submit a step; the same step again is harmless."""
+        """Submit a step; the call is idempotent."""
         digest = hashlib.sha256(msgspec.msgpack.encode(groups)).hexdigest()
         outcome = self._submit(
             SubmitStep(
-                at=self._wall(),
+                at=self._wall_time(),
                 deployment=address.lineage,
                 run=address.run,
                 step_id=step_id,
@@ -115,10 +116,10 @@
         step_id: str,
         sample: FinishedSample,
     ) -> Verdict:
-        """Enter a whole sample; only the first of a sample is taken."""
+        """Record a complete sample; the first result of each sample wins."""
         return self._submit(
             FinishSample(
-                at=self._wall(),
+                at=self._wall_time(),
                 deployment=lineage,
                 run=run,
                 step_id=step_id,
@@ -134,13 +135,13 @@
         max_samples: int,
         wait: float,
     ) -> Batch:
-        """Return what follows a cursor, waiting a while for some."""
+        """Return the next batch; wait up to `wait` seconds for samples."""
         decode_cursor(cursor)
-        until = self._runtime.clock.now() + wait
+        deadline = self._runtime.clock.now() + wait
         while True:
             batch = self._submit(
                 PullBatch(
-                    at=self._wall(),
+                    at=self._wall_time(),
                     deployment=address.lineage,
                     run=address.run,
                     cursor=cursor,
@@ -149,18 +150,18 @@
                 Batch,
             )
             _check_pulled(batch)
-            if batch.samples or self._runtime.clock.now() >= until:
+            if batch.samples or self._runtime.clock.now() >= deadline:
                 return batch
-            self._runtime.clock.sleep(POLL_PAUSE)
+            self._runtime.clock.sleep(POLL_INTERVAL_SECONDS)
 
     def store_cursor(
         self, address: RunAddress, consumer: str, cursor: str
     ) -> str:
-        """Keep a consumer's cursor, or return the one kept."""
+        """Store a consumer's cursor and return the newest stored one."""
         decode_cursor(cursor)
         return self._submit(
             KeepCursor(
-                at=self._wall(),
+                at=self._wall_time(),
                 deployment=address.lineage,
                 run=address.run,
                 consumer=consumer,
@@ -169,14 +170,14 @@
             RunOutcome,
         ).cursor
 
-    def _wall(self) -> float:
+    def _wall_time(self) -> float:
         return self._runtime.clock.wall()
 
     def _submit(self, command: RunCommand, kind: type[Result]) -> Result:
         key = partition_key(command.deployment)
         try:
             return self._runtime.partitions.submit(
-                key, command, kind, COMMAND_TIMEOUT
+                key, command, kind, COMMAND_TIMEOUT_SECONDS
             )
         except NotAppliedError as error:
             raise RefusalError(
@@ -188,7 +189,7 @@
         except OutcomeUnknownError as error:
             raise RefusalError(
                 error.problem,
-                'repeat the same call; a repeat is harmless',
+                'repeat the same call; it is idempotent',
                 reason='outcome_unknown',
                 not_run=NotRun.UNKNOWN,
                 retry_after=1.0,
@@ -198,15 +199,15 @@
 def _check_submitted(verdict: Verdict, step_id: str) -> None:
     if verdict is Verdict.CONFLICT:
         raise RefusalError(
-            f'step {step_id!r} was submitted before with other groups',
-            'give the new step another step_id',
+            f'step {step_id!r} was already submitted with different groups',
+            'give the new step a different step_id',
             reason='step_conflict',
             status=409,
         )
     if verdict is Verdict.FULL:
         raise RefusalError(
-            'too many steps are in work for this run',
-            'pull the earlier steps, then submit again',
+            'this run has too many open steps',
+            'pull the batches of the earlier steps, then submit again',
             reason='too_many_steps',
             status=429,
             retry_after=5.0,
@@ -216,14 +217,14 @@
 def _check_pulled(batch: Batch) -> None:
     if batch.verdict is Verdict.SUPERSEDED:
         raise RefusalError(
-            'a later cursor has been presented already',
-            'present the cursor of the batch that was taken last',
+            'a later cursor has already been presented',
+            'present the cursor of the last batch that you accepted',
             reason='cursor_superseded',
             status=409,
         )
     if batch.verdict is Verdict.UNKNOWN_STEP:
         raise RefusalError(
-            f'step {batch.step_id!r} is not known; its record was removed',
+            f'step {batch.step_id!r} is unknown; its record was removed',
             'publish your newest version and submit your steps again, then'
             ' pull with the same cursor',
             reason='unknown_step',
--- a/guavagate/runs/_commands.py
+++ b/guavagate/runs/_commands.py
@@ -1,4 +1,4 @@
-"""Commands and outcomes of the runs' state."""
+"""Commands that change the replicated state of runs, and their outcomes."""
 
 import enum
 
@@ -16,7 +16,7 @@
 
 
 class GroupSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """A group of samples of one prompt."""
+    """A group of samples for one prompt."""
 
     group_id: str
     prompt: str
@@ -26,7 +26,7 @@
 
 
 class FinishedSample(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole sample, with the versions of every piece of it."""
+    """A complete sample with the weight version of each piece."""
 
     sample_id: SampleId
     group_id: str
@@ -36,27 +36,28 @@
 
 
 class RunCommand(Command, frozen=True, kw_only=True):
-    """Base of the commands; all name the deployment and the run."""
+    """Base class of the commands; each names its deployment and run."""
 
     deployment: DeploymentId
     run: RunId
 
 
 class PublishVersion(RunCommand, frozen=True, kw_only=True):
-    """The trainer has published new weights."""
+    """Records a weight version that the trainer published."""
 
     version: WeightVersion
 
 
 class SubmitStep(RunCommand, frozen=True, kw_only=True):
-    """The trainer asks for a step's samples.
+    """Submits a step whose samples the trainer needs.
 
     Parameters
     ----------
     digest
-        Of the whole step, so that a repeated submit is told from another.
+        Hash of the step's groups; distinguishes a repeated submission from a
+        different step with the same id.
     max_staleness
-        Versions by which a sample may lag the newest published one.
+        Number of versions by which a sample may lag the newest published one.
     """
 
     step_id: str
@@ -66,34 +67,34 @@
 
 
 class FinishSample(RunCommand, frozen=True, kw_only=True):
-    """A worker has a whole sample."""
+    """Records a complete sample from a worker."""
 
     step_id: str
     sample: FinishedSample
 
 
 class PullBatch(RunCommand, frozen=True, kw_only=True):
-    """The trainer presents its cursor and asks for what follows it."""
+    """Requests the batch that follows the trainer's cursor."""
 
     cursor: str
     max_samples: int
 
 
 class KeepCursor(RunCommand, frozen=True, kw_only=True):
-    """A consumer without a cursor of its own acknowledges a batch."""
+    """Stores the cursor of a consumer that keeps none itself."""
 
     consumer: str
     cursor: str
 
 
 class ConfirmOrder(RunCommand, frozen=True, kw_only=True):
-    """The primary proves that it still decides before it orders a swap."""
+    """Proves that the primary still owns the partition before it orders."""
 
     version: WeightVersion
 
 
 class Verdict(enum.Enum):
-    """What became of a command."""
+    """Result of a command."""
 
     ACCEPTED = 'accepted'
     DUPLICATE = 'duplicate'
@@ -105,7 +106,7 @@
 
 
 class RunOutcome(Outcome, frozen=True, kw_only=True):
-    """What became of a command that hands nothing out."""
+    """Outcome of a command that returns no samples."""
 
     verdict: Verdict
     newest: WeightVersion | None = None
@@ -113,17 +114,17 @@
 
 
 class Batch(Outcome, frozen=True, kw_only=True):
-    """What follows a cursor.
+    """The samples that follow a cursor.
 
     Parameters
     ----------
     follows
-        The presented cursor; a trainer takes a batch only if this is the
-        cursor it holds.
+        The presented cursor; a trainer accepts a batch only if this equals
+        its current cursor.
     cursor
-        What to present next, and thereby acknowledge this batch.
+        The cursor to present next, which acknowledges this batch.
     complete
-        Whether the step is delivered whole with this batch.
+        Whether this batch completes the delivery of the step.
     """
 
     verdict: Verdict
--- a/guavagate/runs/_cursor.py
+++ b/guavagate/runs/_cursor.py
@@ -1,9 +1,9 @@
-"""The trainer's cursor: an opaque token that commits what was delivered.
+"""The trainer's cursor: an opaque token that commits delivered groups.
 
-It names the step, the groups delivered (a bitmap: 2,048 samples in groups of
-8 are 32 bytes), the sequence number of the batch and the incarnation of the
-run's state that issued it. Should the record be removed from the store, the
-cursor alone still says what the trainer has.
+It contains the step, a bitmap of the delivered groups (32 bytes for 2,048
+samples in groups of 8), the sequence number of the batch and the incarnation
+of the run's state that issued it. If the record is removed from the store, the
+cursor alone still shows what the trainer has received.
 """
 
 import base64
@@ -23,12 +23,12 @@
     delivered: bytes = b''
 
 
-START = Cursor()
+START_CURSOR = Cursor()
 
 
 def encode_cursor(cursor: Cursor) -> str:
-    """Return the opaque token of a cursor; the start is empty."""
-    if cursor == START:
+    """Return the opaque token of a cursor; the start cursor's is empty."""
+    if cursor == START_CURSOR:
         return ''
     packed = msgspec.msgpack.encode(cursor)
     return base64.urlsafe_b64encode(packed).decode()
@@ -40,24 +40,24 @@
     Raises
     ------
     RefusalError
-        The token is none that guavagate issued.
+        The token was not issued by guavagate.
     """
     if not token:
-        return START
+        return START_CURSOR
     try:
         packed = base64.b64decode(token.encode(), altchars=b'-_', validate=True)
         return msgspec.msgpack.decode(packed, type=Cursor)
     except (binascii.Error, msgspec.MsgspecError, UnicodeError) as error:
         raise RefusalError(
-            'the cursor is not one that guavagate issued',
-            'present the cursor of the last batch unchanged, or none',
+            'the cursor was not issued by guavagate',
+            'present the cursor of the last batch unchanged, or omit it',
             reason='bad_cursor',
             status=400,
         ) from error
 
 
 def has_group(delivered: bytes, index: int) -> bool:
-    """Tell whether a bitmap holds a group."""
+    """Return whether a bitmap contains a group."""
     byte = index // 8
     return byte < len(delivered) and bool(delivered[byte] >> (index % 8) & 1)
 
@@ -71,9 +71,9 @@
 
 
 def is_older(token: str, other: str) -> bool:
-    """Tell whether a cursor was issued before another of its incarnation."""
+    """Return whether a cursor precedes another of the same incarnation."""
     cursor = decode_cursor(token)
-    than = decode_cursor(other)
-    if cursor.incarnation != than.incarnation:
+    other_cursor = decode_cursor(other)
+    if cursor.incarnation != other_cursor.incarnation:
         return False
-    return cursor.sequence < than.sequence
+    return cursor.sequence < other_cursor.sequence
--- a/guavagate/runs/_driver.py
+++ b/guavagate/runs/_driver.py
@@ -1,8 +1,9 @@
-"""Drives the runs whose partitions this instance decides.
+"""Assigns the pending samples of runs to workers.
 
-Keeps a window of samples with workers, by the runs' weights, and assigns anew
-what a lost worker held. Nothing here is replicated: a sample that is made
-twice is entered once, so a takeover costs at most some generation.
+Runs on the primary of each run's partition. It keeps a limited number of
+samples assigned, shared among runs by their weights, and reassigns the samples
+of a lost worker. Assignments are not replicated: a sample that is generated
+twice is recorded once, so a takeover wastes at most some generation.
 """
 
 import logging
@@ -34,42 +35,42 @@
 _LOGGER = logging.getLogger(__name__)
 
 TICK_SECONDS: Final = 0.05
-# While no run is decided here; twenty wake-ups a second for nothing were a
-# quarter of an instance's processor time at rest.
-IDLE_SECONDS: Final = 0.5
-# Samples handed to workers for each slot of the deployment. One would leave a
-# slot idle while the next sample travels; many would wait in the pool's queue
-# on the versions of the moment they were assigned, and grow stale there.
-WINDOW_PER_SLOT: Final = 1.5
-# A worker may hold this much more than the mean before the next one in the
-# sample's order takes it.
-LOAD_BOUND: Final = 1.25
-# A failed sample waits this long, doubled for each failure, before it is
-# assigned anew, so that a pool without samplers is not asked in a circle.
-RETRY_PAUSE: Final = 0.2
-MAX_RETRY_PAUSE: Final = 5.0
-
-# Assignments of samples that were committed or moved away are forgotten at
-# this pace; those that ended here are forgotten at once.
-CLEAN_SECONDS: Final = 2.0
-# Share of a new measurement in the mean time of a sample.
-SMOOTHING: Final = 0.1
+# Tick interval while this instance is primary of no run. Waking up 20 times a
+# second took a quarter of an idle instance's processor time.
+IDLE_TICK_SECONDS: Final = 0.5
+# Samples assigned to workers for each slot of the deployment. With 1, a slot is
+# idle while the next sample is on its way. With many, samples wait in the
+# pool's queue with the version bound of their assignment and become stale.
+SAMPLES_PER_SLOT: Final = 1.5
+# Maximum load of a worker relative to the mean; above it, a sample goes to the
+# next worker of its ranking.
+MAX_RELATIVE_LOAD: Final = 1.25
+# Delay before a failed sample is reassigned, doubled for each failure, so that
+# requests to a pool without samplers don't repeat in a tight loop.
+RETRY_DELAY_SECONDS: Final = 0.2
+MAX_RETRY_DELAY_SECONDS: Final = 5.0
+
+# Interval of removing assignments whose samples were committed or whose
+# partition has moved; those that end here are removed immediately.
+CLEANUP_INTERVAL_SECONDS: Final = 2.0
+# Weight of a new measurement in the moving average of sample durations.
+SMOOTHING_FACTOR: Final = 0.1
 
 # Verdicts after which a sample is no longer pending.
-SETTLED: Final = frozenset(
+FINAL_VERDICTS: Final = frozenset(
     (Verdict.ACCEPTED, Verdict.DUPLICATE, Verdict.UNKNOWN_STEP)
 )
 
 HostedStates = Callable[[], Iterable[tuple[Epoch, RunsState]]]
-_Key = tuple[DeploymentId, RunId, SampleId]
+_SampleKey = tuple[DeploymentId, RunId, SampleId]
 
 
 class Assignment(msgspec.Struct, kw_only=True):
-    """A sample that a worker holds, or that waits to be assigned anew."""
+    """A sample assigned to a worker, or waiting for reassignment."""
 
     worker: InstanceId | None
     attempt: int
-    since: float
+    assigned_at: float
     not_before: float = 0
 
 
@@ -79,63 +80,63 @@
     def __init__(self, runtime: Runtime, hosted: HostedStates) -> None:
         self._runtime = runtime
         self._hosted = hosted
-        self._assigned: dict[_Key, Assignment] = {}
-        self._seconds: dict[DeploymentId, float] = {}
-        self._cleans_at = float('-inf')
+        self._assignments: dict[_SampleKey, Assignment] = {}
+        self._mean_seconds: dict[DeploymentId, float] = {}
+        self._next_cleanup_at = float('-inf')
         runtime.bus.register(SampleEnded, self._on_ended)
 
     def start(self) -> None:
-        """Assign until the instance stops."""
+        """Assign samples until the instance stops."""
         self._runtime.clock.spawn(self._run)
 
     def mean_sample_seconds(self, lineage: DeploymentId) -> float | None:
-        """Return the mean time that a sample takes, once one is measured."""
-        return self._seconds.get(lineage)
+        """Return the mean duration of a sample, if one has been measured."""
+        return self._mean_seconds.get(lineage)
 
     def tick(self) -> None:
-        """Assign what the windows allow."""
+        """Reassign lost samples and assign pending ones to free slots."""
         self._release_lost()
         now = self._runtime.clock.now()
-        if now >= self._cleans_at:
-            self._cleans_at = now + CLEAN_SECONDS
-            self._forget_settled()
+        if now >= self._next_cleanup_at:
+            self._next_cleanup_at = now + CLEANUP_INTERVAL_SECONDS
+            self._remove_settled()
         for _, state in self._hosted():
             for lineage in list(state.lineages):
-                found = find_deployment(self._runtime, lineage)
+                deployment = find_deployment(self._runtime, lineage)
                 if (
-                    found is not None
+                    deployment is not None
                     and state.find_newest_version(lineage) is not None
                 ):
-                    self._assign(lineage, found, state)
+                    self._assign_pending(lineage, deployment, state)
 
-    def _forget_settled(self) -> None:
-        """Forget samples that are no longer pending, or not decided here."""
-        pending: set[_Key] = set()
+    def _remove_settled(self) -> None:
+        """Remove assignments whose samples are not pending on this primary."""
+        pending: set[_SampleKey] = set()
         for _, state in self._hosted():
             for lineage in state.lineages:
                 for run, samples in state.list_pending_by_run(lineage).items():
                     pending.update((lineage, run, name) for name in samples)
-        for key in [key for key in self._assigned if key not in pending]:
-            self._assigned.pop(key)
+        for key in [key for key in self._assignments if key not in pending]:
+            self._assignments.pop(key)
 
     def _run(self) -> None:
         while True:
             busy = any(state.lineages for _, state in self._hosted())
             self._runtime.clock.sleep(
-                TICK_SECONDS if busy or self._assigned else IDLE_SECONDS
+                TICK_SECONDS if busy or self._assignments else IDLE_TICK_SECONDS
             )
             self.tick()
 
-    def _assign(
+    def _assign_pending(
         self,
         lineage: DeploymentId,
         deployment: DeploymentSettings,
         state: RunsState,
     ) -> None:
         by_run = state.list_pending_by_run(lineage)
-        counts = self._count_by_run(lineage)
+        counts = self._count_assigned(lineage)
         slots = sum(sampler.slots for sampler in deployment.samplers)
-        free = int(slots * WINDOW_PER_SLOT) - sum(counts.values())
+        free = int(slots * SAMPLES_PER_SLOT) - sum(counts.values())
         if free <= 0 or all(
             counts.get(run, 0) >= len(samples)
             for run, samples in by_run.items()
@@ -147,14 +148,16 @@
         }
         weights = {run.id: run.weight for run in deployment.runs}
         while free > 0 and queues:
-            run = _least_served(list(queues), counts, weights)
+            run = _find_least_served(list(queues), counts, weights)
             sample = next(queues[run], None)
             if sample is None:
                 queues.pop(run)
                 continue
             counts[run] = counts.get(run, 0) + 1
             free -= 1
-            self._hand_over(lineage, state, run, sample, weights.get(run, 1))
+            self._assign_sample(
+                lineage, state, run, sample, weights.get(run, 1)
+            )
 
     def _iterate_unassigned(
         self,
@@ -164,11 +167,13 @@
     ) -> Iterator[PendingSample]:
         now = self._runtime.clock.now()
         for sample in list(samples.values()):
-            held = self._assigned.get((lineage, run, sample.sample_id))
-            if held is None or (not held.worker and held.not_before <= now):
+            assignment = self._assignments.get((lineage, run, sample.sample_id))
+            if assignment is None or (
+                not assignment.worker and assignment.not_before <= now
+            ):
                 yield sample
 
-    def _hand_over(
+    def _assign_sample(
         self,
         lineage: DeploymentId,
         state: RunsState,
@@ -177,13 +182,15 @@
         weight: float,
     ) -> None:
         key = (lineage, run, sample.sample_id)
-        before = self._assigned.get(key)
-        attempt = before.attempt + 1 if before else 0
+        previous = self._assignments.get(key)
+        attempt = previous.attempt + 1 if previous else 0
         worker = self._choose_worker(f'{run}/{sample.sample_id}', attempt)
         if worker is None:
             return
-        self._assigned[key] = Assignment(
-            worker=worker, attempt=attempt, since=self._runtime.clock.now()
+        self._assignments[key] = Assignment(
+            worker=worker,
+            attempt=attempt,
+            assigned_at=self._runtime.clock.now(),
         )
         team, _, deployment = lineage.partition('/')
         write(
@@ -214,73 +221,81 @@
         )
 
     def _choose_worker(self, subject: str, attempt: int) -> InstanceId | None:
-        """Return the worker of a sample.
+        """Return the worker for an attempt at a sample.
 
-        The same sample goes to the same worker after a takeover, which then
-        finds it in work and does not start it twice.
+        Rendezvous hashing selects the same worker again after a takeover; that
+        worker is already generating the sample and doesn't start it twice.
         """
         alive = [peer.id for peer in self._runtime.members.alive()]
         loads = dict.fromkeys(alive, 0)
-        for held in self._assigned.values():
-            if held.worker in loads:
-                loads[held.worker] += 1
-        bound = LOAD_BOUND * (sum(loads.values()) + 1) / max(len(alive), 1)
-        within = [name for name in alive if loads[name] < max(bound, 1)]
-        ranked = rank(subject, within)
+        for assignment in self._assignments.values():
+            if assignment.worker in loads:
+                loads[assignment.worker] += 1
+        max_load = (
+            MAX_RELATIVE_LOAD * (sum(loads.values()) + 1) / max(len(alive), 1)
+        )
+        candidates = [name for name in alive if loads[name] < max(max_load, 1)]
+        ranked = rank(subject, candidates)
         return ranked[attempt % len(ranked)] if ranked else None
 
-    def _count_by_run(self, lineage: DeploymentId) -> dict[RunId, int]:
+    def _count_assigned(self, lineage: DeploymentId) -> dict[RunId, int]:
         counts: dict[RunId, int] = {}
-        for (of, run, _), held in self._assigned.items():
-            if of == lineage and held.worker:
+        for (assigned_lineage, run, _), assignment in self._assignments.items():
+            if assigned_lineage == lineage and assignment.worker:
                 counts[run] = counts.get(run, 0) + 1
         return counts
 
     def _release_lost(self) -> None:
-        # A leaving worker is still there and finishes what it holds.
+        # A leaving worker is still a member and finishes its samples.
         lost = {
             worker
-            for worker in {held.worker for held in self._assigned.values()}
+            for worker in {
+                assignment.worker for assignment in self._assignments.values()
+            }
             if worker and self._runtime.members.get(worker) is None
         }
-        for (_, run, sample), held in self._assigned.items():
-            if held.worker in lost:
+        for (_, run, sample), assignment in self._assignments.items():
+            if assignment.worker in lost:
                 write(
                     _LOGGER,
                     WORKER_LOST,
-                    worker=held.worker,
+                    worker=assignment.worker,
                     run=run,
                     sample=sample,
                 )
-                held.worker = None
+                assignment.worker = None
 
     def _on_ended(self, sender: InstanceId, message: Message) -> None:
         ended = expect(message, SampleEnded)
-        held = self._assigned.get((ended.lineage, ended.run, ended.sample_id))
-        if held is None or held.attempt != ended.attempt:
+        assignment = self._assignments.get(
+            (ended.lineage, ended.run, ended.sample_id)
+        )
+        if assignment is None or assignment.attempt != ended.attempt:
             return
-        held.worker = None
-        if ended.verdict in SETTLED:
-            self._assigned.pop(
+        assignment.worker = None
+        if ended.verdict in FINAL_VERDICTS:
+            self._assignments.pop(
                 (ended.lineage, ended.run, ended.sample_id), None
             )
         if ended.verdict is Verdict.ACCEPTED:
-            took = self._runtime.clock.now() - held.since
-            before = self._seconds.get(ended.lineage, took)
-            self._seconds[ended.lineage] = before + SMOOTHING * (took - before)
+            seconds = self._runtime.clock.now() - assignment.assigned_at
+            previous = self._mean_seconds.get(ended.lineage, seconds)
+            self._mean_seconds[ended.lineage] = previous + SMOOTHING_FACTOR * (
+                seconds - previous
+            )
         if ended.verdict in {None, Verdict.STALE}:
-            pause = RETRY_PAUSE * 2 ** min(held.attempt, 5)
-            held.not_before = self._runtime.clock.now() + min(
-                pause, MAX_RETRY_PAUSE
+            delay = RETRY_DELAY_SECONDS * 2 ** min(assignment.attempt, 5)
+            assignment.not_before = self._runtime.clock.now() + min(
+                delay, MAX_RETRY_DELAY_SECONDS
             )
 
 
-def _least_served(
+def _find_least_served(
     waiting: list[RunId],
     counts: dict[RunId, int],
     weights: dict[RunId, float],
 ) -> RunId:
-    """Return the run that has the least samples in work for its weight."""
+    """Return the run with the fewest assigned samples for its weight."""
     return min(
         waiting,
         key=lambda name: counts.get(name, 0) / weights.get(name, 1),
@@ -290,7 +305,7 @@
 def find_deployment(
     runtime: Runtime, lineage: DeploymentId
 ) -> DeploymentSettings | None:
-    """Return the settings in force of a deployment named over all teams."""
+    """Return the current settings of a deployment, given its unique id."""
     team_id, _, name = lineage.partition('/')
     team = runtime.teams.get(TeamId(team_id))
     for deployment in team.deployments if team else ():
@@ -300,10 +315,10 @@
 
 
 def find_oldest_fresh_version(
-    state: RunsState, lineage: DeploymentId, bound: int
+    state: RunsState, lineage: DeploymentId, max_staleness: int
 ) -> WeightVersion | None:
-    """Return the oldest version whose samples are still within a bound."""
+    """Return the oldest version within a staleness bound."""
     published = state.lineages[lineage].published
     if not published:
         return None
-    return published[max(len(published) - 1 - bound, 0)]
+    return published[max(len(published) - 1 - max_staleness, 0)]
--- a/guavagate/runs/_messages.py
+++ b/guavagate/runs/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between a run's primary and the workers of its samples."""
+"""Messages between a run's primary and the workers that generate samples."""
 
 from guavagate.links import Message
 from guavagate.models import (
@@ -12,14 +12,14 @@
 
 
 class GenerateSample(Message, frozen=True, kw_only=True):
-    """The primary asks a worker for one sample.
+    """Requests one sample from a worker; sent by the primary.
 
     Parameters
     ----------
     attempt
-        Distinguishes duplicates of one sample.
+        Distinguishes the attempts at one sample.
     oldest
-        The oldest version that still makes the sample fresh, if any is known.
+        The oldest version within the staleness bound, if any is known.
     """
 
     team: TeamId
@@ -36,7 +36,7 @@
 
 
 class SampleEnded(Message, frozen=True, kw_only=True):
-    """A worker has ended with a sample; no verdict when it failed."""
+    """Reports that an attempt ended; it has no verdict if it failed."""
 
     lineage: DeploymentId
     run: RunId
@@ -46,7 +46,7 @@
 
 
 class CancelSample(Message, frozen=True, kw_only=True):
-    """Another attempt was first; stop this one."""
+    """Stops an attempt because another one finished first."""
 
     run: RunId
     sample_id: SampleId
--- a/guavagate/runs/_race.py
+++ b/guavagate/runs/_race.py
@@ -1,8 +1,8 @@
-"""One sample from whichever copy of it is whole first.
+"""Races the main run of a sample against speculative runs.
 
-Near the end of a step idle slots take second copies of what would end last.
-The first whole answer wins and the other copy is cancelled; the sample names
-the versions of the one that won.
+Near the end of a step, idle slots start speculative runs of the samples that
+would finish last. The first complete answer wins and the other run is
+cancelled; the sample names the weight versions of the winner.
 """
 
 from gevent.event import AsyncResult
@@ -22,7 +22,7 @@
 
 
 class SampleRace:
-    """Runs one sample, and a second copy when its pool offers a slot."""
+    """Runs a sample, and speculatively again if its pool offers a slot."""
 
     def __init__(
         self,
@@ -39,15 +39,17 @@
         self._tasks: list[Task] = []
 
     def run(self) -> Progress:
-        """Return the first whole answer.
+        """Return the first complete answer.
 
         Raises
         ------
         RefusalError
-            No sampler gave a whole answer.
+            No sampler returned a complete answer.
         """
         client = self._source.client
-        client.accept_speculative_runs(self._work.id, self._take_copy)
+        client.accept_speculative_runs(
+            self._work.id, self._start_speculative_run
+        )
         self._tasks.append(self._clock.spawn(self._run_main))
         try:
             progress: Progress = self._first.get()
@@ -57,8 +59,8 @@
                 task.kill(block=False)
         return progress
 
-    def _take_copy(self, permit: Permit) -> None:
-        self._tasks.append(self._clock.spawn(self._run_copy, permit))
+    def _start_speculative_run(self, permit: Permit) -> None:
+        self._tasks.append(self._clock.spawn(self._run_speculative, permit))
 
     def _run_main(self) -> None:
         progress = Progress()
@@ -69,18 +71,18 @@
                 )
             )
         except GuavagateError as error:
-            self._settle(None, error)
+            self._resolve(None, error)
             return
-        self._settle(progress, None)
+        self._resolve(progress, None)
 
-    def _run_copy(self, permit: Permit) -> None:
+    def _run_speculative(self, permit: Permit) -> None:
         try:
             progress = run_speculatively(self._source, permit, self._generation)
         except UpstreamError:
             return
-        self._settle(progress, None)
+        self._resolve(progress, None)
 
-    def _settle(
+    def _resolve(
         self, progress: Progress | None, error: GuavagateError | None
     ) -> None:
         if self._first.ready():
--- a/guavagate/runs/_run.py
+++ b/guavagate/runs/_run.py
@@ -1,9 +1,9 @@
-"""One run: its steps, and the delivery of their samples to its trainer.
+"""One run: its steps and the delivery of their samples to the trainer.
 
-The trainer's cursor is the commit point. The state keeps the cursor that was
-presented last and hands out what follows it; the same cursor gets the same
-samples for as long as they are fresh. A trainer takes only an answer that
-follows the cursor it holds, so a second answer that arrives late is dropped.
+The trainer's cursor is the commit point. The state stores the last presented
+cursor and returns the batch that follows it; the same cursor returns the same
+samples as long as they are fresh. A trainer accepts only an answer that follows
+its current cursor, so it drops a late second answer.
 """
 
 import msgspec
@@ -17,7 +17,7 @@
     VersionTokens,
 )
 from guavagate.runs._cursor import (
-    START,
+    START_CURSOR,
     Cursor,
     add_groups,
     decode_cursor,
@@ -30,23 +30,24 @@
     find_group_index,
     list_pending,
     list_ready,
-    list_samples,
+    list_sample_ids,
 )
 
 
 class Run(msgspec.Struct, kw_only=True):
     """The state of one run.
 
-    `cursor` is the one presented last; `offered` the newest batch that
-    follows it. `confirmed` says that the trainer has presented a cursor of
-    this incarnation. `kept` holds the cursors of consumers that keep none.
+    `cursor` is the last presented cursor and `offered` the newest batch that
+    follows it. `confirmed` is set once the trainer has presented a cursor of
+    this incarnation. `kept` stores the cursors of consumers that don't keep
+    their own.
     """
 
     run: RunId
     incarnation: str
     steps: dict[str, Step] = msgspec.field(default_factory=dict)
     digests: dict[str, str] = msgspec.field(default_factory=dict)
-    cursor: Cursor = START
+    cursor: Cursor = START_CURSOR
     offered: Batch | None = None
     issued: int = 0
     confirmed: bool = False
@@ -58,13 +59,13 @@
     versions: tuple[VersionTokens, ...],
     published: list[WeightVersion],
 ) -> int | None:
-    """Return how many versions the oldest piece lags the newest published.
+    """Return how far the oldest piece lags behind the newest version.
 
-    Nothing is returned when a piece has a version that was never published:
-    such a sample can't be shown to be fresh.
+    Returns None if a piece has a version that was never published, since such
+    a sample can't be proven fresh.
     """
-    places = {version: place for place, version in enumerate(published)}
-    known = [places[version] for version, _ in versions if version in places]
+    indexes = {version: index for index, version in enumerate(published)}
+    known = [indexes[version] for version, _ in versions if version in indexes]
     if not known or len(known) != len(versions):
         return None
     return len(published) - 1 - min(known)
@@ -75,38 +76,40 @@
     published: list[WeightVersion],
     bound: int,
 ) -> bool:
-    """Tell whether a sample may be handed out."""
+    """Return whether a sample is within the staleness bound."""
     lag = count_versions_behind(sample.versions, published)
     return lag is not None and lag <= bound
 
 
 def list_pending_samples(run: Run) -> list[PendingSample]:
-    """Return what has still to be generated, earlier steps first.
+    """Return the samples still to be generated, earlier steps first.
 
-    Within a step the longest come first: a long one that starts last holds up
-    the whole step while the other slots are idle.
+    Within a step, the longest samples come first: a long sample that starts
+    last would delay the whole step while the other slots are idle.
     """
     pending: list[PendingSample] = []
     for step in run.steps.values():
-        left = list_pending(step, _bitmap(run.cursor, step))
-        left.sort(key=lambda sample: -sample.group.max_tokens)
-        pending.extend(left)
+        step_samples = list_pending(step, _get_delivered(run.cursor, step))
+        step_samples.sort(key=lambda sample: -sample.group.max_tokens)
+        pending.extend(step_samples)
     return pending
 
 
 def is_delivered(run: Run, step: Step, group_id: str) -> bool:
-    """Tell whether the trainer has committed a group."""
-    place = find_group_index(step, group_id)
-    return place is not None and has_group(_bitmap(run.cursor, step), place)
+    """Return whether the trainer has committed a group."""
+    index = find_group_index(step, group_id)
+    return index is not None and has_group(
+        _get_delivered(run.cursor, step), index
+    )
 
 
 def pull(run: Run, command: PullBatch, published: list[WeightVersion]) -> Batch:
-    """Hand out what follows the presented cursor."""
+    """Commit the presented cursor and return the batch that follows it."""
     presented = decode_cursor(command.cursor)
     if presented != run.cursor:
-        if not _may_follow(run, presented):
+        if not _may_advance_to(run, presented):
             return Batch(verdict=Verdict.SUPERSEDED, follows=command.cursor)
-        if _lacks_step(run, presented):
+        if _is_step_missing(run, presented):
             return Batch(
                 verdict=Verdict.UNKNOWN_STEP,
                 follows=command.cursor,
@@ -118,22 +121,23 @@
     if offered is not None:
         return offered
     step = next(iter(run.steps.values()), None)
-    places = step and list_ready(
+    indexes = step and list_ready(
         step,
-        _bitmap(run.cursor, step),
+        _get_delivered(run.cursor, step),
         command.max_samples,
     )
-    if step is None or not places:
+    if step is None or not indexes:
         return make_empty_batch(run, command, dropped)
-    run.offered = _make_batch(run, step, places, command.cursor, dropped)
+    run.offered = _make_batch(run, step, indexes, command.cursor, dropped)
     return run.offered
 
 
 def is_empty_pull(run: Run, command: PullBatch) -> bool:
-    """Tell whether a pull would find nothing and change nothing.
+    """Return whether a pull would return no samples and change no state.
 
-    Only newly published versions make samples stale, and those that are have
-    to be dropped by the pull itself, so that they are made again.
+    A pull must also be applied while any finished sample exists: a newly
+    published version may have made it stale, and the pull drops stale samples
+    so that they are generated again.
     """
     if run.offered is not None or command.cursor != encode_cursor(run.cursor):
         return False
@@ -145,7 +149,7 @@
 
 
 def make_empty_batch(run: Run, command: PullBatch, dropped: int = 0) -> Batch:
-    """Return what a pull gives while no group is whole."""
+    """Return the batch for a pull while no group is complete."""
     step = next(iter(run.steps.values()), None)
     return Batch(
         verdict=Verdict.ACCEPTED,
@@ -156,21 +160,21 @@
     )
 
 
-def _may_follow(run: Run, presented: Cursor) -> bool:
-    """Tell whether a cursor can be newer than the one presented last.
+def _may_advance_to(run: Run, presented: Cursor) -> bool:
+    """Return whether a cursor may be newer than the last presented one.
 
-    One of this incarnation is newer when it was issued later. One of an
-    earlier incarnation, whose record an operator has removed from the store,
-    is all that is known of what the trainer has: it is adopted until the
-    trainer has presented one of this incarnation, and from then on can only
-    be a late duplicate.
+    Cursors of this incarnation are ordered by their sequence numbers. If an
+    operator removed the run's record from the store, a cursor of an earlier
+    incarnation is the only evidence of what the trainer has received. It is
+    adopted until the trainer presents a cursor of this incarnation; after that,
+    it can only be a late duplicate.
     """
     if presented.incarnation != run.incarnation:
         return not run.confirmed
     return not run.confirmed or presented.sequence > run.cursor.sequence
 
 
-def _lacks_step(run: Run, presented: Cursor) -> bool:
+def _is_step_missing(run: Run, presented: Cursor) -> bool:
     return bool(presented.delivered) and presented.step_id not in run.steps
 
 
@@ -187,23 +191,23 @@
     if not presented.delivered:
         run.steps.pop(presented.step_id)
         return
-    _forget_delivered(run.steps[presented.step_id], presented.delivered)
+    _remove_delivered(run.steps[presented.step_id], presented.delivered)
 
 
-def _forget_delivered(step: Step, delivered: bytes) -> None:
-    for place, group in enumerate(step.groups):
-        if not has_group(delivered, place):
+def _remove_delivered(step: Step, delivered: bytes) -> None:
+    for index, group in enumerate(step.groups):
+        if not has_group(delivered, index):
             continue
-        for sample in list_samples(step.step_id, group):
-            step.finished.pop(sample, None)
+        for sample_id in list_sample_ids(step.step_id, group):
+            step.finished.pop(sample_id, None)
 
 
 def _drop_stale(run: Run, published: list[WeightVersion]) -> int:
-    """Forget finished samples beyond the bound, to be generated again.
+    """Drop finished samples beyond the bound, to be generated again.
 
-    A batch that was offered and has gone stale is withdrawn too: if its answer
-    is still under way, the trainer takes whichever comes first and drops the
-    other, since both follow the same cursor.
+    An offered batch that contains one of them is withdrawn. If its answer is
+    still in transit, the trainer accepts whichever answer arrives first and
+    drops the other, since both follow the same cursor.
     """
     dropped = 0
     for step in run.steps.values():
@@ -216,39 +220,41 @@
             step.finished.pop(sample_id)
         dropped += len(stale)
         if run.offered and run.offered.step_id == step.step_id and stale:
-            _withdraw(run, set(stale))
+            _withdraw_batch(run, set(stale))
     run.regenerated += dropped
     return dropped
 
 
-def _withdraw(run: Run, stale: set[SampleId]) -> None:
+def _withdraw_batch(run: Run, stale: set[SampleId]) -> None:
     offered = run.offered
-    if offered and any(s.sample_id in stale for s in offered.samples):
+    if offered and any(sample.sample_id in stale for sample in offered.samples):
         run.offered = None
 
 
-def _bitmap(cursor: Cursor, step: Step) -> bytes:
+def _get_delivered(cursor: Cursor, step: Step) -> bytes:
     return cursor.delivered if cursor.step_id == step.step_id else b''
 
 
 def _make_batch(
     run: Run,
     step: Step,
-    places: list[int],
+    indexes: list[int],
     follows: str,
     dropped: int,
 ) -> Batch:
     samples = tuple(
-        step.finished[sample]
-        for place in places
-        for sample in list_samples(step.step_id, step.groups[place])
+        step.finished[sample_id]
+        for index in indexes
+        for sample_id in list_sample_ids(step.step_id, step.groups[index])
+    )
+    bitmap = add_groups(
+        _get_delivered(run.cursor, step), indexes, len(step.groups)
     )
-    bitmap = add_groups(_bitmap(run.cursor, step), places, len(step.groups))
     complete = all(
-        has_group(bitmap, place) for place in range(len(step.groups))
+        has_group(bitmap, index) for index in range(len(step.groups))
     )
     run.issued += 1
-    # An empty bitmap beside a step's id means that the whole step is done.
+    # A step id with an empty bitmap means that the step is complete.
     following = Cursor(
         incarnation=run.incarnation,
         sequence=run.issued,
--- a/guavagate/runs/_state.py
+++ b/guavagate/runs/_state.py
@@ -1,4 +1,4 @@
-"""The runs of one partition as a state of it."""
+"""The replicated state of all runs in one partition."""
 
 from typing import Final, cast
 
@@ -29,15 +29,16 @@
 )
 from guavagate.runs._step import PendingSample, has_sample, make_step
 
-# A step in work holds its samples in memory and in the store; more steps than
-# this are refused rather than let a trainer that never pulls fill the memory.
-MAX_STEPS_IN_WORK: Final = 16
-# Ids of past steps, so that a submit repeated late is answered as a duplicate.
+# The samples of an open step are kept in memory and in the store. The limit
+# prevents a trainer that never pulls from exhausting the memory.
+MAX_OPEN_STEPS: Final = 16
+# Digests of past steps, so that a late repeated submission is recognised as a
+# duplicate.
 MAX_STEP_DIGESTS: Final = 1024
-# Published versions kept; older ones are beyond any bound that settings allow.
-MAX_VERSIONS_KEPT: Final = 256
+# Older versions are beyond any staleness bound that the settings allow.
+MAX_PUBLISHED_VERSIONS: Final = 256
 
-Pending = dict[SampleId, PendingSample]
+PendingSamples = dict[SampleId, PendingSample]
 
 RUN_COMMANDS: Final[tuple[type[RunCommand], ...]] = (
     PublishVersion,
@@ -50,7 +51,7 @@
 
 
 class Lineage(msgspec.Struct, kw_only=True):
-    """The versions published for a deployment, oldest first, and its runs."""
+    """A deployment's published versions, oldest first, and its runs."""
 
     published: list[WeightVersion] = msgspec.field(default_factory=list)
     published_at: float = 0
@@ -59,17 +60,17 @@
 
 
 class _Snapshot(msgspec.Struct, kw_only=True):
-    """The whole state on the wire."""
+    """The encoded form of the state."""
 
     lineages: dict[DeploymentId, Lineage]
 
 
 class RunsState:
-    """All deployments' lineages and runs of one partition."""
+    """State machine for the deployments and runs of one partition."""
 
     def __init__(self) -> None:
         self.lineages: dict[DeploymentId, Lineage] = {}
-        self._pending: dict[tuple[DeploymentId, RunId], Pending] = {}
+        self._pending: dict[tuple[DeploymentId, RunId], PendingSamples] = {}
 
     def apply(self, command: Command) -> Outcome:
         """Apply one command and return its outcome."""
@@ -78,26 +79,26 @@
         if isinstance(command, PublishVersion):
             return _publish(lineage, command)
         if isinstance(command, ConfirmOrder):
-            return _outcome(lineage, Verdict.ACCEPTED)
+            return _make_outcome(lineage, Verdict.ACCEPTED)
         run = lineage.runs.get(command.run)
         if run is None:
             run = Run(run=command.run, incarnation=f'{command.at:.6f}')
             lineage.runs[command.run] = run
-        before = _mark(run)
+        before = _fingerprint_pending(run)
         outcome = _apply_to_run(lineage, run, command)
         key = (command.deployment, run.run)
-        if _mark(run) != before:
+        if _fingerprint_pending(run) != before:
             self._pending.pop(key, None)
         elif isinstance(command, FinishSample):
-            self._forget_finished(key, run, command)
+            self._remove_finished(key, run, command)
         return outcome
 
     def preview(self, command: Command) -> Outcome | None:
-        """Return an empty batch if there is nothing to hand out.
+        """Return an empty batch if there are no samples to deliver.
 
-        A trainer that waits asks ten times a second; each time in the record
-        would be a write to the store. That there is nothing yet does no harm
-        where another instance has meanwhile gone on: it asks again.
+        A waiting trainer polls ten times a second, and recording every pull
+        would write to the store each time. An empty answer is harmless even if
+        another instance has taken over meanwhile: the trainer polls again.
         """
         if not isinstance(command, PullBatch):
             return None
@@ -108,11 +109,11 @@
         return make_empty_batch(run, command)
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the encoded state."""
         return msgspec.msgpack.encode(_Snapshot(lineages=self.lineages))
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state by a snapshot."""
+        """Replace the state with a snapshot."""
         decoded = msgspec.msgpack.decode(snapshot, type=_Snapshot)
         self.lineages = decoded.lineages
         self._pending.clear()
@@ -128,15 +129,15 @@
 
     def list_pending_by_run(
         self, deployment: DeploymentId
-    ) -> dict[RunId, Pending]:
-        """Return what has still to be generated, by run, in its order.
+    ) -> dict[RunId, PendingSamples]:
+        """Return the samples still to be generated, by run and in order.
 
-        Kept between calls and made anew only after a step has come or gone or
-        samples have gone stale: the driver asks twenty times a second, and
-        listing a step's samples each time would cost it a tenth of a core.
+        The result is cached and rebuilt only after a step was added or removed
+        or samples became stale. The driver calls this 20 times a second, and
+        listing a step's samples each time would take a tenth of a core.
         """
         lineage = self.lineages.get(deployment, Lineage())
-        found: dict[RunId, Pending] = {}
+        found: dict[RunId, PendingSamples] = {}
         for run in lineage.runs.values():
             key = (deployment, run.run)
             if key not in self._pending:
@@ -147,7 +148,7 @@
             found[run.run] = self._pending[key]
         return found
 
-    def _forget_finished(
+    def _remove_finished(
         self,
         key: tuple[DeploymentId, RunId],
         run: Run,
@@ -159,26 +160,27 @@
             self._pending.get(key, {}).pop(sample_id, None)
 
 
-def _mark(run: Run) -> tuple[object, ...]:
-    """Return what differs whenever more than one sample is no longer pending.
+def _fingerprint_pending(run: Run) -> tuple[object, ...]:
+    """Return a value that changes when the cached samples must be rebuilt.
 
-    A stale sample raises `regenerated`, a step that comes or goes the number
-    of steps and digests, and a committed cursor is itself another one.
+    A stale sample increments `regenerated`, adding or removing a step changes
+    the number of steps or digests, and a commit changes the cursor. A single
+    finished sample changes none of them; it is removed from the cache instead.
     """
     return (run.cursor, run.regenerated, len(run.steps), len(run.digests))
 
 
 def _apply_to_run(lineage: Lineage, run: Run, command: RunCommand) -> Outcome:
     if isinstance(command, SubmitStep):
-        return _outcome(lineage, _submit(run, command))
+        return _make_outcome(lineage, _submit(run, command))
     if isinstance(command, FinishSample):
-        return _outcome(lineage, _finish(run, command, lineage.published))
+        return _make_outcome(lineage, _finish(run, command, lineage.published))
     if isinstance(command, PullBatch):
         return pull(run, command, lineage.published)
-    return _keep(run, cast(KeepCursor, command), lineage)
+    return _store_cursor(run, cast(KeepCursor, command), lineage)
 
 
-def _outcome(
+def _make_outcome(
     lineage: Lineage, verdict: Verdict, cursor: str = ''
 ) -> RunOutcome:
     newest = lineage.published[-1] if lineage.published else None
@@ -187,23 +189,23 @@
 
 def _publish(lineage: Lineage, command: PublishVersion) -> RunOutcome:
     if command.version in lineage.published:
-        return _outcome(lineage, Verdict.DUPLICATE)
+        return _make_outcome(lineage, Verdict.DUPLICATE)
     if lineage.published and command.version < lineage.published[-1]:
-        return _outcome(lineage, Verdict.CONFLICT)
+        return _make_outcome(lineage, Verdict.CONFLICT)
     lineage.published.append(command.version)
     if lineage.published_at:
         lineage.publish_seconds = command.at - lineage.published_at
     lineage.published_at = command.at
-    del lineage.published[:-MAX_VERSIONS_KEPT]
-    return _outcome(lineage, Verdict.ACCEPTED)
+    del lineage.published[:-MAX_PUBLISHED_VERSIONS]
+    return _make_outcome(lineage, Verdict.ACCEPTED)
 
 
 def _submit(run: Run, command: SubmitStep) -> Verdict:
-    known = run.digests.get(command.step_id)
-    if known is not None:
-        same = known == command.digest
+    known_digest = run.digests.get(command.step_id)
+    if known_digest is not None:
+        same = known_digest == command.digest
         return Verdict.DUPLICATE if same else Verdict.CONFLICT
-    if len(run.steps) >= MAX_STEPS_IN_WORK:
+    if len(run.steps) >= MAX_OPEN_STEPS:
         return Verdict.FULL
     run.digests[command.step_id] = command.digest
     if len(run.digests) > MAX_STEP_DIGESTS:
@@ -231,9 +233,11 @@
     return Verdict.ACCEPTED
 
 
-def _keep(run: Run, command: KeepCursor, lineage: Lineage) -> RunOutcome:
-    kept = run.kept.get(command.consumer, '')
-    if command.cursor and not is_older(command.cursor, kept):
+def _store_cursor(
+    run: Run, command: KeepCursor, lineage: Lineage
+) -> RunOutcome:
+    stored_cursor = run.kept.get(command.consumer, '')
+    if command.cursor and not is_older(command.cursor, stored_cursor):
         run.kept[command.consumer] = command.cursor
-        kept = command.cursor
-    return _outcome(lineage, Verdict.ACCEPTED, kept)
+        stored_cursor = command.cursor
+    return _make_outcome(lineage, Verdict.ACCEPTED, stored_cursor)
--- a/guavagate/runs/_step.py
+++ b/guavagate/runs/_step.py
@@ -1,4 +1,4 @@
-"""One step of a run: its groups and the samples finished so far."""
+"""One step of a run: its groups and finished samples."""
 
 import msgspec
 
@@ -10,8 +10,8 @@
 class Step(msgspec.Struct, kw_only=True):
     """A submitted step.
 
-    `finished` holds whole samples until the trainer has committed them;
-    `places` is made from the groups when it is first needed.
+    `finished` stores complete samples until the trainer commits them.
+    `places` maps group ids to indexes and is filled on first use.
     """
 
     step_id: str
@@ -26,7 +26,7 @@
 
 
 class PendingSample(msgspec.Struct, frozen=True, kw_only=True):
-    """A sample that has still to be generated."""
+    """A sample still to be generated."""
 
     sample_id: SampleId
     step_id: str
@@ -36,7 +36,7 @@
 
 
 def make_step(command: SubmitStep) -> Step:
-    """Return the step that a command submits."""
+    """Return a new step for a submit command."""
     return Step(
         step_id=command.step_id,
         digest=command.digest,
@@ -46,7 +46,7 @@
     )
 
 
-def list_samples(step_id: str, group: GroupSpec) -> list[SampleId]:
+def list_sample_ids(step_id: str, group: GroupSpec) -> list[SampleId]:
     """Return the ids of a group's samples."""
     return [
         SampleId(f'{step_id}/{group.group_id}/{index}')
@@ -55,58 +55,60 @@
 
 
 def find_group_index(step: Step, group_id: str) -> int | None:
-    """Return a group's place in its step."""
+    """Return the index of a group in its step."""
     if not step.places:
         step.places.update(
-            (group.group_id, place) for place, group in enumerate(step.groups)
+            (group.group_id, index) for index, group in enumerate(step.groups)
         )
     return step.places.get(group_id)
 
 
 def has_sample(step: Step, sample: FinishedSample) -> bool:
-    """Tell whether a sample belongs to one of the step's groups."""
-    place = find_group_index(step, sample.group_id)
-    if place is None:
+    """Return whether a sample belongs to one of the step's groups."""
+    index = find_group_index(step, sample.group_id)
+    if index is None:
         return False
-    names = list_samples(step.step_id, step.groups[place])
-    return sample.sample_id in names
+    sample_ids = list_sample_ids(step.step_id, step.groups[index])
+    return sample.sample_id in sample_ids
 
 
 def list_pending(step: Step, delivered: bytes) -> list[PendingSample]:
-    """Return what has still to be generated, in the order submitted."""
+    """Return the samples still to be generated, in submission order."""
     return [
         PendingSample(
-            sample_id=sample,
+            sample_id=sample_id,
             step_id=step.step_id,
             group=group,
             max_staleness=step.max_staleness,
             submitted_at=step.submitted_at,
         )
-        for place, group in enumerate(step.groups)
-        if not has_group(delivered, place)
-        for sample in list_samples(step.step_id, group)
-        if sample not in step.finished
+        for index, group in enumerate(step.groups)
+        if not has_group(delivered, index)
+        for sample_id in list_sample_ids(step.step_id, group)
+        if sample_id not in step.finished
     ]
 
 
 def list_ready(step: Step, delivered: bytes, limit: int) -> list[int]:
-    """Return the places of whole, undelivered groups, up to some samples.
+    """Return the indexes of complete, undelivered groups.
 
-    At least one group is returned when one is ready, however large.
+    The groups have at most `limit` samples together, but a first group that
+    exceeds the limit alone is still returned.
     """
     ready: list[int] = []
     count = 0
-    for place, group in enumerate(step.groups):
-        if has_group(delivered, place) or not _is_finished(step, group):
+    for index, group in enumerate(step.groups):
+        if has_group(delivered, index) or not _is_finished(step, group):
             continue
         if ready and count + group.samples > limit:
             break
-        ready.append(place)
+        ready.append(index)
         count += group.samples
     return ready
 
 
 def _is_finished(step: Step, group: GroupSpec) -> bool:
     return all(
-        sample in step.finished for sample in list_samples(step.step_id, group)
+        sample_id in step.finished
+        for sample_id in list_sample_ids(step.step_id, group)
     )
--- a/guavagate/runs/_worker.py
+++ b/guavagate/runs/_worker.py
@@ -1,4 +1,4 @@
-"""A worker: generates samples, has them scored, enters them."""
+"""Worker that generates samples, has them scored and records them."""
 
 import logging
 from collections.abc import Callable
@@ -50,23 +50,23 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# A sample that has not come after this is given up and assigned anew; the
-# longest steps of two years are whole in twelve minutes.
-SAMPLE_LIMIT: Final = 720.0
-# How long a finished sample is kept while it can't be entered, and between
-# two tries; a store that is away for longer costs the sample.
-ENTER_LIMIT: Final = 60.0
-ENTER_PAUSE: Final = 0.5
+# A sample that takes longer is abandoned and reassigned. The longest steps of
+# two years were complete within twelve minutes.
+SAMPLE_TIMEOUT_SECONDS: Final = 720.0
+# A finished sample is retained and recorded again for this long; if the store
+# is unavailable for longer, the sample is lost.
+RECORD_TIMEOUT_SECONDS: Final = 60.0
+RECORD_RETRY_SECONDS: Final = 0.5
 SCORE_ATTEMPTS: Final = 3
-SCORE_PAUSE: Final = 0.2
+SCORE_RETRY_SECONDS: Final = 0.2
 
-# Scores a sample of a team by one of its services.
-Score = Callable[[TeamId, ServiceId, SampleId, str, str], float]
-_Key = tuple[RunId, SampleId, int]
+# Scores a team's sample with one of the team's services.
+Scorer = Callable[[TeamId, ServiceId, SampleId, str, str], float]
+_AttemptKey = tuple[RunId, SampleId, int]
 
 
 class SampleWorker:
-    """Generates the samples that primaries ask this instance for."""
+    """Generates the samples that primaries assign to this instance."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         permits: PermitClient,
         chooser: PoolChooser,
         engine: ModelEngine,
-        scoring: Score,
+        score: Scorer,
         runs: RunsClient,
     ) -> None:
         self._runtime = runtime
@@ -83,144 +83,144 @@
         self._permits = permits
         self._chooser = chooser
         self._engine = engine
-        self._score = scoring
+        self._score = score
         self._runs = runs
-        self._tasks: dict[_Key, Task] = {}
+        self._tasks: dict[_AttemptKey, Task] = {}
         runtime.bus.register(GenerateSample, self.start_sample)
         runtime.bus.register(CancelSample, self.cancel_sample)
 
     def start_sample(self, sender: InstanceId, message: Message) -> None:
-        """Start generating a sample, unless it is in work already."""
-        order = expect(message, GenerateSample)
-        key = (order.run, order.sample_id, order.attempt)
+        """Start generating a sample unless this attempt is in progress."""
+        request = expect(message, GenerateSample)
+        key = (request.run, request.sample_id, request.attempt)
         if key not in self._tasks:
             self._tasks[key] = self._runtime.clock.spawn(
-                self._work, sender, order
+                self._run, sender, request
             )
 
     def cancel_sample(self, sender: InstanceId, message: Message) -> None:
-        """Stop an attempt that another was faster than."""
-        order = expect(message, CancelSample)
+        """Stop an attempt because another one finished first."""
+        request = expect(message, CancelSample)
         task = self._tasks.pop(
-            (order.run, order.sample_id, order.attempt), None
+            (request.run, request.sample_id, request.attempt), None
         )
         if task is not None:
             task.kill(block=False)
 
     def count_active(self) -> int:
-        """Return how many samples are in work."""
+        """Return the number of samples in progress."""
         return len(self._tasks)
 
-    def _work(self, sender: InstanceId, order: GenerateSample) -> None:
+    def _run(self, sender: InstanceId, request: GenerateSample) -> None:
         verdict: Verdict | None = None
         try:
-            verdict = self._make(order)
+            verdict = self._generate_and_record(request)
         except GuavagateError as error:
             write(
                 _LOGGER,
                 SAMPLE_FAILED,
-                sample=order.sample_id,
-                run=order.run,
+                sample=request.sample_id,
+                run=request.run,
                 error=str(error),
             )
         finally:
-            key = (order.run, order.sample_id, order.attempt)
+            key = (request.run, request.sample_id, request.attempt)
             self._tasks.pop(key, None)
-            self._report(sender, order, verdict)
+            self._report_end(sender, request, verdict)
 
-    def _report(
+    def _report_end(
         self,
         sender: InstanceId,
-        order: GenerateSample,
+        request: GenerateSample,
         verdict: Verdict | None,
     ) -> None:
         self._runtime.bus.send(
             sender,
             SampleEnded(
-                lineage=DeploymentId(f'{order.team}/{order.deployment}'),
-                run=order.run,
-                sample_id=order.sample_id,
-                attempt=order.attempt,
+                lineage=DeploymentId(f'{request.team}/{request.deployment}'),
+                run=request.run,
+                sample_id=request.sample_id,
+                attempt=request.attempt,
                 verdict=verdict,
             ),
         )
 
-    def _make(self, order: GenerateSample) -> Verdict:
-        lineage = DeploymentId(f'{order.team}/{order.deployment}')
+    def _generate_and_record(self, request: GenerateSample) -> Verdict:
+        lineage = DeploymentId(f'{request.team}/{request.deployment}')
         deployment = find_deployment(self._runtime, lineage)
         if deployment is None:
             raise GuavagateError(
                 f'deployment {lineage} is not declared here',
                 'declare it with `guavagate settings apply`',
             )
-        work = self._describe(order)
+        work = self._make_work(request)
         write(
             _LOGGER,
             SAMPLE_STARTED,
-            sample=order.sample_id,
-            run=order.run,
-            attempt=order.attempt,
+            sample=request.sample_id,
+            run=request.run,
+            attempt=request.attempt,
         )
-        progress = self._generate(order, deployment, work)
+        progress = self._generate(request, deployment, work)
         sample = FinishedSample(
-            sample_id=order.sample_id,
-            group_id=order.group.group_id,
+            sample_id=request.sample_id,
+            group_id=request.group.group_id,
             text=progress.text,
             versions=tuple(progress.versions),
-            score=self._rate(deployment, order, progress.text),
+            score=self._score_with_retries(deployment, request, progress.text),
         )
-        return self._enter(order, lineage, sample, tuple(progress.samplers))
+        return self._record(request, lineage, sample, tuple(progress.samplers))
 
-    def _enter(
+    def _record(
         self,
-        order: GenerateSample,
+        request: GenerateSample,
         lineage: DeploymentId,
         sample: FinishedSample,
         samplers: tuple[UpstreamId, ...],
     ) -> Verdict:
-        verdict = self._finish(order, lineage, sample)
+        verdict = self._record_with_retries(request, lineage, sample)
         write(
             _LOGGER,
             SAMPLE_ENTERED,
-            sample=order.sample_id,
-            run=order.run,
+            sample=request.sample_id,
+            run=request.run,
             versions=sample.versions,
             samplers=samplers,
             verdict=verdict.value,
         )
         return verdict
 
-    def _finish(
+    def _record_with_retries(
         self,
-        order: GenerateSample,
+        request: GenerateSample,
         lineage: DeploymentId,
         sample: FinishedSample,
     ) -> Verdict:
-        """Have a sample entered, also when the store is away for a while.
+        """Record a sample, retrying while the store is unavailable.
 
-        Entering one again is harmless, making it again takes seconds of a
-        sampler.
+        Recording is idempotent, while generating the sample again would take
+        seconds of a sampler's time.
         """
         clock = self._runtime.clock
-        until = clock.now() + ENTER_LIMIT
+        deadline = clock.now() + RECORD_TIMEOUT_SECONDS
         while True:
             try:
                 return self._runs.finish(
-                    lineage, order.run, order.step_id, sample
+                    lineage, request.run, request.step_id, sample
                 )
             except RefusalError:
-                if clock.now() >= until:
+                if clock.now() >= deadline:
                     raise
-                clock.sleep(ENTER_PAUSE)
+                clock.sleep(RECORD_RETRY_SECONDS)
 
     def _generate(
         self,
-        order: GenerateSample,
+        request: GenerateSample,
         deployment: DeploymentSettings,
         work: Work,
     ) -> Progress:
         pool = self._chooser.choose(
-            self._queue_owner.specs(), order.team, deployment.id, work
+            self._queue_owner.specs(), request.team, deployment.id, work
         )
         source = AnswerSource(
             client=self._permits,
@@ -230,55 +230,57 @@
         )
         generation = Generation(
             exchange=work.id,
-            prompt=order.group.prompt,
-            max_tokens=order.group.max_tokens,
-            temperature=order.group.temperature,
+            prompt=request.group.prompt,
+            max_tokens=request.group.max_tokens,
+            temperature=request.group.temperature,
         )
         race = SampleRace(self._runtime.clock, source, work, generation)
         return race.run()
 
-    def _describe(self, order: GenerateSample) -> Work:
+    def _make_work(self, request: GenerateSample) -> Work:
         return Work(
-            id=RequestId(f'{order.run}/{order.sample_id}#{order.attempt}'),
-            team=order.team,
-            caller=CallerId(order.run),
+            id=RequestId(
+                f'{request.run}/{request.sample_id}#{request.attempt}'
+            ),
+            team=request.team,
+            caller=CallerId(request.run),
             kind=Kind.ROLLOUT,
-            deadline=self._runtime.clock.now() + SAMPLE_LIMIT,
-            prefix_keys=hash_prefixes(order.group.prompt),
-            prompt_tokens=estimate_tokens(order.group.prompt),
-            expected_tokens=order.group.max_tokens,
-            min_version=order.oldest,
-            run=order.run,
-            step=order.step_order,
-            weight=order.weight,
+            deadline=self._runtime.clock.now() + SAMPLE_TIMEOUT_SECONDS,
+            prefix_keys=hash_prefixes(request.group.prompt),
+            prompt_tokens=estimate_tokens(request.group.prompt),
+            expected_tokens=request.group.max_tokens,
+            min_version=request.oldest,
+            run=request.run,
+            step=request.step_order,
+            weight=request.weight,
             zone=self._runtime.settings.availability_zone,
         )
 
-    def _rate(
+    def _score_with_retries(
         self,
         deployment: DeploymentSettings,
-        order: GenerateSample,
+        request: GenerateSample,
         text: str,
     ) -> float | None:
         if not deployment.scoring_service:
             return None
         for attempt in range(SCORE_ATTEMPTS - 1):
             try:
-                return self._score_once(deployment, order, text)
+                return self._score_once(deployment, request, text)
             except GuavagateError:
-                self._runtime.clock.sleep(SCORE_PAUSE * 2**attempt)
-        return self._score_once(deployment, order, text)
+                self._runtime.clock.sleep(SCORE_RETRY_SECONDS * 2**attempt)
+        return self._score_once(deployment, request, text)
 
     def _score_once(
         self,
         deployment: DeploymentSettings,
-        order: GenerateSample,
+        request: GenerateSample,
         text: str,
     ) -> float:
         return self._score(
-            order.team,
+            request.team,
             ServiceId(deployment.scoring_service),
-            order.sample_id,
-            order.group.prompt,
+            request.sample_id,
+            request.group.prompt,
             text,
         )
