--- a/tests/runs/test_delivery.py
+++ b/tests/runs/test_delivery.py
@@ -1,4 +1,4 @@
-"""Delivery of samples to a trainer, under random orders and losses."""
+"""Delivery of samples to a trainer with reordered and lost answers."""
 
 import random
 from typing import Any
@@ -31,9 +31,10 @@
 
 
 class Trainer:
-    """A trainer that keeps a cursor and takes what follows it, once.
+    """A trainer that accepts each batch that follows its cursor once.
 
-    Answers wait in `answers` and may be taken late, in any order, or never.
+    Answers are queued in `answers`; they may be accepted late, in any order,
+    or never.
     """
 
     def __init__(self) -> None:
@@ -46,27 +47,27 @@
         self.clock = 0
         self.publish()
 
-    def make(self, kind: type, **fields: object) -> Any:
+    def make_command(self, kind: type, **fields: object) -> Any:
         """Make a command."""
         self.clock += 1
         return kind(at=self.clock, deployment=_DEPLOYMENT, run=_RUN, **fields)
 
-    def tell(self, kind: type, **fields: object) -> Batch | RunOutcome:
+    def apply(self, kind: type, **fields: object) -> Batch | RunOutcome:
         """Apply one command."""
-        outcome = self.state.apply(self.make(kind, **fields))
+        outcome = self.state.apply(self.make_command(kind, **fields))
         assert isinstance(outcome, Batch | RunOutcome)
         return outcome
 
     def publish(self) -> None:
         """Publish the next version."""
         self.newest += 1
-        self.tell(PublishVersion, version=WeightVersion(self.newest))
+        self.apply(PublishVersion, version=WeightVersion(self.newest))
 
     def submit(self, step_id: str) -> Verdict:
         """Submit a step."""
         if step_id not in self.submitted:
             self.submitted.append(step_id)
-        return self.tell(
+        return self.apply(
             SubmitStep,
             step_id=step_id,
             digest=step_id,
@@ -75,7 +76,7 @@
         ).verdict
 
     def finish(self, rng: random.Random) -> None:
-        """Generate one pending sample on weights of some age."""
+        """Generate one pending sample with recent or stale versions."""
         pending = list(
             self.state.list_pending_by_run(_DEPLOYMENT)[_RUN].values()
         )
@@ -87,7 +88,7 @@
             (WeightVersion(version), 4)
             for version in range(first, min(first + 2, self.newest + 1))
         )
-        self.tell(
+        self.apply(
             FinishSample,
             step_id=wanted.step_id,
             sample=FinishedSample(
@@ -99,8 +100,8 @@
         )
 
     def pull(self) -> None:
-        """Pull; the answer is under way, and was fresh when handed out."""
-        batch = self.tell(PullBatch, cursor=self.cursor, max_samples=4)
+        """Pull a batch, check that it is fresh and queue the answer."""
+        batch = self.apply(PullBatch, cursor=self.cursor, max_samples=4)
         assert isinstance(batch, Batch)
         if batch.verdict is Verdict.UNKNOWN_STEP:
             self.submit(batch.step_id)
@@ -112,7 +113,7 @@
         self.answers.append(batch)
 
     def take(self, rng: random.Random) -> None:
-        """Take some answer if it follows the cursor held, else drop it."""
+        """Accept a random answer if it follows the cursor, else drop it."""
         if not self.answers:
             return
         batch = self.answers.pop(rng.randrange(len(self.answers)))
@@ -122,22 +123,22 @@
         self.taken.extend(sample.sample_id for sample in batch.samples)
 
     def lose_everything(self) -> None:
-        """Remove the record; the trainer submits and publishes again."""
+        """Remove the run's record, then publish and submit everything again."""
         self.state = RunsState()
         for version in range(1, self.newest + 1):
-            self.tell(PublishVersion, version=WeightVersion(version))
+            self.apply(PublishVersion, version=WeightVersion(version))
         for step_id in self.submitted:
             self.submit(step_id)
 
     def check_pending(self) -> None:
-        """Compare what is kept of the pending samples with a new count."""
-        copy = RunsState()
-        copy.restore(self.state.snapshot())
-        kept = self.state.list_pending_by_run(_DEPLOYMENT)
-        assert kept == copy.list_pending_by_run(_DEPLOYMENT)
+        """Compare the cached pending samples with a rebuilt list."""
+        restored = RunsState()
+        restored.restore(self.state.snapshot())
+        cached = self.state.list_pending_by_run(_DEPLOYMENT)
+        assert cached == restored.list_pending_by_run(_DEPLOYMENT)
 
     def drain(self, rng: random.Random) -> None:
-        """Go on without faults until nothing is left."""
+        """Continue without faults until every sample is delivered."""
         for _ in range(60):
             for _ in range(4):
                 self.finish(rng)
@@ -146,7 +147,7 @@
             self.take(rng)
 
     def expected(self) -> set[str]:
-        """Return the ids of all samples submitted."""
+        """Return the ids of all submitted samples."""
         names = [f'g{place}/{index}' for place in range(3) for index in (0, 1)]
         return {f'{step}/{name}' for step in self.submitted for name in names}
 
@@ -183,12 +184,12 @@
     assert set(trainer.taken) == trainer.expected()
 
 
-def test_a_submit_that_repeats_with_other_groups_is_refused() -> None:
-    """The first step stands; the second is told of the conflict."""
+def test_a_step_id_with_different_groups_is_refused() -> None:
+    """The first step remains; the second submission gets CONFLICT."""
     trainer = Trainer()
     assert trainer.submit('s0') is Verdict.ACCEPTED
     assert trainer.submit('s0') is Verdict.DUPLICATE
-    other = trainer.tell(
+    other = trainer.apply(
         SubmitStep,
         step_id='s0',
         digest='other',
@@ -198,8 +199,8 @@
     assert other.verdict is Verdict.CONFLICT
 
 
-def test_a_version_that_was_never_published_is_not_fresh() -> None:
-    """A sample of unknown weights is made again, not delivered."""
+def test_a_sample_of_an_unpublished_version_is_stale() -> None:
+    """A sample with unknown weights is generated again, not delivered."""
     trainer = Trainer()
     trainer.submit('s0')
     sample = FinishedSample(
@@ -208,15 +209,15 @@
         text='x',
         versions=((WeightVersion(77), 8),),
     )
-    entered = trainer.tell(FinishSample, step_id='s0', sample=sample)
+    entered = trainer.apply(FinishSample, step_id='s0', sample=sample)
     assert entered.verdict is Verdict.STALE
 
 
-def test_a_late_duplicate_of_a_pull_sets_nothing_back() -> None:
-    """A pull that lay in the network arrives after the next one.
+def test_a_late_duplicate_pull_is_superseded() -> None:
+    """A delayed pull arrives after the trainer's next one.
 
-    The trainer has gone on to its second batch. Taking the old cursor again
-    would hand out the first batch's groups a second time.
+    The trainer has already moved on to its second batch. Accepting the old
+    cursor again would deliver the groups of the first batch twice.
     """
     trainer, rng = Trainer(), random.Random(1)
     trainer.submit('s0')
@@ -225,12 +226,12 @@
     trainer.pull()
     trainer.take(rng)
     trainer.pull()
-    late = trainer.tell(PullBatch, cursor='', max_samples=4)
+    late = trainer.apply(PullBatch, cursor='', max_samples=4)
     assert late.verdict is Verdict.SUPERSEDED
 
 
-def test_a_consumers_cursor_is_never_set_back() -> None:
-    """An acknowledgement that arrives late changes nothing."""
+def test_a_consumers_cursor_never_moves_back() -> None:
+    """A late acknowledgement doesn't replace a newer cursor."""
     trainer, rng = Trainer(), random.Random(1)
     trainer.submit('s0')
     cursors = []
@@ -241,35 +242,34 @@
         trainer.take(rng)
         cursors.append(trainer.cursor)
     for cursor in (cursors[1], cursors[0], ''):
-        kept = trainer.tell(KeepCursor, consumer='c', cursor=cursor)
-        assert isinstance(kept, RunOutcome)
-        assert kept.cursor == cursors[1]
+        stored = trainer.apply(KeepCursor, consumer='c', cursor=cursor)
+        assert isinstance(stored, RunOutcome)
+        assert stored.cursor == cursors[1]
 
 
-def test_a_pull_that_finds_nothing_is_not_written() -> None:
-    """A trainer asks ten times a second until its first group is whole.
+def test_an_empty_pull_is_not_recorded() -> None:
+    """A trainer polls ten times a second until its first group is complete.
 
-    Each time in the record would be a write to the store. A pull that commits
-    what was taken, or finds samples that have gone stale, is written.
+    Recording each poll would write to the store each time. A pull that commits
+    a cursor or drops stale samples must still be recorded.
     """
     trainer, rng = Trainer(), random.Random(1)
     trainer.publish()
     trainer.submit('s0')
-    waiting = trainer.make(PullBatch, cursor='', max_samples=4)
-    assert trainer.state.preview(waiting) == trainer.state.apply(waiting)
+    empty_pull = trainer.make_command(PullBatch, cursor='', max_samples=4)
+    assert trainer.state.preview(empty_pull) == trainer.state.apply(empty_pull)
     while not (trainer.answers and trainer.answers[-1].samples):
         trainer.finish(rng)
         trainer.pull()
-    handed = trainer.make(PullBatch, cursor='', max_samples=4)
-    assert trainer.state.preview(handed) is None
+    delivering_pull = trainer.make_command(PullBatch, cursor='', max_samples=4)
+    assert trainer.state.preview(delivering_pull) is None
 
 
-def test_a_run_whose_record_was_removed_is_told_of() -> None:
-    """The trainer holds a cursor of a step that nobody knows any more.
+def test_a_pull_after_its_record_was_removed_names_the_step() -> None:
+    """The trainer's cursor names a step that the new state doesn't know.
 
-    An operator has removed the record from the store. An empty batch would
-    have the trainer pull nothing for ever; told that the step is not known,
-    it submits again.
+    An operator has removed the record from the store. With empty batches, the
+    trainer would poll forever; UNKNOWN_STEP makes it submit the step again.
     """
     trainer, rng = Trainer(), random.Random(1)
     trainer.publish()
@@ -280,6 +280,6 @@
         trainer.take(rng)
     trainer.state = RunsState()
     trainer.publish()
-    pulled = trainer.tell(PullBatch, cursor=trainer.cursor, max_samples=4)
+    pulled = trainer.apply(PullBatch, cursor=trainer.cursor, max_samples=4)
     assert pulled.verdict is Verdict.UNKNOWN_STEP
     assert trainer.submit('s0') is Verdict.ACCEPTED
--- a/tests/runs/test_race.py
+++ b/tests/runs/test_race.py
@@ -1,4 +1,4 @@
-"""The tail of a step: two copies of one sample, the first whole one wins."""
+"""A sample and its speculative run: the first complete answer wins."""
 
 from collections.abc import Iterator
 
@@ -17,57 +17,59 @@
 from guavagate.runs._race import SampleRace
 
 
-def _take_nothing(permit: object) -> None:
-    """Take a permit that nobody waits for."""
+def _ignore_permit(permit: object) -> None:
+    """Ignore a permit while no speculative run is accepted."""
 
 
 class Samplers:
-    """A fake engine and permit client: seconds to an answer by address."""
+    """A fake engine and permit client with answer times by address."""
 
     def __init__(self, clock: PausedClock, seconds: dict[str, float]) -> None:
         self.clock = clock
         self.seconds = seconds
         self.cancelled: list[str] = []
         self.ended: list[tuple[str, int]] = []
-        self.take = _take_nothing
+        self.start_run = _ignore_permit
 
     def now(self) -> float:
         """Return the virtual time."""
         return self.clock.now()
 
-    def accept_speculative_runs(self, work_id: RequestId, take: object) -> None:
-        """Note whom to offer copies."""
-        self.take = take  # type: ignore[assignment]
+    def accept_speculative_runs(
+        self, work_id: RequestId, start_run: object
+    ) -> None:
+        """Store the function that starts a speculative run."""
+        self.start_run = start_run  # type: ignore[assignment]
 
     def decline_speculative_runs(self, work_id: RequestId) -> None:
-        """Offer no more."""
+        """Accept the call."""
 
     def acquire(self, pool: str, work: Work, failed: object) -> Permit:
-        """Grant the first sampler."""
+        """Return a permit for the first sampler."""
         return make_permit('first')
 
     def release(
         self, permit: Permit, ended: object, **measured: object
     ) -> None:
-        """Accept."""
+        """Accept the call."""
 
     def drop(self, permit: Permit) -> None:
-        """Accept."""
+        """Accept the call."""
 
     def end_speculative_run(self, permit: Permit, **measured: int) -> None:
-        """Note what came of a copy."""
+        """Record the tokens of a speculative run."""
         self.ended.append((permit.address, measured.get('tokens', 0)))
 
     def generate(
         self, address: str, generation: Generation, token_timeout: float
     ) -> Iterator[Piece]:
-        """Answer after the address's time; a negative one fails."""
-        done = False
+        """Answer after the address's time; a negative time fails."""
+        complete = False
         try:
             self.clock.sleep(abs(self.seconds[address]))
-            done = True
+            complete = True
         finally:
-            if not done:
+            if not complete:
                 self.cancelled.append(address)
         if self.seconds[address] < 0:
             raise UpstreamError('reset', 'ask another')
@@ -91,7 +93,7 @@
 
 
 def run_race(seconds: dict[str, float]) -> tuple[Progress, Samplers]:
-    """Run a race whose second copy is offered after a second."""
+    """Run a race that is offered a speculative run after one second."""
     clock = PausedClock()
     samplers = Samplers(clock, seconds)
     source = AnswerSource(
@@ -105,17 +107,17 @@
     race = SampleRace(clock, source, work, generation)
     task = clock.spawn(race.run)
     clock.advance(1)
-    samplers.take(make_permit('second'))  # type: ignore[arg-type]
+    samplers.start_run(make_permit('second'))  # type: ignore[arg-type]
     clock.run_until(task.ready, 100)
     clock.settle()
     return task.get(block=False), samplers
 
 
-def test_the_faster_copy_wins_and_the_slower_is_cancelled() -> None:
-    """The sample is the second copy's, whole, and made by it alone.
+def test_the_faster_run_wins_and_the_slower_is_cancelled() -> None:
+    """The answer comes from the speculative run alone.
 
-    The first sampler is stuck. The pool offers an idle slot after a second;
-    that copy is whole first, and the first one's stream is closed.
+    The first sampler is stuck and the pool offers an idle slot after one
+    second. The speculative run completes first and the first stream is closed.
     """
     progress, samplers = run_race({'first': 50, 'second': 2})
     assert progress.text == 'second'
@@ -124,8 +126,8 @@
     assert samplers.ended == [('second', 1)]
 
 
-def test_a_copy_that_loses_or_fails_changes_nothing() -> None:
-    """The first sampler's answer stands; a failed copy gives its slot back."""
+def test_a_speculative_run_that_loses_or_fails_is_ignored() -> None:
+    """The first sampler's answer is used; a failed run releases its slot."""
     progress, samplers = run_race({'first': 5, 'second': 50})
     assert (progress.text, samplers.cancelled) == ('first', ['second'])
     progress, samplers = run_race({'first': 5, 'second': -1})
