--- a/guavagate/weights/__init__.py
+++ b/guavagate/weights/__init__.py
@@ -1,4 +1,4 @@
-"""Weights: which version each sampler should have, and the orders for it."""
+"""Rollout of weight versions to the samplers of each deployment."""
 
 from guavagate.weights._plan import (
     OrderKind,
--- a/guavagate/weights/_deployment.py
+++ b/guavagate/weights/_deployment.py
@@ -1,4 +1,4 @@
-"""What the primary of a deployment knows of its samplers' weights."""
+"""The primary's view of the weights on one deployment's samplers."""
 
 from typing import Final
 
@@ -9,20 +9,20 @@
 from guavagate.settings import DeploymentSettings
 from guavagate.weights._plan import OrderKind, SamplerWeights
 
-# While a sampler carries out an order its report is read at this pace; new
-# weights have to be on all samplers within seconds.
+# Tick interval, and report interval of a sampler that executes an order; new
+# weights must be on all samplers within seconds.
 TICK_SECONDS: Final = 0.25
-# One that is behind and waits its turn for an order.
-WAITING_SECONDS: Final = 2.0
-# One that has the target is only read to find that it has restarted. Until
-# then its home, which reads its reports each second, places nothing there
-# that would be stale; 730 samplers read every two seconds would cost their
-# primary a quarter of a core (docs/CAPACITY.md).
-IDLE_SECONDS: Final = 60.0
+# Report interval of an outdated sampler that waits for an order.
+WAITING_REPORT_SECONDS: Final = 2.0
+# Report interval of a sampler that has the target version; it only detects a
+# restart. Meanwhile the queue owner, which reads the report every second,
+# assigns no work there that would be stale. Reading 730 samplers every two
+# seconds would take a quarter of the primary's core (docs/CAPACITY.md).
+IDLE_REPORT_SECONDS: Final = 60.0
 
 
 class DeploymentRollout(msgspec.Struct, kw_only=True):
-    """What this primary knows of one deployment's samplers."""
+    """The progress of a rollout to one deployment's samplers."""
 
     epoch: Epoch
     since: float
@@ -38,7 +38,7 @@
     def describe_samplers(
         self, deployment: DeploymentSettings, now: float
     ) -> list[SamplerWeights]:
-        """Return what is known of the samplers that stay."""
+        """Return the state of each sampler that reports and isn't leaving."""
         return [
             SamplerWeights(
                 sampler=sampler.id,
@@ -46,7 +46,7 @@
                 prefetched=frozenset(self.reports[sampler.id].prefetched),
                 running=self.reports[sampler.id].running,
                 slots=sampler.slots,
-                ordered=self._find_order(sampler.id, now),
+                ordered=self._find_active_order(sampler.id, now),
             )
             for sampler in deployment.samplers
             if sampler.id in self.reports
@@ -54,24 +54,27 @@
         ]
 
     def get_report_interval(self, sampler: SamplerId) -> float:
-        """Return the seconds after which a sampler's report is read again."""
+        """Return the seconds until a sampler's report is read again."""
         report = self.reports.get(sampler)
         if report is not None and report.version == self.target:
-            return IDLE_SECONDS
+            return IDLE_REPORT_SECONDS
         if sampler in self.ordered or sampler in self.fetching:
             return TICK_SECONDS
-        return WAITING_SECONDS
+        return WAITING_REPORT_SECONDS
 
-    def _find_order(self, sampler: SamplerId, now: float) -> OrderKind | None:
-        """Return the order that a sampler is carrying out.
+    def _find_active_order(
+        self, sampler: SamplerId, now: float
+    ) -> OrderKind | None:
+        """Return the order that a sampler is executing.
 
-        An engine answers a prefetch at once and fetches for a while; ordered
-        again meanwhile, it would fetch twice under the store's rate limit.
+        An engine answers a prefetch order immediately and fetches in the
+        background. A second order meanwhile would make it fetch twice and
+        count twice against the store's rate limit.
         """
-        until = self.fetching.get(sampler)
-        if until is not None:
+        fetch_deadline = self.fetching.get(sampler)
+        if fetch_deadline is not None:
             report = self.reports[sampler]
-            if now > until or self.target in report.prefetched:
+            if now > fetch_deadline or self.target in report.prefetched:
                 self.fetching.pop(sampler)
             else:
                 return OrderKind.PREFETCH
--- a/guavagate/weights/_plan.py
+++ b/guavagate/weights/_plan.py
@@ -1,17 +1,17 @@
-"""Which samplers are ordered what, now.
-
-Load pattern: new weights every few minutes for every sampler, from a store
-with a rate limit, while callers and samples run on all of them.
-Without it: all samplers fetch at once and the store refuses them; all swap at
-once and for that moment nobody serves; or each waits for an idle moment that
-never comes, and samples go stale.
-
-Versions are fetched ahead of the swap at the store's pace. Swaps go in waves
-of at most `MAX_OUT` of a deployment, so that the others serve. Within a wave,
-a sampler swaps at once or lets its work end, by the deployment's weights of
-staleness and trainer idle time (see `decisions.tail.decide_weight_swap`). One
-whose version is beyond the staleness bound swaps in any case: what it makes
-would be thrown away.
+"""Plans which samplers prefetch or swap weights.
+
+Load pattern: every few minutes all samplers need new weights from a store with
+a rate limit, while they generate for callers and samples.
+Without a plan, all samplers fetch at the same time and the store refuses them;
+all swap at the same time and none serves; or each waits for an idle moment
+that never comes, and its samples become stale.
+
+Versions are prefetched before the swap, within the store's rate limit. Samplers
+swap in waves of at most `MAX_SWAPPING_SHARE` of a deployment, so that the
+others continue to serve. Within a wave, a sampler swaps immediately or finishes
+its work first, depending on the deployment's weights for staleness and trainer
+idle time (see `decisions.tail.decide_weight_swap`). A sampler whose version is
+beyond the staleness bound always swaps, since its samples would be discarded.
 """
 
 import enum
@@ -23,25 +23,25 @@
 from guavagate.decisions import decide_weight_swap
 from guavagate.models import SamplerId, WeightVersion
 
-# Half: two waves, so that all have new weights after twice a swap's time. The
-# six seconds of two years leave three for a swap; engines need under one.
-MAX_OUT: Final = 0.5
+# Half means two waves, so a rollout takes two swap times. The six seconds seen
+# in two years of records leave three for each swap; engines need less than one.
+MAX_SWAPPING_SHARE: Final = 0.5
 
 
 class OrderKind(enum.Enum):
-    """What a sampler is ordered to do."""
+    """Kind of an order to a sampler."""
 
     PREFETCH = 'prefetch'
     SWAP = 'swap'
 
 
 class SamplerWeights(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of a sampler's weights.
+    """The observed weights and load of a sampler.
 
     Parameters
     ----------
     ordered
-        The order under way, if any.
+        The order in progress, if any.
     """
 
     sampler: SamplerId
@@ -53,18 +53,18 @@
 
 
 class RolloutInputs(msgspec.Struct, frozen=True, kw_only=True):
-    """What a deployment wants; times in seconds.
+    """Inputs of the plan for one deployment.
 
     Parameters
     ----------
     published
         All published versions, oldest first; the last is the target.
     sample_seconds
-        Mean time that a sample takes.
+        Mean duration of a sample.
     step_seconds
-        The trainer's time between two versions.
+        Time between the trainer's last two versions.
     prefetches
-        How many more may be ordered now under the store's rate limit.
+        Number of prefetches that the store's rate limit allows now.
     """
 
     published: tuple[WeightVersion, ...]
@@ -77,7 +77,7 @@
 
 
 class WeightOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """One order with its reason."""
+    """An order to a sampler and its reason."""
 
     sampler: SamplerId
     kind: OrderKind
@@ -86,58 +86,62 @@
 
 
 def plan_orders(
-    situation: RolloutInputs,
+    inputs: RolloutInputs,
     samplers: list[SamplerWeights],
 ) -> list[WeightOrder]:
-    """Return the orders to give now."""
-    if not situation.published:
+    """Return the orders to send now."""
+    if not inputs.published:
         return []
-    target = situation.published[-1]
-    behind = [
-        one for one in samplers if one.version != target and one.ordered is None
+    target = inputs.published[-1]
+    outdated = [
+        each
+        for each in samplers
+        if each.version != target and each.ordered is None
     ]
-    behind.sort(
-        key=lambda one: (-_versions_behind(situation, one), one.running)
+    outdated.sort(
+        key=lambda each: (-_count_versions_behind(inputs, each), each.running)
     )
-    orders = _plan_prefetches(situation, behind, target)
-    orders.extend(_plan_swaps(situation, behind, samplers, target))
+    orders = _plan_prefetches(inputs, outdated, target)
+    orders.extend(_plan_swaps(inputs, outdated, samplers, target))
     return orders
 
 
 def _plan_prefetches(
-    situation: RolloutInputs,
-    behind: list[SamplerWeights],
+    inputs: RolloutInputs,
+    outdated: list[SamplerWeights],
     target: WeightVersion,
 ) -> list[WeightOrder]:
-    wanting = [one for one in behind if target not in one.prefetched]
+    not_prefetched = [
+        each for each in outdated if target not in each.prefetched
+    ]
     return [
         WeightOrder(
-            sampler=one.sampler,
+            sampler=candidate.sampler,
             kind=OrderKind.PREFETCH,
             version=target,
             reason="within the weight store's rate limit",
         )
-        for one in wanting[: max(situation.prefetches, 0)]
+        for candidate in not_prefetched[: max(inputs.prefetches, 0)]
     ]
 
 
 def _plan_swaps(
-    situation: RolloutInputs,
-    behind: list[SamplerWeights],
+    inputs: RolloutInputs,
+    outdated: list[SamplerWeights],
     samplers: list[SamplerWeights],
     target: WeightVersion,
 ) -> list[WeightOrder]:
-    swapping = sum(one.ordered is OrderKind.SWAP for one in samplers)
-    allowed = max(math.floor(len(samplers) * MAX_OUT), 1) - swapping
+    swapping = sum(each.ordered is OrderKind.SWAP for each in samplers)
+    allowed = max(math.floor(len(samplers) * MAX_SWAPPING_SHARE), 1) - swapping
     orders: list[WeightOrder] = []
-    for one in behind:
-        if target not in one.prefetched or len(orders) >= allowed:
+    for candidate in outdated:
+        if target not in candidate.prefetched or len(orders) >= allowed:
             continue
-        reason = _reason_to_swap(situation, one)
+        reason = _find_swap_reason(inputs, candidate)
         if reason:
             orders.append(
                 WeightOrder(
-                    sampler=one.sampler,
+                    sampler=candidate.sampler,
                     kind=OrderKind.SWAP,
                     version=target,
                     reason=reason,
@@ -146,29 +150,31 @@
     return orders
 
 
-def _reason_to_swap(situation: RolloutInputs, one: SamplerWeights) -> str:
-    """Return why a sampler should swap now; nothing lets its work end."""
-    lag = _versions_behind(situation, one)
-    if lag > situation.max_staleness:
+def _find_swap_reason(inputs: RolloutInputs, sampler: SamplerWeights) -> str:
+    """Return why a sampler should swap now; empty to finish its work first."""
+    lag = _count_versions_behind(inputs, sampler)
+    if lag > inputs.max_staleness:
         return f'{lag} versions behind, beyond the bound'
-    if not one.running:
+    if not sampler.running:
         return 'idle'
     swap, cost, wait = decide_weight_swap(
-        in_flight_share=min(one.running / max(one.slots, 1), 1),
-        seconds_left=situation.sample_seconds / 2,
+        in_flight_share=min(sampler.running / max(sampler.slots, 1), 1),
+        seconds_left=inputs.sample_seconds / 2,
         versions_behind=lag,
-        step_seconds=situation.step_seconds,
-        staleness_weight=situation.staleness_weight,
-        idle_weight=situation.idle_weight,
+        step_seconds=inputs.step_seconds,
+        staleness_weight=inputs.staleness_weight,
+        idle_weight=inputs.idle_weight,
     )
     if swap:
         return f'swapping costs {cost:.3f}, waiting {wait:.3f}'
     return ''
 
 
-def _versions_behind(situation: RolloutInputs, one: SamplerWeights) -> int:
-    """Return how far a sampler lags; an unknown version lags them all."""
-    published = situation.published
-    if one.version not in published:
+def _count_versions_behind(
+    inputs: RolloutInputs, sampler: SamplerWeights
+) -> int:
+    """Return a sampler's lag; an unknown version lags all published ones."""
+    published = inputs.published
+    if sampler.version not in published:
         return len(published)
-    return len(published) - 1 - published.index(one.version)
+    return len(published) - 1 - published.index(sampler.version)
--- a/guavagate/weights/_rollout.py
+++ b/guavagate/weights/_rollout.py
@@ -1,18 +1,18 @@
-"""Orders samplers to the newest version of each deployment decided here.
+"""Rolls out the newest weights of the deployments this instance is primary of.
 
-Declared target and observed version are separate: the target is in the run's
-replicated state, the version in the engine's own report. Orders repeat until
-the two are equal.
+The declared target is in the replicated state of the runs, the observed
+version in the engine's report. Orders repeat until both are equal.
 
-Engines that refuse old fencing numbers get the partition's epoch. For those
-that ignore it an order is sent only within `CONFIRM_SECONDS` of a command that
-the store took at this epoch, and a new primary waits out that time and the
-longest order first. Time is counted by the boot clock: a suspended machine
-that wakes must not take its last confirmation for a fresh one. What remains is
-a pause between the last look at the clock and the send: then an old order may
-undo a newer one until the new primary reads the version back and corrects it.
-Samples stay true in it, since each piece names the version that the engine
-says made it.
+Orders carry the partition's epoch as a fencing number. Since some engines
+ignore it, an order is sent only within `CONFIRMATION_VALID_SECONDS` of a
+command that the store accepted at this epoch, and a new primary first waits for
+that time plus the longest order. The boot clock measures it, so that a machine
+that wakes from suspension doesn't treat an old confirmation as recent.
+
+A process may still pause between its last check of the clock and the send. Its
+old order may then undo a newer one until the new primary reads the version back
+and corrects it. Samples remain correct, since each piece names the version
+that the engine reports for it.
 """
 
 import logging
@@ -55,21 +55,21 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# While no deployment's weights are decided here.
-REST_SECONDS: Final = 1.0
-REPORT_TIMEOUT: Final = 1.0
-# A fetch that has not come by then has failed, and is ordered again.
-FETCH_SECONDS: Final = 60.0
-ORDER_TIMEOUT: Final = 10.0
-# A confirmation is good for less time than any takeover takes.
-CONFIRM_SECONDS: Final = 1.0
-# Time between versions and of a sample before either has been measured.
-FIRST_STEP_SECONDS: Final = 60.0
-FIRST_SAMPLE_SECONDS: Final = 5.0
+# Tick interval while this instance is primary of no deployment.
+IDLE_TICK_SECONDS: Final = 1.0
+REPORT_TIMEOUT_SECONDS: Final = 1.0
+# A prefetch that takes longer counts as failed and is ordered again.
+FETCH_TIMEOUT_SECONDS: Final = 60.0
+ORDER_TIMEOUT_SECONDS: Final = 10.0
+# Shorter than any takeover, so that a confirmation can't outlive its primary.
+CONFIRMATION_VALID_SECONDS: Final = 1.0
+# Used until the interval between versions and the sample time are measured.
+DEFAULT_STEP_SECONDS: Final = 60.0
+DEFAULT_SAMPLE_SECONDS: Final = 5.0
 
 
 class WeightRollout:
-    """Reconciles the samplers of the deployments decided here."""
+    """Reconciles samplers with the newest version of their deployment."""
 
     def __init__(
         self,
@@ -84,83 +84,92 @@
         self._hosted = hosted
         self._sample_seconds = sample_seconds
         self._boot_clock = boot_clock
-        self._lineages: dict[DeploymentId, DeploymentRollout] = {}
+        self._rollouts: dict[DeploymentId, DeploymentRollout] = {}
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Reconcile until stopped."""
+        """Start reconciling in the background."""
         self._task = self._runtime.clock.spawn(self._run)
 
     def stop(self) -> None:
-        """Give no further orders."""
+        """Stop reconciling."""
         if self._task is not None:
             self._task.kill()
 
     def tick(self) -> None:
-        """Look at each deployment decided here once."""
+        """Reconcile each deployment once."""
         seen: set[DeploymentId] = set()
         for epoch, state in self._hosted():
-            for name in list(state.lineages):
-                seen.add(name)
-                self._look_at(name, epoch, state)
-        for name in [name for name in self._lineages if name not in seen]:
-            self._lineages.pop(name)
+            for deployment_id in list(state.lineages):
+                seen.add(deployment_id)
+                self._reconcile(deployment_id, epoch, state)
+        for deployment_id in [
+            deployment_id
+            for deployment_id in self._rollouts
+            if deployment_id not in seen
+        ]:
+            self._rollouts.pop(deployment_id)
 
     def _run(self) -> None:
         while True:
             self._runtime.clock.sleep(
-                TICK_SECONDS if self._lineages else REST_SECONDS
+                TICK_SECONDS if self._rollouts else IDLE_TICK_SECONDS
             )
             self.tick()
 
-    def _look_at(
-        self, name: DeploymentId, epoch: Epoch, state: RunsState
+    def _reconcile(
+        self, deployment_id: DeploymentId, epoch: Epoch, state: RunsState
     ) -> None:
-        deployment = find_deployment(self._runtime, name)
-        if deployment is None or state.find_newest_version(name) is None:
+        deployment = find_deployment(self._runtime, deployment_id)
+        if (
+            deployment is None
+            or state.find_newest_version(deployment_id) is None
+        ):
             return
         now = self._runtime.clock.now()
-        lineage = self._lineages.get(name)
-        if lineage is None or lineage.epoch != epoch:
-            lineage = DeploymentRollout(epoch=epoch, since=now, refilled_at=now)
-            self._lineages[name] = lineage
-        if lineage.target != state.find_newest_version(name):
-            lineage.target = state.find_newest_version(name)
-            lineage.read_next.clear()
-            lineage.fetching.clear()
-        self._read(lineage, deployment, now)
-        if self._may_order(lineage, deployment):
-            self._order(name, lineage, deployment, state)
+        rollout = self._rollouts.get(deployment_id)
+        if rollout is None or rollout.epoch != epoch:
+            rollout = DeploymentRollout(epoch=epoch, since=now, refilled_at=now)
+            self._rollouts[deployment_id] = rollout
+        if rollout.target != state.find_newest_version(deployment_id):
+            rollout.target = state.find_newest_version(deployment_id)
+            rollout.read_next.clear()
+            rollout.fetching.clear()
+        self._read_due_reports(rollout, deployment, now)
+        if self._may_order(rollout, deployment):
+            self._send_orders(deployment_id, rollout, deployment, state)
 
-    def _read(
+    def _read_due_reports(
         self,
-        lineage: DeploymentRollout,
+        rollout: DeploymentRollout,
         deployment: DeploymentSettings,
         now: float,
     ) -> None:
         """Read the reports that are due."""
         tasks = [
-            self._runtime.clock.spawn(self._read_one, lineage, sampler)
+            self._runtime.clock.spawn(self._read_report, rollout, sampler)
             for sampler in deployment.samplers
-            if lineage.read_next.get(sampler.id, now) <= now
+            if rollout.read_next.get(sampler.id, now) <= now
         ]
         for task in tasks:
             task.join()
         for sampler in deployment.samplers:
-            if lineage.read_next.get(sampler.id, now) <= now:
-                pause = lineage.get_report_interval(sampler.id)
-                lineage.read_next[sampler.id] = now + pause
+            if rollout.read_next.get(sampler.id, now) <= now:
+                pause = rollout.get_report_interval(sampler.id)
+                rollout.read_next[sampler.id] = now + pause
 
-    def _read_one(
-        self, lineage: DeploymentRollout, sampler: SamplerSettings
+    def _read_report(
+        self, rollout: DeploymentRollout, sampler: SamplerSettings
     ) -> None:
-        before = lineage.reports.get(sampler.id)
+        before = rollout.reports.get(sampler.id)
         try:
-            report = self._engine.report(sampler.address, REPORT_TIMEOUT)
+            report = self._engine.report(
+                sampler.address, REPORT_TIMEOUT_SECONDS
+            )
         except UpstreamError:
-            lineage.reports.pop(sampler.id, None)
+            rollout.reports.pop(sampler.id, None)
             return
-        lineage.reports[sampler.id] = report
+        rollout.reports[sampler.id] = report
         if before is not None and before.version != report.version:
             write(
                 _LOGGER,
@@ -171,93 +180,114 @@
             )
 
     def _may_order(
-        self, lineage: DeploymentRollout, deployment: DeploymentSettings
+        self, rollout: DeploymentRollout, deployment: DeploymentSettings
     ) -> bool:
-        """Wait out a former primary's orders where engines don't fence."""
+        """Return whether orders of a former primary can no longer arrive."""
         if deployment.fences_orders:
             return True
-        held = self._runtime.clock.now() - lineage.since
-        return held > CONFIRM_SECONDS + ORDER_TIMEOUT
+        primary_seconds = self._runtime.clock.now() - rollout.since
+        return (
+            primary_seconds > CONFIRMATION_VALID_SECONDS + ORDER_TIMEOUT_SECONDS
+        )
 
-    def _order(
+    def _send_orders(
         self,
-        name: DeploymentId,
-        lineage: DeploymentRollout,
+        deployment_id: DeploymentId,
+        rollout: DeploymentRollout,
         deployment: DeploymentSettings,
         state: RunsState,
     ) -> None:
-        addresses = {one.id: one.address for one in deployment.samplers}
-        situation = self._describe(name, lineage, deployment, state)
-        known = lineage.describe_samplers(deployment, self._runtime.clock.now())
-        orders = plan_orders(situation, known)
-        if not orders or not self._confirm(name, lineage, orders[0]):
+        addresses = {
+            sampler.id: sampler.address for sampler in deployment.samplers
+        }
+        inputs = self._make_inputs(deployment_id, rollout, deployment, state)
+        samplers = rollout.describe_samplers(
+            deployment, self._runtime.clock.now()
+        )
+        orders = plan_orders(inputs, samplers)
+        if not orders or not self._confirm_epoch(
+            deployment_id, rollout, orders[0]
+        ):
             return
         for order in orders:
             if order.kind is OrderKind.PREFETCH:
-                lineage.allowance -= 1
-            lineage.ordered[order.sampler] = order.kind
-            lineage.read_next.pop(order.sampler, None)
+                rollout.allowance -= 1
+            rollout.ordered[order.sampler] = order.kind
+            rollout.read_next.pop(order.sampler, None)
             self._runtime.clock.spawn(
-                self._give, name, lineage, addresses[order.sampler], order
+                self._execute_order,
+                deployment_id,
+                rollout,
+                addresses[order.sampler],
+                order,
             )
 
-    def _describe(
+    def _make_inputs(
         self,
-        name: DeploymentId,
-        lineage: DeploymentRollout,
+        deployment_id: DeploymentId,
+        rollout: DeploymentRollout,
         deployment: DeploymentSettings,
         state: RunsState,
     ) -> RolloutInputs:
         now = self._runtime.clock.now()
         rate = deployment.prefetch_per_second
-        lineage.allowance = min(
-            lineage.allowance + (now - lineage.refilled_at) * rate,
+        rollout.allowance = min(
+            rollout.allowance + (now - rollout.refilled_at) * rate,
             max(rate, 1),
         )
-        lineage.refilled_at = now
-        held = state.lineages[name]
+        rollout.refilled_at = now
+        lineage = state.lineages[deployment_id]
         return RolloutInputs(
-            published=tuple(held.published),
+            published=tuple(lineage.published),
             max_staleness=deployment.max_staleness,
             staleness_weight=deployment.weights.staleness,
             idle_weight=deployment.weights.idle,
-            sample_seconds=self._sample_seconds(name) or FIRST_SAMPLE_SECONDS,
-            step_seconds=held.publish_seconds or FIRST_STEP_SECONDS,
-            prefetches=int(lineage.allowance),
+            sample_seconds=self._sample_seconds(deployment_id)
+            or DEFAULT_SAMPLE_SECONDS,
+            step_seconds=lineage.publish_seconds or DEFAULT_STEP_SECONDS,
+            prefetches=int(rollout.allowance),
         )
 
-    def _confirm(
-        self, name: DeploymentId, lineage: DeploymentRollout, order: WeightOrder
+    def _confirm_epoch(
+        self,
+        deployment_id: DeploymentId,
+        rollout: DeploymentRollout,
+        order: WeightOrder,
     ) -> bool:
-        """Have the store say that this epoch still decides."""
-        asked = self._boot_clock()
+        """Confirm with the store that this epoch is still current."""
+        requested_at = self._boot_clock()
         command = ConfirmOrder(
             at=self._runtime.clock.wall(),
-            deployment=name,
+            deployment=deployment_id,
             run=RunId(''),
             version=order.version,
         )
         try:
             outcome = self._runtime.partitions.submit_here(
-                partition_key(name), lineage.epoch, command, RunOutcome
+                partition_key(deployment_id), rollout.epoch, command, RunOutcome
             )
         except PartitionError as error:
-            write(_LOGGER, ORDER_WITHHELD, deployment=name, error=str(error))
+            write(
+                _LOGGER,
+                ORDER_WITHHELD,
+                deployment=deployment_id,
+                error=str(error),
+            )
             return False
         if outcome.newest != order.version:
             return False
-        lineage.confirmed_at = asked
+        rollout.confirmed_at = requested_at
         return True
 
-    def _give(
+    def _execute_order(
         self,
-        name: DeploymentId,
-        lineage: DeploymentRollout,
+        deployment_id: DeploymentId,
+        rollout: DeploymentRollout,
         address: str,
         order: WeightOrder,
     ) -> None:
         try:
-            self._send(name, lineage, address, order)
+            self._send_order(deployment_id, rollout, address, order)
         except UpstreamError as error:
             write(
                 _LOGGER,
@@ -268,19 +298,19 @@
                 error=str(error),
             )
         finally:
-            lineage.ordered.pop(order.sampler, None)
-            lineage.read_next.pop(order.sampler, None)
+            rollout.ordered.pop(order.sampler, None)
+            rollout.read_next.pop(order.sampler, None)
 
-    def _send(
+    def _send_order(
         self,
-        name: DeploymentId,
-        lineage: DeploymentRollout,
+        deployment_id: DeploymentId,
+        rollout: DeploymentRollout,
         address: str,
         order: WeightOrder,
     ) -> None:
-        age = self._boot_clock() - lineage.confirmed_at
-        if age > CONFIRM_SECONDS:
-            write(_LOGGER, ORDER_WITHHELD, deployment=name, age=age)
+        age = self._boot_clock() - rollout.confirmed_at
+        if age > CONFIRMATION_VALID_SECONDS:
+            write(_LOGGER, ORDER_WITHHELD, deployment=deployment_id, age=age)
             return
         write(
             _LOGGER,
@@ -288,10 +318,10 @@
             sampler=order.sampler,
             order=order.kind.value,
             version=order.version,
-            fence=lineage.epoch,
+            fence=rollout.epoch,
         )
         self._runtime.decisions.record(
-            f'{name}/{order.version}',
+            f'{deployment_id}/{order.version}',
             order.kind.value,
             order.sampler,
             order.reason,
@@ -301,10 +331,10 @@
             EngineOrder(
                 action=order.kind.value,
                 version=order.version,
-                fence=lineage.epoch,
+                fence=rollout.epoch,
             ),
-            ORDER_TIMEOUT,
+            ORDER_TIMEOUT_SECONDS,
         )
         if order.kind is OrderKind.PREFETCH:
-            until = self._runtime.clock.now() + FETCH_SECONDS
-            lineage.fetching[order.sampler] = until
+            until = self._runtime.clock.now() + FETCH_TIMEOUT_SECONDS
+            rollout.fetching[order.sampler] = until
--- a/tests/weights/__init__.py
+++ b/tests/weights/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of weights."""
+"""Tests of the weight rollout."""
--- a/tests/weights/test_plan.py
+++ b/tests/weights/test_plan.py
@@ -1,4 +1,4 @@
-"""Which samplers are ordered what."""
+"""Tests of the plan of weight orders."""
 
 import pytest
 
@@ -13,8 +13,8 @@
 _OLD, _NEW = WeightVersion(1), WeightVersion(2)
 
 
-def _situation(**fields: float) -> RolloutInputs:
-    known = {
+def _inputs(**fields: float) -> RolloutInputs:
+    defaults = {
         'max_staleness': 1,
         'staleness_weight': 1.0,
         'idle_weight': 1.0,
@@ -24,15 +24,15 @@
     }
     return RolloutInputs(
         published=(_OLD, _NEW),
-        **{**known, **fields},  # type: ignore[arg-type]
+        **{**defaults, **fields},  # type: ignore[arg-type]
     )
 
 
 def _sampler(number: int, **fields: object) -> SamplerWeights:
-    known: dict[str, object] = {'version': _OLD, 'slots': 8}
+    defaults: dict[str, object] = {'version': _OLD, 'slots': 8}
     return SamplerWeights(
         sampler=SamplerId(f's{number}'),
-        **{**known, **fields},  # type: ignore[arg-type]
+        **{**defaults, **fields},  # type: ignore[arg-type]
     )
 
 
@@ -43,36 +43,36 @@
     ]
 
 
-def test_fetches_keep_to_the_stores_pace() -> None:
-    """Six samplers want the version; two may fetch now."""
-    orders = plan_orders(_situation(), [_sampler(n) for n in range(6)])
-    assert [one.kind for one in orders] == [OrderKind.PREFETCH] * 2
+def test_prefetches_stay_within_the_rate_limit() -> None:
+    """Six samplers need the version; the rate limit allows two prefetches."""
+    orders = plan_orders(_inputs(), [_sampler(n) for n in range(6)])
+    assert [order.kind for order in orders] == [OrderKind.PREFETCH] * 2
 
 
 def test_at_most_half_swap_at_once() -> None:
-    """The others serve meanwhile; one that swaps already counts."""
-    assert len(plan_orders(_situation(), _fetched(6))) == 3
-    busy = _sampler(9, ordered=OrderKind.SWAP)
-    assert len(plan_orders(_situation(), [*_fetched(5), busy])) == 2
+    """The others keep serving; a swap in progress counts towards the limit."""
+    assert len(plan_orders(_inputs(), _fetched(6))) == 3
+    swapping = _sampler(9, ordered=OrderKind.SWAP)
+    assert len(plan_orders(_inputs(), [*_fetched(5), swapping])) == 2
 
 
 @pytest.mark.parametrize(
     ('staleness', 'idle', 'swaps'), [(4.0, 1.0, 1), (1.0, 4.0, 0)]
 )
-def test_the_weights_decide_whether_work_is_cut(
+def test_the_weights_decide_whether_work_is_interrupted(
     staleness: float, idle: float, swaps: int
 ) -> None:
-    """The Authority swaps at once; the Trust lets samples end first."""
-    situation = _situation(staleness_weight=staleness, idle_weight=idle)
-    assert len(plan_orders(situation, _fetched(1, running=8))) == swaps
+    """A high staleness weight swaps immediately; a high idle weight waits."""
+    inputs = _inputs(staleness_weight=staleness, idle_weight=idle)
+    assert len(plan_orders(inputs, _fetched(1, running=8))) == swaps
 
 
-def test_a_sampler_beyond_the_bound_swaps_whatever_the_weights_say() -> None:
-    """What it makes would be thrown away."""
-    situation = _situation(max_staleness=0, idle_weight=100)
-    assert plan_orders(situation, _fetched(1, running=8))
+def test_a_sampler_beyond_the_staleness_bound_always_swaps() -> None:
+    """Its samples would be discarded, so the weights don't matter."""
+    inputs = _inputs(max_staleness=0, idle_weight=100)
+    assert plan_orders(inputs, _fetched(1, running=8))
 
 
-def test_a_sampler_with_the_target_is_left_alone() -> None:
-    """Nothing is ordered when all have it, or nothing was published."""
-    assert not plan_orders(_situation(), [_sampler(1, version=_NEW)])
+def test_a_sampler_with_the_target_gets_no_order() -> None:
+    """Nothing is ordered when every sampler has the target version."""
+    assert not plan_orders(_inputs(), [_sampler(1, version=_NEW)])
--- a/tests/weights/test_rollout.py
+++ b/tests/weights/test_rollout.py
@@ -1,4 +1,4 @@
-"""The rollout of weights while engines fail and primaries change."""
+"""Weight rollouts during engine failures and changes of the primary."""
 
 from collections import Counter
 
@@ -30,7 +30,7 @@
 
 
 class Engines:
-    """Four engines; fetches take a second, and some swaps fail."""
+    """Four fake engines; a fetch takes one second and swaps can fail."""
 
     def __init__(self, clock: PausedClock) -> None:
         self.clock = clock
@@ -54,7 +54,7 @@
         )
 
     def order(self, address: str, order: EngineOrder, timeout: float) -> None:
-        """Carry out an order."""
+        """Execute an order."""
         self.orders.append((address, order))
         assert order.version is not None
         if order.action == 'prefetch':
@@ -67,14 +67,14 @@
         self.versions[address] = order.version
 
     def count(self, action: str) -> Counter[str]:
-        """Return how often each engine was given an order."""
+        """Return how often each engine received an order."""
         return Counter(
             address for address, order in self.orders if order.action == action
         )
 
 
 class Primary:
-    """One primary that decides the deployment's weights."""
+    """A primary that rolls out the weights of one deployment."""
 
     def __init__(self, *, fences: bool = True) -> None:
         self.world = World(1)
@@ -124,7 +124,7 @@
 
 
 def test_all_samplers_get_new_weights_and_each_fetches_once() -> None:
-    """Fetch, swap, read back; at rest the reports are hardly read."""
+    """Samplers fetch and swap once; afterwards reports are read rarely."""
     primary = Primary()
     primary.clock.advance(3)
     primary.publish(2)
@@ -136,8 +136,8 @@
     assert primary.engines.reads - before <= 8
 
 
-def test_a_swap_that_fails_is_ordered_again() -> None:
-    """Two swaps fail half-way; declared and observed differ until equal."""
+def test_a_failed_swap_is_ordered_again() -> None:
+    """Two swaps fail; orders repeat until all samplers have the target."""
     primary = Primary()
     primary.engines.fail_swaps = 2
     primary.publish(2)
@@ -145,12 +145,12 @@
     assert set(primary.engines.versions.values()) == {WeightVersion(2)}
 
 
-def test_an_old_order_that_took_effect_late_is_corrected() -> None:
-    """An engine that ignores fences takes a former primary's order.
+def test_a_late_order_of_a_former_primary_is_corrected() -> None:
+    """An engine that ignores fencing executes a former primary's order.
 
-    The new primary has rolled out version 2. The old one was paused between
-    its last look at the clock and its send; its order undoes one engine's
-    weights. Reading back finds that and orders again.
+    The new primary has rolled out version 2. The former one was paused between
+    its last check of the clock and the send, and its order reverts one engine.
+    The new primary reads the version back and orders the swap again.
     """
     primary = Primary()
     primary.publish(2)
@@ -160,13 +160,13 @@
     assert primary.engines.versions['s1:1'] == WeightVersion(2)
 
 
-def test_without_the_stores_word_nothing_is_ordered(
+def test_nothing_is_ordered_without_a_confirmed_epoch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A primary that was paused wakes and finds that it no longer decides.
+    """A paused primary resumes after another instance has taken over.
 
-    It still holds the state and knows of a newer version; the command that
-    confirms its epoch is refused, so no engine hears of it.
+    It still has the state and a newer version to roll out. The command that
+    confirms its epoch is refused, so it sends no orders.
     """
 
     def refuse(*args: object) -> None:
@@ -179,8 +179,8 @@
     assert not primary.engines.orders
 
 
-def test_a_new_primary_waits_where_engines_do_not_fence() -> None:
-    """A former primary's orders may be under way for eleven seconds."""
+def test_a_new_primary_waits_if_engines_do_not_fence() -> None:
+    """Orders of a former primary may arrive for eleven seconds."""
     primary = Primary(fences=False)
     primary.publish(2)
     primary.clock.advance(10)
