--- a/guavagate/forwarding/__init__.py
+++ b/guavagate/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Requests passed on to upstreams, repeated only where that is allowed."""
+"""Forwarding of requests to upstreams, with retries where allowed."""
 
 from guavagate.forwarding._answers import (
     read_or_refuse,
--- a/guavagate/forwarding/_answers.py
+++ b/guavagate/forwarding/_answers.py
@@ -1,4 +1,4 @@
-"""Answers of our own: what they promise about what has run."""
+"""Answers that an instance sends itself, and when they say "not run"."""
 
 from typing import Final
 
@@ -20,7 +20,7 @@
 
 
 def read_or_refuse(exchange: Exchange, limit: int) -> bytes | None:
-    """Return a request's body, or nothing once it was refused."""
+    """Return a request's body, or `None` after refusing the request."""
     try:
         return exchange.read_body(limit)
     except BodyTooLargeError:
@@ -31,7 +31,7 @@
 
 
 def send_outcome(exchange: Exchange, outcome: Outcome) -> None:
-    """Send the answer that an outcome calls for."""
+    """Answer a caller according to the outcome of its request."""
     if outcome.kind is OutcomeKind.CALLER_LEFT:
         exchange.abort()
         return
@@ -47,7 +47,7 @@
 
 
 def refuse(exchange: Exchange, reason: str, retry_after: float) -> None:
-    """Tell that nothing has run and when to come back."""
+    """Answer that the request has not run and when to retry."""
     headers: Headers = [
         _TEXT,
         (b'Retry-After', f'{retry_after:g}'.encode()),
@@ -58,5 +58,5 @@
 def send_text(
     exchange: Exchange, status: int, text: str, *headers: tuple[bytes, bytes]
 ) -> None:
-    """Send a short text."""
+    """Send a short plain-text answer."""
     exchange.respond(status, [_TEXT, *headers], f'{text}\n'.encode())
--- a/guavagate/forwarding/_attempt.py
+++ b/guavagate/forwarding/_attempt.py
@@ -17,11 +17,12 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 _SERVER_ERROR: Final = 500
-# An upstream answers at the deadline that it was given; its own answer, on its
-# way by then, tells the caller more than ours.
+# Added to the deadline: an upstream's own answer, sent at that time, tells the
+# caller more than an answer of this instance.
 GRACE_SECONDS: Final = 0.03
-# Silence for so long is the upstream's own, whatever the caller allows.
-HURRIED_SECONDS: Final = 1.0
+# A timeout after this long is the upstream's failure, whatever the caller's
+# deadline.
+MIN_DEADLINE_SECONDS: Final = 1.0
 
 
 class AttemptState(enum.Enum):
@@ -33,7 +34,7 @@
 
 
 class Attempt(msgspec.Struct):
-    """An attempt's end; headers and body where it was answered."""
+    """The result of an attempt; headers and body if it was answered."""
 
     upstream: Upstream
     state: AttemptState
@@ -43,14 +44,14 @@
     problem: str = ''
 
     @property
-    def good(self) -> bool:
-        """Return whether a further attempt could do no better."""
+    def is_final(self) -> bool:
+        """Return whether no further attempt could do better."""
         answered = self.state is AttemptState.ANSWERED
         return answered and self.status < _SERVER_ERROR
 
 
 class Attempts:
-    """Makes attempts, and notes what they tell of the upstreams."""
+    """Makes attempts and records their results for the upstreams."""
 
     def __init__(
         self,
@@ -65,14 +66,14 @@
         self._dialect = dialect
 
     def make(self, call: Call, upstream: Upstream, *, reuse: bool) -> Attempt:
-        """Send a request once and read the whole answer.
+        """Send a request once and read the complete answer.
 
-        A task that is killed in here cuts the connection, and the upstream
-        drops the work.
+        Killing the task closes the connection, on which the upstream drops the
+        work.
         """
         load = self._upstreams.load(upstream.id)
         load.in_flight += 1
-        began = self._clock.now()
+        started_at = self._clock.now()
         answer: Answer | None = None
         try:
             answer = self.open(call, upstream, 0, reuse=reuse)
@@ -86,41 +87,41 @@
             attempt = Attempt(
                 upstream, AttemptState.BROKEN, problem=error.problem
             )
-            if not self._was_hurried(call, began):
+            if not self._had_short_deadline(call, started_at):
                 self._upstreams.record_failure(upstream.id)
         finally:
             load.in_flight -= 1
             if answer is not None:
                 answer.close()
-        self._note(call, attempt, self._clock.now() - began)
+        self._record_result(call, attempt, self._clock.now() - started_at)
         return attempt
 
-    def _was_hurried(self, call: Call, began: float) -> bool:
-        """Return whether the caller's time was over before it could answer.
+    def _had_short_deadline(self, call: Call, started_at: float) -> bool:
+        """Return whether the caller's deadline was too short for an answer.
 
-        Callers may allow less than a usual answer takes; their requests must
-        not put sound upstreams out of use for everybody.
+        Callers may allow less time than an answer usually takes. Their requests
+        must not eject healthy upstreams for all callers.
         """
         now = self._clock.now()
-        return now >= call.until and now - began < HURRIED_SECONDS
+        return now >= call.until and now - started_at < MIN_DEADLINE_SECONDS
 
     def open(
         self, call: Call, upstream: Upstream, resume_after: int, *, reuse: bool
     ) -> Answer:
-        """Send a request and return its answer, of which the head is read.
+        """Send a request and return its answer once its headers are read.
 
         Raises
         ------
         UpstreamError
             Also for an answer that belongs to another request.
         """
-        left = max(call.until - self._clock.now(), 0)
-        request = self._dialect.prepare(call, upstream, left, resume_after)
+        remaining = max(call.until - self._clock.now(), 0)
+        request = self._dialect.prepare(call, upstream, remaining, resume_after)
         answer = self._pool.send(
             upstream.address,
             request,
             call.body,
-            timeout=left + GRACE_SECONDS,
+            timeout=remaining + GRACE_SECONDS,
             reuse=reuse,
         )
         marks = self._dialect.read(call, answer)
@@ -136,13 +137,15 @@
             answer.close()
             raise UpstreamNotStartedError(
                 f'{upstream.id} answered {answer.status}, not run',
-                'ask another upstream',
+                'use another upstream',
             )
         return answer
 
     def _read(self, call: Call, upstream: Upstream, answer: Answer) -> Attempt:
-        left = call.until + GRACE_SECONDS - self._clock.now()
-        with self._clock.timeout(left, lambda: _too_late(upstream)):
+        remaining = call.until + GRACE_SECONDS - self._clock.now()
+        with self._clock.timeout(
+            remaining, lambda: _make_timeout_error(upstream)
+        ):
             body = answer.read()
         return Attempt(
             upstream,
@@ -152,7 +155,9 @@
             body,
         )
 
-    def _note(self, call: Call, attempt: Attempt, seconds: float) -> None:
+    def _record_result(
+        self, call: Call, attempt: Attempt, seconds: float
+    ) -> None:
         if attempt.state is AttemptState.ANSWERED:
             self._upstreams.record_success(attempt.upstream.id, seconds)
             return
@@ -167,8 +172,8 @@
         )
 
 
-def _too_late(upstream: Upstream) -> UpstreamError:
+def _make_timeout_error(upstream: Upstream) -> UpstreamError:
     return UpstreamError(
-        f'{upstream.id} has not ended its answer in time',
+        f'{upstream.id} did not complete its answer in time',
         'check the upstream, or raise the time limit of the route',
     )
--- a/guavagate/forwarding/_forward.py
+++ b/guavagate/forwarding/_forward.py
@@ -1,11 +1,10 @@
-"""Requests whose whole answer is read before the caller gets any of it.
-
-Load pattern: one upstream of three is slow or loses some answers. A request
-that may be repeated goes to a second one after a while, or at once after a
-failure; the first whole answer counts and the other attempt is cut. Without
-it every third request is as slow as the slowest upstream. The budget keeps
-the extra work small when all of them are slow, where a second attempt only
-adds load.
+"""Forwards requests whose complete answer is read before it is passed on.
+
+Failure pattern: one of three upstreams is slow or loses some answers, so every
+third request would be as slow as the slowest upstream. An idempotent request
+goes to a second upstream after a delay, or at once after a failure; the first
+complete answer counts and the other attempt is cancelled. When all upstreams
+are slow, a second attempt only adds load, so a budget limits these hedges.
 """
 
 import enum
@@ -33,22 +32,22 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# A second attempt starts when this share of the objective is over: what is
-# left is enough for a usual answer from another upstream.
-HEDGE_AFTER: Final = 0.45
-HEDGE_LEAST_SECONDS: Final = 0.03
-# In objectives: an upstream that works has answered by then.
-SILENT_AFTER: Final = 3.0
-SILENT_LEAST_SECONDS: Final = 0.5
-# An upstream that was full has places again after about one request's work.
+# Share of the objective after which a second attempt starts; the rest is enough
+# for a usual answer from another upstream.
+HEDGE_DELAY_SHARE: Final = 0.45
+MIN_HEDGE_SECONDS: Final = 0.03
+# In multiples of the objective; a working upstream has answered by then.
+TIMEOUT_OBJECTIVES: Final = 3.0
+MIN_TIMEOUT_SECONDS: Final = 0.5
+# A full upstream has a free slot again after about one request's work.
 RETRY_AFTER_SECONDS: Final = 0.2
-# Without any upstream, or with none that answers, that is too soon.
-DARK_RETRY_SECONDS: Final = 0.4
+# Longer, as no upstream is registered or none responds.
+UNAVAILABLE_RETRY_SECONDS: Final = 0.4
 _SERVER_ERROR: Final = 500
 
 
 class OutcomeKind(enum.Enum):
-    """What the caller is told."""
+    """How a request ended for its caller."""
 
     ANSWER = 'answer'
     NOT_RUN = 'not run'
@@ -58,11 +57,11 @@
 
 
 class Outcome(msgspec.Struct):
-    """The end of a request; `retry_after` in seconds.
+    """The outcome of a request; `retry_after` in seconds.
 
     `failed_answers` counts the upstreams that ran it and answered 500.
     `began_at` is when it was sent to the first upstream that may have run it,
-    on the runtime's clock; nothing where none has.
+    on the runtime's clock, or `None` if none has.
     """
 
     kind: OutcomeKind
@@ -79,33 +78,33 @@
     def __init__(self) -> None:
         self.tried: set[UpstreamId] = set()
         self.tasks: list[Task] = []
-        self.ended: Queue = Queue()
+        self.results: Queue = Queue()
         self.running = 0
-        self.repeat = False
+        self.may_repeat = False
         self.may_have_run = False
         self.failed_answers = 0
-        self.best: Attempt | None = None
-        self.sent: dict[UpstreamId, float] = {}
-        self.unheard: dict[UpstreamId, float] = {}
+        self.failed_answer: Attempt | None = None
+        self.sent_at: dict[UpstreamId, float] = {}
+        self.unanswered: dict[UpstreamId, float] = {}
 
 
-class Choices(Protocol):
-    """Where requests may go."""
+class UpstreamChooser(Protocol):
+    """Chooses an upstream for each attempt."""
 
     def choose(
         self, service: ServiceId, tried: set[UpstreamId]
     ) -> Upstream | None:
-        """Return where one more request goes, among those not tried."""
+        """Return an upstream that was not tried, or `None`."""
 
     def record_timeout(self, upstream: UpstreamId) -> None:
-        """Note that a request got nothing in all the time that it had."""
+        """Record that an upstream sent no answer in the time it had."""
 
 
 class Forwarder:
-    """Forwards requests of routes that are not streams."""
+    """Forwards requests of routes without streaming."""
 
     def __init__(
-        self, clock: Clock, upstreams: Choices, attempts: Attempts
+        self, clock: Clock, upstreams: UpstreamChooser, attempts: Attempts
     ) -> None:
         self._clock = clock
         self._upstreams = upstreams
@@ -117,26 +116,26 @@
         call: Call,
         route: Route,
         service: ServiceId,
-        left: Queue,
+        results: Queue,
         *,
-        repeat: bool = False,
+        may_repeat: bool = False,
     ) -> Outcome:
-        """Return the outcome; attempts that it does not need are cut.
+        """Return the outcome; attempts that are still running are cancelled.
 
         Parameters
         ----------
-        left
-            Gets nothing (`None`) when the caller leaves.
-        repeat
-            Whether the request may be repeated whatever its route says.
+        results
+            Queue that receives `None` when the caller disconnects.
+        may_repeat
+            Whether the request may be repeated regardless of its route.
         """
         progress = _Progress()
-        progress.ended = left
-        progress.repeat = repeat or route.kind is RouteKind.IDEMPOTENT
+        progress.results = results
+        progress.may_repeat = may_repeat or route.kind is RouteKind.IDEMPOTENT
         try:
             outcome = self._run(call, route, service, progress)
             outcome.failed_answers = progress.failed_answers
-            outcome.began_at = min(progress.sent.values(), default=None)
+            outcome.began_at = min(progress.sent_at.values(), default=None)
             return outcome
         finally:
             for task in progress.tasks:
@@ -149,51 +148,55 @@
         service: ServiceId,
         progress: _Progress,
     ) -> Outcome:
-        repeat = progress.repeat
-        hedge = max(route.objective * HEDGE_AFTER, HEDGE_LEAST_SECONDS)
-        hedge_at = self._clock.now() + hedge
-        late = call.until + GRACE_SECONDS
+        may_repeat = progress.may_repeat
+        hedge_delay = max(
+            route.objective * HEDGE_DELAY_SHARE, MIN_HEDGE_SECONDS
+        )
+        hedge_at = self._clock.now() + hedge_delay
+        give_up_at = call.until + GRACE_SECONDS
         self._start(call, route, service, progress)
         while progress.running:
             now = self._clock.now()
-            if now >= late:
-                self._note_silent(progress, route)
+            if now >= give_up_at:
+                self._record_timeouts(progress, route)
                 return Outcome(OutcomeKind.LATE, reason='no answer in time')
-            waits = hedge_at if repeat and hedge_at > now else late
+            wait_until = (
+                hedge_at if may_repeat and hedge_at > now else give_up_at
+            )
             try:
-                attempt = take(self._clock, progress.ended, waits - now)
+                attempt = take(self._clock, progress.results, wait_until - now)
             except NothingYetError:
-                if waits < late and self._hedges.spend():
+                if wait_until < give_up_at and self._hedges.spend():
                     self._start(call, route, service, progress)
                 continue
             if attempt is None:
-                self._note_silent(progress, route)
+                self._record_timeouts(progress, route)
                 return Outcome(OutcomeKind.CALLER_LEFT)
-            progress.unheard.pop(attempt.upstream.id, None)
+            progress.unanswered.pop(attempt.upstream.id, None)
             progress.running -= 1
-            if attempt.good:
+            if attempt.is_final:
                 self._hedges.earn()
                 return Outcome(OutcomeKind.ANSWER, attempt)
-            self._take_failure(progress, attempt)
-            if repeat or not progress.may_have_run:
+            self._record_failure(progress, attempt)
+            if may_repeat or not progress.may_have_run:
                 self._start(call, route, service, progress)
         return self._conclude(call, progress)
 
-    def _note_silent(self, progress: _Progress, route: Route) -> None:
-        """Note which upstreams had time enough, and sent nothing."""
-        enough = max(route.objective * SILENT_AFTER, SILENT_LEAST_SECONDS)
-        before = self._clock.now() - enough
-        for upstream, sent_at in progress.unheard.items():
+    def _record_timeouts(self, progress: _Progress, route: Route) -> None:
+        """Record the upstreams that had enough time but did not answer."""
+        needed = max(route.objective * TIMEOUT_OBJECTIVES, MIN_TIMEOUT_SECONDS)
+        before = self._clock.now() - needed
+        for upstream, sent_at in progress.unanswered.items():
             if sent_at <= before:
                 self._upstreams.record_timeout(upstream)
 
-    def _take_failure(self, progress: _Progress, attempt: Attempt) -> None:
+    def _record_failure(self, progress: _Progress, attempt: Attempt) -> None:
         if attempt.state is AttemptState.NOT_RUN:
-            progress.sent.pop(attempt.upstream.id, None)
+            progress.sent_at.pop(attempt.upstream.id, None)
         else:
             progress.may_have_run = True
         if attempt.state is AttemptState.ANSWERED:
-            progress.best = attempt
+            progress.failed_answer = attempt
             progress.failed_answers += attempt.status == _SERVER_ERROR
 
     def _start(
@@ -209,22 +212,23 @@
         if upstream is None:
             return
         progress.tried.add(upstream.id)
-        progress.sent[upstream.id] = self._clock.now()
-        progress.unheard[upstream.id] = self._clock.now()
+        progress.sent_at[upstream.id] = self._clock.now()
+        progress.unanswered[upstream.id] = self._clock.now()
         progress.running += 1
-        # A kept connection that the upstream closes just now leaves unknown
-        # whether a request ran; where it may not be repeated, that is lost.
-        reuse = progress.repeat
-        ended = progress.ended
+        # If the upstream closes an idle connection just as it is reused, it is
+        # unknown whether the request ran. A request that may not be repeated
+        # would then be lost, so it gets a new connection.
+        reuse = progress.may_repeat
+        results = progress.results
 
         def run() -> None:
-            ended.put(self._attempts.make(call, upstream, reuse=reuse))
+            results.put(self._attempts.make(call, upstream, reuse=reuse))
 
         progress.tasks.append(self._clock.spawn(run))
 
     def _conclude(self, call: Call, progress: _Progress) -> Outcome:
-        if progress.best is not None:
-            return Outcome(OutcomeKind.ANSWER, progress.best)
+        if progress.failed_answer is not None:
+            return Outcome(OutcomeKind.ANSWER, progress.failed_answer)
         if progress.may_have_run and self._clock.now() >= call.until:
             return Outcome(OutcomeKind.LATE, reason='no answer in time')
         if progress.may_have_run:
@@ -234,14 +238,14 @@
         return Outcome(
             OutcomeKind.NOT_RUN,
             reason='no upstream answers',
-            retry_after=DARK_RETRY_SECONDS,
+            retry_after=UNAVAILABLE_RETRY_SECONDS,
         )
 
 
 def log_outcome(
     call: Call, route: Route, outcome: Outcome, seconds: float
 ) -> None:
-    """Write the line about a request's end."""
+    """Log the outcome of a request."""
     event = events.FORWARDED
     if outcome.kind is OutcomeKind.CALLER_LEFT:
         event = events.CALLER_LEFT
--- a/guavagate/forwarding/_rewards.py
+++ b/guavagate/forwarding/_rewards.py
@@ -1,4 +1,4 @@
-"""Reward requests: callers' mechanism, with room left for the callers."""
+"""Forwards reward requests, leaving capacity for callers' requests."""
 
 from typing import Final
 
@@ -20,10 +20,12 @@
 from guavagate.ports.upstreams import Upstream
 from guavagate.routing import RouteTable, UpstreamTable, pick_service
 
-# Of an upstream that does not tell how many it has.
+# Assumed for an upstream that registers no number of slots.
 DEFAULT_SLOTS: Final = 4
-_GOOD: Final = range(200, 300)
-_SINGLE: Final = frozenset((RouteKind.IDEMPOTENT, RouteKind.NON_IDEMPOTENT))
+_SUCCESS: Final = range(200, 300)
+_UNARY_KINDS: Final = frozenset(
+    (RouteKind.IDEMPOTENT, RouteKind.NON_IDEMPOTENT)
+)
 
 
 class BackgroundUpstreams:
@@ -34,44 +36,44 @@
         self._upstreams = upstreams
 
     def count_available(self, service: ServiceId) -> int:
-        """Return how many more requests a service's upstreams may get."""
+        """Return how many more requests a service's upstreams may take."""
         return sum(
-            max(self._measure_room(each), 0)
-            for each in self._list_sound(service)
+            max(self._count_free_slots(each), 0)
+            for each in self._list_healthy(service)
         )
 
     def choose(
         self, service: ServiceId, tried: set[UpstreamId]
     ) -> Upstream | None:
-        """Return where one more request goes, or nothing if all are full."""
-        roomy = {
+        """Return an upstream for one request, or `None` if all are full."""
+        with_capacity = {
             each.id
-            for each in self._list_sound(service)
-            if self._measure_room(each) > 0
+            for each in self._list_healthy(service)
+            if self._count_free_slots(each) > 0
         }
-        others = {
+        excluded = {
             each.id
             for each in self._upstreams.serving(service)
-            if each.id not in roomy
+            if each.id not in with_capacity
         }
-        return self._upstreams.choose(service, tried | others)
+        return self._upstreams.choose(service, tried | excluded)
 
     def record_timeout(self, upstream: UpstreamId) -> None:
-        """Note that a request got nothing in all the time that it had."""
+        """Record that an upstream sent no answer in the time it had."""
         self._upstreams.record_timeout(upstream)
 
-    def _list_sound(self, service: ServiceId) -> list[Upstream]:
-        """Return the upstreams in use, ejected ones if there are no others."""
+    def _list_healthy(self, service: ServiceId) -> list[Upstream]:
+        """Return the upstreams that are not ejected, or all if all are."""
         now = self._clock.now()
         serving = self._upstreams.serving(service)
-        sound = [
+        healthy = [
             each
             for each in serving
             if self._upstreams.load(each.id).ejected_until <= now
         ]
-        return sound or serving
+        return healthy or serving
 
-    def _measure_room(self, upstream: Upstream) -> int:
+    def _count_free_slots(self, upstream: Upstream) -> int:
         load = self._upstreams.load(upstream.id)
         slots = upstream.slots or DEFAULT_SLOTS
         return limit_background(slots, load.foreground_slots) - load.in_flight
@@ -95,7 +97,7 @@
         self._forwarder = Forwarder(clock, self._background, attempts)
 
     def find_route(self, reward: RewardRequest) -> RewardRoute | None:
-        """Return where a request would go now, or nothing."""
+        """Return where a request would be sent now, or `None`."""
         route = self._find(reward)
         if route is None:
             return None
@@ -105,11 +107,11 @@
         )
 
     def count_available(self, service: ServiceId) -> int:
-        """Return how many more requests the service's upstreams may get."""
+        """Return how many more requests the service's upstreams may take."""
         return self._background.count_available(service)
 
     def send(self, reward: RewardRequest) -> RewardOutcome:
-        """Send a request and wait for its end; cut when its task is killed."""
+        """Send a request and wait; cancelled when its task is killed."""
         route = self._find(reward)
         if route is None:
             return RewardOutcome(kind=RewardKind.NO_ROUTE)
@@ -121,21 +123,21 @@
         )
         service = pick_service(route, reward.id)
         outcome = self._forwarder.forward(
-            call, route, service, Queue(), repeat=True
+            call, route, service, Queue(), may_repeat=True
         )
-        return self._judge(outcome)
+        return self._to_reward_outcome(outcome)
 
     def _find(self, reward: RewardRequest) -> Route | None:
         route = self._routes.find(reward.host, reward.path)
-        if route is None or route.kind not in _SINGLE:
+        if route is None or route.kind not in _UNARY_KINDS:
             return None
         return route
 
-    def _judge(self, outcome: Outcome) -> RewardOutcome:
-        """Return what an outcome gives: a signature only with a whole success.
+    def _to_reward_outcome(self, outcome: Outcome) -> RewardOutcome:
+        """Return the reward of an outcome; only a complete success has one.
 
-        A success without a signature is not the upstream's word, and what broke
-        off, or was crossed, never gets here as an answer.
+        A success without a signature does not count, and an incomplete or
+        mismatched answer never arrives here as an answer.
         """
         attempt = outcome.attempt
         if attempt is None or outcome.kind is not OutcomeKind.ANSWER:
@@ -145,7 +147,7 @@
                 reason=outcome.reason,
             )
         signature = self._dialect.read_signature(attempt.headers)
-        if attempt.status not in _GOOD or not signature:
+        if attempt.status not in _SUCCESS or not signature:
             return RewardOutcome(
                 kind=RewardKind.FAILED,
                 failures=outcome.failed_answers,
--- a/guavagate/forwarding/_stream.py
+++ b/guavagate/forwarding/_stream.py
@@ -1,4 +1,4 @@
-"""Streams passed on event by event, resumed at another upstream if allowed."""
+"""Forwards streams by event and resumes them at another upstream."""
 
 import functools
 import logging
@@ -22,12 +22,12 @@
 _EVENT_END: Final = b'\n\n'
 _EVENT_ID: Final = b'id:'
 _OK: Final = 200
-# A sampler that sends no event for so long is lost, or the way to it is.
-SILENT_SECONDS: Final = 2.0
+# A sampler that sends no event for this long is lost or unreachable.
+STALL_SECONDS: Final = 2.0
 
 
 class StreamForwarder:
-    """Forwards streams; a caller sees whole events only."""
+    """Forwards streams; a caller receives complete events only."""
 
     def __init__(
         self, clock: Clock, upstreams: UpstreamTable, attempts: Attempts
@@ -39,7 +39,7 @@
     def forward(
         self, exchange: Exchange, call: Call, route: Route, service: ServiceId
     ) -> Outcome:
-        """Pass a stream on; an outcome that is no answer is still to send."""
+        """Forward a stream; any outcome but `ANSWER` is still to be sent."""
         run = _StreamRun(exchange, call)
         tried: set[UpstreamId] = set()
         outcome = Outcome(OutcomeKind.NOT_RUN, reason='no upstream')
@@ -50,7 +50,7 @@
                 break
             tried.add(upstream.id)
             sent_at = self._clock.now()
-            outcome = self._try(run, upstream)
+            outcome = self._try_upstream(run, upstream)
             if began_at is None and run.may_have_run:
                 began_at = sent_at
             outcome.began_at = began_at
@@ -62,37 +62,37 @@
             exchange.abort()
         return outcome
 
-    def _try(self, run: '_StreamRun', upstream: Upstream) -> Outcome:
-        """Pass a stream on from one upstream; return what is to be told."""
+    def _try_upstream(self, run: '_StreamRun', upstream: Upstream) -> Outcome:
+        """Forward a stream from one upstream; return the outcome."""
         try:
-            self._pass_on(run, upstream)
+            self._forward_from(run, upstream)
         except UpstreamNotStartedError as error:
             ran = run.may_have_run
             kind = OutcomeKind.UNKNOWN if ran else OutcomeKind.NOT_RUN
             return Outcome(kind, reason=error.problem)
         except UpstreamError as error:
-            self._note_broken(run, upstream, error)
+            self._record_break(run, upstream, error)
             return Outcome(OutcomeKind.UNKNOWN, reason=error.problem)
         return Outcome(OutcomeKind.ANSWER)
 
-    def _pass_on(self, run: '_StreamRun', upstream: Upstream) -> None:
+    def _forward_from(self, run: '_StreamRun', upstream: Upstream) -> None:
         load = self._upstreams.load(upstream.id)
         load.in_flight += 1
         answer: Answer | None = None
         try:
             answer = self._attempts.open(
-                run.call, upstream, run.last, reuse=False
+                run.call, upstream, run.last_event_id, reuse=False
             )
             run.may_have_run = True
             run.exchange.on_gone(answer.close)
-            self._copy(run, answer, upstream)
+            self._forward_events(run, answer, upstream)
         finally:
             load.in_flight -= 1
             run.exchange.on_gone(None)
             if answer is not None:
                 answer.close()
 
-    def _copy(
+    def _forward_events(
         self, run: '_StreamRun', answer: Answer, upstream: Upstream
     ) -> None:
         if answer.status != _OK and run.exchange.started:
@@ -104,28 +104,28 @@
             headers = drop_hop_by_hop(answer.headers)
             run.exchange.start(answer.status, headers)
         chunks = answer.chunks()
-        silent = functools.partial(_silent, upstream)
+        make_error = functools.partial(_make_stall_error, upstream)
         while True:
-            with self._clock.timeout(SILENT_SECONDS, silent):
+            with self._clock.timeout(STALL_SECONDS, make_error):
                 chunk = next(chunks, None)
             if chunk is None:
                 break
-            for event in run.cut(chunk):
+            for event in run.split_events(chunk):
                 run.exchange.send(event)
-        if run.rest and answer.status == _OK:
+        if run.partial and answer.status == _OK:
             raise UpstreamError(
                 f'{upstream.id} ended in the middle of an event',
                 'check the upstream; the stream goes on elsewhere if it may',
             )
-        if run.rest:
-            run.exchange.send(run.rest)
+        if run.partial:
+            run.exchange.send(run.partial)
         run.exchange.end()
 
-    def _note_broken(
+    def _record_break(
         self, run: '_StreamRun', upstream: Upstream, error: UpstreamError
     ) -> None:
         run.may_have_run = True
-        run.rest = b''
+        run.partial = b''
         self._upstreams.record_failure(upstream.id)
         write(
             _LOGGER,
@@ -133,33 +133,34 @@
             request=run.call.id,
             upstream=upstream.id,
             state='broken',
-            after=run.last,
+            after=run.last_event_id,
             problem=error.problem,
         )
 
 
 class _StreamRun:
-    """What the caller has of a stream."""
+    """What a caller has received of a stream."""
 
     def __init__(self, exchange: Exchange, call: Call) -> None:
         self.exchange = exchange
         self.call = call
-        self.last = call.resume_after
-        self.rest = b''
+        self.last_event_id = call.resume_after
+        self.partial = b''
         self.may_have_run = False
 
-    def cut(self, chunk: bytes) -> Iterator[bytes]:
-        """Yield the events that are whole now, noting their numbers."""
-        *whole, self.rest = (self.rest + chunk).split(_EVENT_END)
-        for event in whole:
+    def split_events(self, chunk: bytes) -> Iterator[bytes]:
+        """Yield the events that are complete now; record their numbers."""
+        *complete, self.partial = (self.partial + chunk).split(_EVENT_END)
+        for event in complete:
             for line in event.split(b'\n'):
                 number = line[len(_EVENT_ID) :].strip()
                 if line.startswith(_EVENT_ID) and number.isdigit():
-                    self.last = int(number)
+                    self.last_event_id = int(number)
             yield event + _EVENT_END
 
 
-def _silent(upstream: Upstream) -> UpstreamError:
+def _make_stall_error(upstream: Upstream) -> UpstreamError:
     return UpstreamError(
-        f'{upstream.id} was silent', 'check the upstream and the way to it'
+        f'{upstream.id} sent no event in time',
+        'check the upstream and the network path to it',
     )
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -141,7 +141,7 @@
     Safeguard(
         'a signature comes with a whole success',
         'guavagate/forwarding/_rewards.py',
-        'if attempt.status not in _GOOD or not signature:',
+        'if attempt.status not in _SUCCESS or not signature:',
         'if False:',
         'tests/forwarding/test_rewards.py',
     ),
@@ -248,7 +248,7 @@
     Safeguard(
         'what may have run is not repeated',
         'guavagate/forwarding/_forward.py',
-        'if repeat or not progress.may_have_run:',
+        'if may_repeat or not progress.may_have_run:',
         'if True:',
         'tests/forwarding',
     ),
@@ -262,8 +262,8 @@
     Safeguard(
         'a stream goes on at another after its last whole event',
         'guavagate/forwarding/_stream.py',
-        "        run.rest = b''\n",
-        '        run.last += 0\n',
+        "        run.partial = b''\n",
+        '        run.last_event_id += 0\n',
         'tests/forwarding',
     ),
     Safeguard(
--- a/tests/forwarding/__init__.py
+++ b/tests/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of forwarding."""
+"""Tests of forwarding to upstreams."""
--- a/tests/forwarding/common.py
+++ b/tests/forwarding/common.py
@@ -1,4 +1,4 @@
-"""Upstreams for tests that speak raw bytes over real sockets."""
+"""Test upstreams that exchange raw bytes over real sockets."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 def start_upstream(
     name: str, zone: str, serve: Serve
 ) -> tuple[StreamServer, Upstream]:
-    """Listen, and return the server and what it registers."""
+    """Start an upstream; return its server and its registration."""
     server = StreamServer(('127.0.0.1', 0), serve)
     server.start()
     upstream = Upstream(
--- a/tests/forwarding/test_forward.py
+++ b/tests/forwarding/test_forward.py
@@ -1,4 +1,4 @@
-"""Requests passed on: repeated where allowed, refused truly and at once."""
+"""Forwarded requests: retried where allowed, otherwise refused at once."""
 
 from gevent.queue import Queue
 
@@ -19,14 +19,14 @@
 from tests.routing.test_routes import make_route, make_upstream
 
 
-class _Attempts:
-    """Each upstream answers after a while in a set way."""
+class _FakeAttempts:
+    """Fake attempts: each upstream answers as planned after a delay."""
 
     def __init__(self, clock: PausedClock) -> None:
         self.clock = clock
         self.plans: dict[str, tuple[float, AttemptState, int]] = {}
         self.made: list[str] = []
-        self.cut: list[str] = []
+        self.cancelled: list[str] = []
 
     def make(self, call: Call, upstream: Upstream, *, reuse: bool) -> Attempt:
         """Answer as planned."""
@@ -35,18 +35,18 @@
         try:
             self.clock.sleep(seconds)
         except BaseException:
-            self.cut.append(upstream.id)
+            self.cancelled.append(upstream.id)
             raise
         return Attempt(upstream, state, status, [], upstream.id.encode())
 
 
-class _Setting:
-    """A forwarder before a few upstreams."""
+class _Bench:
+    """A forwarder with a few upstreams."""
 
     def __init__(self, **plans: tuple[float, AttemptState, int]) -> None:
         self.clock = PausedClock()
         self.upstreams = UpstreamTable(self.clock, ZoneId('z'))
-        self.attempts = _Attempts(self.clock)
+        self.attempts = _FakeAttempts(self.clock)
         self.attempts.plans = plans
         for name in plans:
             zone = 'z' if name == 'a' else 'y'
@@ -56,31 +56,31 @@
             self.upstreams,
             self.attempts,  # type: ignore[arg-type]
         )
-        self.left: Queue = Queue()
+        self.results: Queue = Queue()
 
     def forward(
         self, kind: RouteKind = RouteKind.IDEMPOTENT, limit: float = 1.5
     ) -> tuple[Outcome, float]:
         """Forward one request; return its outcome and how long it took."""
-        began = self.clock.now()
+        started_at = self.clock.now()
         call = Call(
             id='1',
             request=Request('GET', '/', []),
             body=b'',
-            until=began + limit,
+            until=started_at + limit,
         )
         task = self.clock.spawn(
             self.forwarder.forward,
             call,
             make_route('/', kind=kind),
             ServiceId('s'),
-            self.left,
+            self.results,
         )
-        ended: list[float] = []
-        task.link(lambda _: ended.append(self.clock.now()))
+        ended_at: list[float] = []
+        task.link(lambda _: ended_at.append(self.clock.now()))
         self.clock.run_until(task.ready, 10)
         self.clock.settle()
-        return task.get(block=False), ended[0] - began
+        return task.get(block=False), ended_at[0] - started_at
 
 
 _GOOD = (0.05, AttemptState.ANSWERED, 200)
@@ -88,132 +88,134 @@
 _FAILED = (0.01, AttemptState.ANSWERED, 500)
 _LOST = (0.01, AttemptState.BROKEN, 0)
 _FULL = (0.01, AttemptState.NOT_RUN, 503)
-_SILENT = (60.0, AttemptState.BROKEN, 0)
+_UNRESPONSIVE = (60.0, AttemptState.BROKEN, 0)
 
 
-def test_a_slow_upstream_is_hedged_and_then_left() -> None:
+def test_a_slow_upstream_is_hedged_and_its_attempt_cancelled() -> None:
     """The nearest upstream is slow; another answers within the objective.
 
-    The slow attempt is cut, so the upstream does not work in vain.
+    The slow attempt is cancelled, so the upstream stops its useless work.
     """
-    held = _Setting(a=_SLOW, b=_GOOD)
-    outcome, seconds = held.forward()
+    bench = _Bench(a=_SLOW, b=_GOOD)
+    outcome, seconds = bench.forward()
     assert outcome.kind is OutcomeKind.ANSWER
     assert seconds < 0.2
-    assert held.attempts.cut == ['a']
+    assert bench.attempts.cancelled == ['a']
 
 
-def test_a_lost_answer_is_asked_for_again_where_that_is_allowed() -> None:
-    """The request may have run; it is idempotent."""
-    outcome, _ = _Setting(a=_LOST, b=_GOOD).forward()
+def test_a_request_is_retried_after_a_lost_answer_if_idempotent() -> None:
+    """The request may have run, but it is idempotent."""
+    outcome, _ = _Bench(a=_LOST, b=_GOOD).forward()
     assert outcome.kind is OutcomeKind.ANSWER
 
 
-def test_what_may_not_be_repeated_runs_once() -> None:
-    """The answer is lost: the caller is told that, and nothing is repeated.
+def test_a_non_idempotent_request_runs_once() -> None:
+    """The answer is lost: the outcome is unknown and there is no retry.
 
-    A second attempt would file the same notice twice; "not run" would be a
-    lie that makes the caller do it.
+    A second attempt could run the request twice; a wrong "not run" would make
+    the caller do so.
     """
-    held = _Setting(a=_LOST, b=_GOOD)
-    outcome, _ = held.forward(RouteKind.NON_IDEMPOTENT)
+    bench = _Bench(a=_LOST, b=_GOOD)
+    outcome, _ = bench.forward(RouteKind.NON_IDEMPOTENT)
     assert outcome.kind is OutcomeKind.UNKNOWN
-    assert held.attempts.made == ['a']
+    assert bench.attempts.made == ['a']
 
 
-def test_what_has_not_run_goes_elsewhere_whatever_its_kind() -> None:
-    """The first upstream is full and says that it ran nothing."""
-    outcome, _ = _Setting(a=_FULL, b=_GOOD).forward(RouteKind.NON_IDEMPOTENT)
+def test_a_request_that_has_not_run_is_retried_whatever_its_kind() -> None:
+    """The first upstream is full and answers that it ran nothing."""
+    outcome, _ = _Bench(a=_FULL, b=_GOOD).forward(RouteKind.NON_IDEMPOTENT)
     assert outcome.kind is OutcomeKind.ANSWER
 
 
-def test_no_hedge_for_what_may_not_be_repeated() -> None:
-    """A slow upstream is waited for."""
-    held = _Setting(a=_SLOW, b=_GOOD)
-    held.forward(RouteKind.NON_IDEMPOTENT)
-    assert held.attempts.made == ['a']
+def test_a_non_idempotent_request_is_not_hedged() -> None:
+    """The forwarder waits for the slow upstream."""
+    bench = _Bench(a=_SLOW, b=_GOOD)
+    bench.forward(RouteKind.NON_IDEMPOTENT)
+    assert bench.attempts.made == ['a']
 
 
-def test_all_full_is_refused_at_once_and_truly() -> None:
-    """Nothing has run anywhere; the caller learns when to come back."""
-    outcome, seconds = _Setting(a=_FULL, b=_FULL).forward()
+def test_a_request_is_refused_at_once_if_all_upstreams_are_full() -> None:
+    """Nothing has run; the refusal says when to retry."""
+    outcome, seconds = _Bench(a=_FULL, b=_FULL).forward()
     assert outcome.kind is OutcomeKind.NOT_RUN
     assert seconds < 0.1
     assert outcome.retry_after > 0
 
 
-def test_a_failure_that_an_upstream_answered_is_passed_on() -> None:
-    """Both upstreams answer 500; the caller gets the upstream's own answer."""
-    outcome, _ = _Setting(a=_FAILED, b=_FAILED).forward()
+def test_a_failure_answered_by_an_upstream_is_forwarded() -> None:
+    """Both upstreams answer 500; the caller receives the upstream's answer."""
+    outcome, _ = _Bench(a=_FAILED, b=_FAILED).forward()
     assert outcome.attempt is not None
     assert outcome.attempt.status == 500
 
 
-def test_at_the_time_limit_the_caller_is_answered() -> None:
-    """No upstream answers; the attempts are cut as the caller is told."""
-    held = _Setting(a=_SILENT, b=_SILENT)
-    outcome, seconds = held.forward(limit=0.5)
+def test_a_request_times_out_at_its_deadline() -> None:
+    """No upstream answers; the attempts are cancelled at the time limit."""
+    bench = _Bench(a=_UNRESPONSIVE, b=_UNRESPONSIVE)
+    outcome, seconds = bench.forward(limit=0.5)
     assert outcome.kind is OutcomeKind.LATE
     assert seconds < 0.6
-    assert sorted(held.attempts.cut) == ['a', 'b']
+    assert sorted(bench.attempts.cancelled) == ['a', 'b']
 
 
-def test_a_caller_that_left_costs_the_upstream_nothing_more() -> None:
-    """The caller closes its connection while an upstream works."""
-    held = _Setting(a=_SLOW)
-    held.clock.call_at(held.clock.now() + 0.1, lambda: held.left.put(None))
-    outcome, seconds = held.forward()
+def test_the_attempt_is_cancelled_when_the_caller_disconnects() -> None:
+    """The caller disconnects while an upstream works."""
+    bench = _Bench(a=_SLOW)
+    bench.clock.call_at(
+        bench.clock.now() + 0.1, lambda: bench.results.put(None)
+    )
+    outcome, seconds = bench.forward()
     assert outcome.kind is OutcomeKind.CALLER_LEFT
     assert seconds < 0.2
-    assert held.attempts.cut == ['a']
+    assert bench.attempts.cancelled == ['a']
 
 
-def test_no_more_upstreams_than_the_route_allows() -> None:
+def test_at_most_the_attempts_of_the_route_are_made() -> None:
     """Three upstreams lose their answers; the route allows two."""
-    held = _Setting(a=_LOST, b=_LOST, c=_GOOD)
-    outcome, _ = held.forward()
-    assert len(held.attempts.made) == 2
+    bench = _Bench(a=_LOST, b=_LOST, c=_GOOD)
+    outcome, _ = bench.forward()
+    assert len(bench.attempts.made) == 2
     assert outcome.kind in {OutcomeKind.UNKNOWN, OutcomeKind.ANSWER}
 
 
 def test_without_upstreams_the_refusal_is_immediate() -> None:
     """No upstream of the service is registered."""
-    outcome, seconds = _Setting().forward()
+    outcome, seconds = _Bench().forward()
     assert outcome.kind is OutcomeKind.NOT_RUN
     assert seconds < 0.01
 
 
-def test_a_lost_answer_at_the_time_limit_is_told_as_late() -> None:
-    """The attempts end with the caller's time; 504 says what happened."""
+def test_a_lost_answer_at_the_deadline_is_a_timeout() -> None:
+    """The attempts fail at the caller's deadline; the outcome is a timeout."""
     lost = (0.5, AttemptState.BROKEN, 0)
-    outcome, _ = _Setting(a=lost).forward(limit=0.5)
+    outcome, _ = _Bench(a=lost).forward(limit=0.5)
     assert outcome.kind is OutcomeKind.LATE
 
 
-def test_a_dark_service_refuses_at_once_and_truly() -> None:
-    """All upstreams hang. The first callers are held until their time is over.
+def test_requests_to_an_unavailable_service_are_refused_at_once() -> None:
+    """All upstreams hang; the first requests wait until their deadlines.
 
-    Those that come while somebody is finding out are told that nothing ran,
-    instead of holding a connection for as long.
+    While requests that test the upstreams are in flight, others are refused at
+    once as not run, instead of occupying a connection until their deadlines.
     """
-    setting = _Setting(a=_SILENT, b=_SILENT)
+    bench = _Bench(a=_UNRESPONSIVE, b=_UNRESPONSIVE)
     for _ in range(2):
-        outcome, seconds = setting.forward()
+        outcome, seconds = bench.forward()
         assert outcome.kind is OutcomeKind.LATE
         assert seconds > 1
     for name in 'ab':
-        setting.upstreams.load(UpstreamId(name)).in_flight += 1
-    made = len(setting.attempts.made)
-    outcome, seconds = setting.forward()
+        bench.upstreams.load(UpstreamId(name)).in_flight += 1
+    made = len(bench.attempts.made)
+    outcome, seconds = bench.forward()
     assert outcome.kind is OutcomeKind.NOT_RUN
     assert seconds < 0.05
     assert outcome.retry_after > 0
-    assert len(setting.attempts.made) == made
+    assert len(bench.attempts.made) == made
 
 
-def test_a_caller_in_a_hurry_makes_no_upstream_dark() -> None:
-    """It allows less than a usual answer takes."""
-    setting = _Setting(a=_SLOW, b=_SLOW)
+def test_short_deadlines_make_no_upstream_unresponsive() -> None:
+    """Its deadline is shorter than an answer usually takes."""
+    bench = _Bench(a=_SLOW, b=_SLOW)
     for _ in range(5):
-        setting.forward(limit=0.2)
-    assert setting.upstreams.load(UpstreamId('a')).timeouts == 0
+        bench.forward(limit=0.2)
+    assert bench.upstreams.load(UpstreamId('a')).timeouts == 0
--- a/tests/forwarding/test_rewards.py
+++ b/tests/forwarding/test_rewards.py
@@ -1,4 +1,4 @@
-"""Reward requests through the callers' mechanism, over real sockets."""
+"""Reward requests over real sockets."""
 
 from collections.abc import Iterator
 
@@ -38,8 +38,8 @@
 _GOOD = _answer(_SEAL, _MINE)
 
 
-class _Setting:
-    """Upstreams that answer raw bytes, and a forwarder of rewards."""
+class _Bench:
+    """Upstreams that answer raw bytes, and a reward forwarder."""
 
     def __init__(self) -> None:
         clock = SystemClock()
@@ -68,17 +68,17 @@
         self.routes.apply(Configuration(version=version, routes=(route,)))
 
     def add(self, name: str, *answers: bytes, zone: str = 'z') -> None:
-        """Add an upstream; after its last answer it closes at once."""
-        left = list(answers)
+        """Add an upstream that closes connections after its last answer."""
+        remaining = list(answers)
 
         def serve(sock: socket.socket, _: object) -> None:
             data = sock.recv(65_536)
             if data:
                 self.requests.append(data)
-            if left and left[0] == b'silence':
+            if remaining and remaining[0] == b'silence':
                 gevent.sleep(2)
-            elif left:
-                sock.sendall(left.pop(0))
+            elif remaining:
+                sock.sendall(remaining.pop(0))
             sock.close()
 
         server, upstream = start_upstream(name, zone, serve)
@@ -92,20 +92,22 @@
 
 
 @pytest.fixture
-def setting() -> Iterator[_Setting]:
-    """One setting; its servers end with the test."""
-    held = _Setting()
-    yield held
-    for server in held.servers:
+def bench() -> Iterator[_Bench]:
+    """Return a bench whose servers stop after the test."""
+    running = _Bench()
+    yield running
+    for server in running.servers:
         server.stop(0)
 
 
-def test_a_reward_is_sent_as_callers_requests_are(setting: _Setting) -> None:
-    """Its own id, a deadline, the target's id; path and body byte for byte."""
-    setting.add('a', _GOOD)
-    outcome = setting.send()
+def test_a_reward_request_has_the_headers_of_callers_requests(
+    bench: _Bench,
+) -> None:
+    """It has an id, a deadline and a target; path and body are unchanged."""
+    bench.add('a', _GOOD)
+    outcome = bench.send()
     assert (outcome.kind, outcome.signature) == (RewardKind.SUCCEEDED, 's-1')
-    head, _, body = setting.requests[0].partition(b'\r\n\r\n')
+    head, _, body = bench.requests[0].partition(b'\r\n\r\n')
     assert body == _REWARD.body
     lines = head.split(b'\r\n')
     assert lines[0] == b'POST /p/x?y=%2F HTTP/1.1'
@@ -132,56 +134,58 @@
         'limited', 'misdirected',
     ],
 )  # fmt: skip
-def test_what_is_no_whole_success_gives_no_signature(
-    setting: _Setting, spoilt: bytes
+def test_an_unsuccessful_answer_gives_no_signature(
+    bench: _Bench, spoilt: bytes
 ) -> None:
-    """Each is what one upstream answers; alone it is no failure of the item."""
-    setting.add('a', spoilt)
-    outcome = setting.send()
+    """One such answer alone does not count as a failure of the item."""
+    bench.add('a', spoilt)
+    outcome = bench.send()
     assert outcome.kind is RewardKind.FAILED
     assert not outcome.signature
     assert outcome.failures == 0
 
 
-def test_another_upstream_gives_the_signature(setting: _Setting) -> None:
-    """One fails with 500, one is silent; the third is asked in time."""
-    setting.add('a', _answer(_SEAL, status=500))
-    setting.add('b', b'silence', zone='y')
-    setting.add('c', _GOOD, zone='y')
-    outcome = setting.send()
+def test_another_upstream_gives_the_signature(bench: _Bench) -> None:
+    """One answers 500, one hangs; the third still answers in time."""
+    bench.add('a', _answer(_SEAL, status=500))
+    bench.add('b', b'silence', zone='y')
+    bench.add('c', _GOOD, zone='y')
+    outcome = bench.send()
     assert outcome.kind is RewardKind.SUCCEEDED
     assert outcome.failures == 1
 
 
-def test_failures_are_counted_by_answers(setting: _Setting) -> None:
-    """Three upstreams answer 500: three failures of one item."""
+def test_failures_are_counted_by_answers(bench: _Bench) -> None:
+    """Three upstreams answer 500, which makes three failures of one item."""
     for name in 'abc':
-        setting.add(name, _answer(_SEAL, status=500))
-    outcome = setting.send()
+        bench.add(name, _answer(_SEAL, status=500))
+    outcome = bench.send()
     assert (outcome.kind, outcome.failures) == (RewardKind.FAILED, 3)
 
 
-def test_where_a_reward_goes_follows_the_configuration(
-    setting: _Setting,
+def test_the_route_of_a_reward_follows_the_configuration(
+    bench: _Bench,
+) -> None:
+    """Routes for jobs or streams take no rewards; a route may be removed."""
+    assert bench.client.find_route(_REWARD) is not None
+    bench.put_route(RouteKind.JOB, version=2)
+    assert bench.client.find_route(_REWARD) is None
+    bench.routes.apply(Configuration(version=3))
+    assert bench.client.find_route(_REWARD) is None
+    assert bench.send().kind is RewardKind.NO_ROUTE
+
+
+def test_rewards_are_not_sent_to_upstreams_without_free_slots(
+    bench: _Bench,
 ) -> None:
-    """A route that takes jobs or streams rates nothing; one may be dropped."""
-    assert setting.client.find_route(_REWARD) is not None
-    setting.put_route(RouteKind.JOB, version=2)
-    assert setting.client.find_route(_REWARD) is None
-    setting.routes.apply(Configuration(version=3))
-    assert setting.client.find_route(_REWARD) is None
-    assert setting.send().kind is RewardKind.NO_ROUTE
-
-
-def test_rewards_go_to_no_upstream_without_room(setting: _Setting) -> None:
-    """All places but the callers' are taken, and one upstream is ejected."""
-    setting.add('a', _GOOD)
-    setting.add('b', _GOOD, zone='y')
+    """One upstream has only callers' slots free, the other is ejected."""
+    bench.add('a', _GOOD)
+    bench.add('b', _GOOD, zone='y')
     service = ServiceId('s')
-    assert setting.client.count_available(service) == 6
-    setting.upstreams.load(UpstreamId('a')).in_flight = 3
+    assert bench.client.count_available(service) == 6
+    bench.upstreams.load(UpstreamId('a')).in_flight = 3
     for _ in range(2):
-        setting.upstreams.record_failure(UpstreamId('b'))
-    assert setting.client.count_available(service) == 0
-    assert setting.send().kind is RewardKind.FAILED
-    assert not setting.requests
+        bench.upstreams.record_failure(UpstreamId('b'))
+    assert bench.client.count_available(service) == 0
+    assert bench.send().kind is RewardKind.FAILED
+    assert not bench.requests
--- a/tests/forwarding/test_stream.py
+++ b/tests/forwarding/test_stream.py
@@ -1,4 +1,4 @@
-"""Streams passed on over real sockets: resumed, cut, never joined wrongly."""
+"""Forwarded streams over real sockets: resumed or cut, never corrupted."""
 
 from collections.abc import Iterator
 
@@ -47,33 +47,33 @@
 
 
 class _Dialect:
-    """Names the last event as the callers of SSE do."""
+    """Sends the last event's id as clients of server-sent events do."""
 
     def prepare(
         self, call: Call, upstream: Upstream, left: float, resume_after: int
     ) -> Request:
-        """Return the request with where to resume."""
+        """Return the request with the event to resume after."""
         last = (b'Last-Event-Id', str(resume_after).encode())
         return Request('POST', '/', [(b'Host', b'x'), last])
 
     def compose(self, request_id: str, host: str, path: str) -> Request:
-        """Return a request of our own."""
+        """Return a request made by the instance."""
         return Request('POST', path, [(b'Host', host.encode())])
 
     def read_signature(self, headers: Headers) -> str:
-        """Return nothing; these upstreams give none."""
+        """Return no signature; these upstreams send none."""
         return ''
 
     def read(self, call: Call, answer: Answer) -> AnswerMarks:
-        """Return whether the upstream ran it, and whose answer it is."""
+        """Return whether the request ran and whether the answer matches."""
         return AnswerMarks(
             not_run=bool(answer.find(b'not-run')),
             mismatched=answer.find(b'answers') not in {'', call.id},
         )
 
 
-class _Setting:
-    """Upstreams that send raw bytes and close, and a caller."""
+class _Bench:
+    """Upstreams that send raw bytes and close, with one caller."""
 
     def __init__(self) -> None:
         self.clock = SystemClock()
@@ -81,30 +81,30 @@
         self.requests: dict[str, bytes] = {}
         self.outcomes: list[Outcome] = []
         self.servers: list[StreamServer] = []
-        self.left: list[str] = []
+        self.disconnected: list[str] = []
 
-    def add(self, name: str, zone: str, raw: bytes, hold: float = 0) -> None:
-        """Add an upstream; near ones of zone z are asked first."""
+    def add(self, name: str, zone: str, raw: bytes, pause: float = 0) -> None:
+        """Add an upstream; those in zone z are tried first."""
 
         def serve(sock: socket.socket, _: object) -> None:
             self.requests[name] = sock.recv(65_536)
             sock.sendall(raw)
-            if hold:
-                sock.settimeout(hold)
+            if pause:
+                sock.settimeout(pause)
                 try:
                     ended = not sock.recv(1)
                 except OSError:
                     ended = False
                 if ended:
-                    self.left.append(name)
+                    self.disconnected.append(name)
             sock.close()
 
         server, upstream = start_upstream(name, zone, serve)
         self.servers.append(server)
         self.upstreams.put(upstream)
 
-    def ask(self, *, resumable: bool = True, leave: bool = False) -> bytes:
-        """Return all that the caller gets until its connection ends."""
+    def stream(self, *, resumable: bool = True, leave: bool = False) -> bytes:
+        """Return all that the caller receives on its connection."""
         route = make_route(
             '/', kind=RouteKind.STREAM, resumable=resumable, max_attempts=3
         )
@@ -156,91 +156,96 @@
 
 
 @pytest.fixture
-def held() -> Iterator[_Setting]:
-    """Return a setting without upstreams."""
-    setting = _Setting()
-    yield setting
-    for server in setting.servers:
+def bench() -> Iterator[_Bench]:
+    """Return a bench without upstreams."""
+    running = _Bench()
+    yield running
+    for server in running.servers:
         server.stop()
 
 
-def _count(received: bytes) -> list[int]:
+def _list_event_ids(received: bytes) -> list[int]:
     lines = received.split(b'\n')
     return [int(line[4:]) for line in lines if line.startswith(b'id: ')]
 
 
-def test_a_whole_stream_is_passed_on_and_ends_as_complete(
-    held: _Setting,
+def test_a_complete_stream_is_forwarded_and_ended(
+    bench: _Bench,
 ) -> None:
-    """Each event comes once, and the end is the upstream's."""
-    held.add('a', 'z', _HEAD + _chunk(_event(1)) + _chunk(_event(2)) + _END)
-    received = held.ask()
-    assert _count(received) == [1, 2]
+    """Each event arrives once, and the upstream's end of stream is sent."""
+    bench.add('a', 'z', _HEAD + _chunk(_event(1)) + _chunk(_event(2)) + _END)
+    received = bench.stream()
+    assert _list_event_ids(received) == [1, 2]
     assert received.endswith(_END)
 
 
-def test_a_stream_cut_in_an_event_goes_on_at_another(held: _Setting) -> None:
+def test_a_stream_cut_within_an_event_resumes_at_another_upstream(
+    bench: _Bench,
+) -> None:
     """The first upstream dies in the middle of its third event.
 
-    The half event is not shown; the other upstream is asked for what comes
-    after the second. No event is missing and none comes twice.
+    The incomplete event is dropped and another upstream resumes after the
+    second one. No event is missing and none arrives twice.
     """
     first = _chunk(_event(1)) + _chunk(_event(2)) + _chunk(b'id: 3\nda')
-    held.add('a', 'z', _HEAD + first)
-    held.add('b', 'y', _HEAD + _chunk(_event(3)) + _END)
-    received = held.ask()
-    assert _count(received) == [1, 2, 3]
+    bench.add('a', 'z', _HEAD + first)
+    bench.add('b', 'y', _HEAD + _chunk(_event(3)) + _END)
+    received = bench.stream()
+    assert _list_event_ids(received) == [1, 2, 3]
     assert received.count(b'id: 3') == 1
     assert received.endswith(_END)
-    assert b'Last-Event-Id: 2' in held.requests['b']
+    assert b'Last-Event-Id: 2' in bench.requests['b']
 
 
-def test_one_that_may_not_be_resumed_is_cut_and_runs_once(
-    held: _Setting,
+def test_a_stream_that_may_not_be_resumed_is_cut_and_runs_once(
+    bench: _Bench,
 ) -> None:
     """The caller must see that the stream is not complete."""
-    held.add('a', 'z', _HEAD + _chunk(_event(1)))
-    held.add('b', 'y', _HEAD + _chunk(_event(2)) + _END)
-    received = held.ask(resumable=False)
-    assert _count(received) == [1]
+    bench.add('a', 'z', _HEAD + _chunk(_event(1)))
+    bench.add('b', 'y', _HEAD + _chunk(_event(2)) + _END)
+    received = bench.stream(resumable=False)
+    assert _list_event_ids(received) == [1]
     assert not received.endswith(_END)
-    assert 'b' not in held.requests
+    assert 'b' not in bench.requests
 
 
-def test_a_full_upstream_is_passed_over_whatever_the_route(
-    held: _Setting,
+def test_a_full_upstream_is_skipped_whatever_the_route(
+    bench: _Bench,
 ) -> None:
     """It ran nothing, so another may run the request."""
-    held.add('a', 'z', _FULL)
-    held.add('b', 'y', _HEAD + _chunk(_event(1)) + _END)
-    assert _count(held.ask(resumable=False)) == [1]
+    bench.add('a', 'z', _FULL)
+    bench.add('b', 'y', _HEAD + _chunk(_event(1)) + _END)
+    assert _list_event_ids(bench.stream(resumable=False)) == [1]
 
 
-def test_all_full_is_not_run(held: _Setting) -> None:
-    """Nothing was sent to the caller yet; it may be told so."""
-    held.add('a', 'z', _FULL)
-    held.add('b', 'y', _FULL)
-    assert b' 503 ' in held.ask()
-    assert held.outcomes[0].kind is OutcomeKind.NOT_RUN
+def test_a_stream_is_refused_as_not_run_if_all_upstreams_are_full(
+    bench: _Bench,
+) -> None:
+    """Nothing was sent to the caller yet, so it gets a refusal."""
+    bench.add('a', 'z', _FULL)
+    bench.add('b', 'y', _FULL)
+    assert b' 503 ' in bench.stream()
+    assert bench.outcomes[0].kind is OutcomeKind.NOT_RUN
 
 
-def test_a_caller_that_leaves_ends_the_upstreams_work(
-    held: _Setting,
+def test_a_caller_that_disconnects_ends_the_upstreams_work(
+    bench: _Bench,
 ) -> None:
-    """The upstream sees its connection closed while it waits to go on."""
-    held.add('a', 'z', _HEAD + _chunk(_event(1)), hold=2)
-    held.ask(leave=True)
-    assert held.left == ['a']
+    """The upstream sees its connection closed while it still streams."""
+    bench.add('a', 'z', _HEAD + _chunk(_event(1)), pause=2)
+    bench.stream(leave=True)
+    assert bench.disconnected == ['a']
 
 
-def test_the_answer_to_another_request_is_no_answer(held: _Setting) -> None:
-    """An upstream's late answer comes where the next one is expected.
+def test_the_answer_to_another_request_is_not_forwarded(bench: _Bench) -> None:
+    """An upstream sends the late answer to an earlier request.
 
-    The caller gets its own from another upstream, and nothing of the first.
+    The caller receives its own answer from another upstream, and no part of
+    the mismatched one.
     """
     head = _HEAD.replace(b'Content-Type', b'Answers: 9\r\nContent-Type')
-    held.add('a', 'z', head + _chunk(b'id: 1\ndata: other\n\n') + _END)
-    held.add('b', 'y', _HEAD + _chunk(_event(1)) + _END)
-    received = held.ask()
-    assert _count(received) == [1]
+    bench.add('a', 'z', head + _chunk(b'id: 1\ndata: other\n\n') + _END)
+    bench.add('b', 'y', _HEAD + _chunk(_event(1)) + _END)
+    received = bench.stream()
+    assert _list_event_ids(received) == [1]
     assert b'other' not in received
