--- a/guavagate/forwarding/_stream.py
+++ b/guavagate/forwarding/_stream.py
@@ -84,11 +84,11 @@
                 run.call, upstream, run.last_event_id, reuse=False
             )
             run.may_have_run = True
-            run.exchange.on_gone(answer.close)
+            run.exchange.on_disconnect(answer.close)
             self._forward_events(run, answer, upstream)
         finally:
             load.in_flight -= 1
-            run.exchange.on_gone(None)
+            run.exchange.on_disconnect(None)
             if answer is not None:
                 answer.close()
 
--- a/guavagate/front/_authenticator.py
+++ b/guavagate/front/_authenticator.py
@@ -58,7 +58,7 @@
         """Return whose request it is, or nothing once it was refused."""
         verdict = check_key(
             self._routes.keys,
-            exchange.find_all(_AUTHORIZATION),
+            exchange.get_header_values(_AUTHORIZATION),
             self._proof_age(),
             self._bounds,
         )
--- a/guavagate/front/_jobs.py
+++ b/guavagate/front/_jobs.py
@@ -77,7 +77,7 @@
         self, exchange: Exchange, job: Job, *, new: bool
     ) -> None:
         self._reader.cache_job(job)
-        seconds = self._clock.now() - exchange.arrived
+        seconds = self._clock.now() - exchange.arrived_at
         self._metrics.observe(names.ACCEPT_SECONDS, seconds)
         write(
             _LOGGER,
--- a/guavagate/front/_requests.py
+++ b/guavagate/front/_requests.py
@@ -53,7 +53,7 @@
         now = self._clock.now()
         if outcome.began_at is not None:
             self._count_usage(call.team, now - outcome.began_at)
-        seconds = now - exchange.arrived
+        seconds = now - exchange.arrived_at
         log_outcome(call, route, outcome, seconds)
         self._metrics.observe(
             names.FORWARD_SECONDS, seconds, outcome=outcome.kind.value
@@ -67,7 +67,7 @@
         if route.kind is RouteKind.STREAM:
             return self._streams.forward(exchange, call, route, service)
         ended: Queue = Queue()
-        exchange.on_gone(lambda: ended.put(None))
+        exchange.on_disconnect(lambda: ended.put(None))
         outcome = self._forwarder.forward(call, route, service, ended)
-        exchange.on_gone(None)
+        exchange.on_disconnect(None)
         return outcome
--- a/guavagate/helpers/event_stream.py
+++ b/guavagate/helpers/event_stream.py
@@ -28,7 +28,7 @@
         self._last = resume_after
         self._version_name = version_name.decode()
         self._version = WeightVersion(
-            int(answer.find(version_name).split(',')[-1] or 0)
+            int(answer.get_header(version_name).split(',')[-1] or 0)
         )
 
     def events(self) -> Iterator[TextEvent]:
--- a/guavagate/http1/__init__.py
+++ b/guavagate/http1/__init__.py
@@ -5,8 +5,8 @@
 answer's bytes end, and the moment at which the other side leaves.
 """
 
-from guavagate.http1._caller_link import (
-    CallerGoneError,
+from guavagate.http1._caller_connection import (
+    CallerDisconnectedError,
     ServerLimits,
     SlowBodyError,
 )
@@ -23,7 +23,7 @@
 __all__ = (
     'Answer',
     'BodyTooLargeError',
-    'CallerGoneError',
+    'CallerDisconnectedError',
     'ConnectionPool',
     'Exchange',
     'Headers',
--- a/guavagate/http1/_caller_link.py
+++ b/guavagate/http1/_caller_connection.py
@@ -14,10 +14,10 @@
 
 _READ_BYTES: Final = 65_536
 # What may lie unread before a caller has to wait with the rest.
-_AHEAD_BYTES: Final = 262_144
+_READ_AHEAD_BYTES: Final = 262_144
 # A caller that has just connected is about to send its request, a round trip
 # later; a stop does not close on it before.
-FRESH_SECONDS: Final = 0.3
+FIRST_REQUEST_GRACE_SECONDS: Final = 0.3
 # The patched one lets other tasks run in the middle of a look.
 _poll: Final = monkey.get_original('select', 'poll')
 
@@ -35,11 +35,11 @@
     """The body stopped coming."""
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller has closed its connection."""
 
 
-class CallerLink:
+class CallerConnection:
     """One connection of a caller."""
 
     def __init__(
@@ -47,20 +47,20 @@
         sock: socket.socket,
         clock: Clock,
         limits: ServerLimits,
-        closing: Callable[[], bool],
+        is_closing: Callable[[], bool],
     ) -> None:
         self._sock = sock
         self.clock = clock
-        self._fresh_until = clock.now() + FRESH_SECONDS
-        self.closing = closing
+        self._grace_ends_at = clock.now() + FIRST_REQUEST_GRACE_SECONDS
+        self.is_closing = is_closing
         self._limits = limits
         self.http = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits.header_bytes
         )
-        self.gone = Event()
-        self.on_gone: Callable[[], None] | None = None
-        self._more = Event()
-        self._room = Event()
+        self.disconnected = Event()
+        self.on_disconnect: Callable[[], None] | None = None
+        self._data_arrived = Event()
+        self._read_resumed = Event()
         self._reader: Task = clock.spawn(self._read)
 
     def next_event(self) -> object:
@@ -69,19 +69,19 @@
             event = self.http.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            if self.gone.is_set():
+            if self.disconnected.is_set():
                 return h11.ConnectionClosed()
-            self._more.clear()
-            self._room.set()
-            self._more.wait()
+            self._data_arrived.clear()
+            self._read_resumed.set()
+            self._data_arrived.wait()
 
-    def next_part(self) -> object:
+    def next_body_event(self) -> object:
         """Return the next part of a body, within the idle time."""
         idle = self._limits.idle_timeout
         with self.clock.timeout(idle, SlowBodyError):
             return self.next_event()
 
-    def skip_body(self) -> bool:
+    def discard_body(self) -> bool:
         """Drop what is here of a body; return whether that was the rest.
 
         A request may be answered before its body was read. With a part of it
@@ -93,12 +93,12 @@
                     break
         return self.http.their_state is h11.DONE
 
-    def wait_bytes(self) -> None:
+    def wait_for_data(self) -> None:
         """Block until something of a request is here, or the caller left."""
-        while not self.gone.is_set() and not self.http.trailing_data[0]:
-            self._more.clear()
-            self._room.set()
-            self._more.wait()
+        while not self.disconnected.is_set() and not self.http.trailing_data[0]:
+            self._data_arrived.clear()
+            self._read_resumed.set()
+            self._data_arrived.wait()
 
     def write(self, event: h11.Event) -> None:
         """Send a part of an answer."""
@@ -108,10 +108,10 @@
         try:
             self._sock.sendall(data)
         except OSError as error:
-            self._note_gone()
-            raise CallerGoneError from error
+            self._record_disconnect()
+            raise CallerDisconnectedError from error
 
-    def refuse(self, status: int, problem: str) -> None:
+    def reject(self, status: int, problem: str) -> None:
         """Answer what is no whole request; nothing of it has run."""
         if self.http.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
@@ -124,18 +124,18 @@
         self.write(h11.Data(data=text))
         self.write(h11.EndOfMessage())
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether nothing of a request is here or on its way in."""
-        if self.http.trailing_data[0] or self.clock.now() < self._fresh_until:
+        if self.http.trailing_data[0] or self.clock.now() < self._grace_ends_at:
             return False
         waiting = _poll()
         waiting.register(self._sock.fileno(), select.POLLIN)
         return not waiting.poll(0)
 
-    def drop(self) -> None:
+    def close_idle(self) -> None:
         """End an idle connection, and the task that waits on it."""
         self.close()
-        self._note_gone()
+        self._record_disconnect()
 
     def reset(self) -> None:
         """Close without a proper end."""
@@ -153,26 +153,26 @@
     def _read(self) -> None:
         """Read ahead, so that a caller's close is seen while work goes on."""
         while True:
-            if len(self.http.trailing_data[0]) > _AHEAD_BYTES:
-                self._room.clear()
-                self._room.wait()
+            if len(self.http.trailing_data[0]) > _READ_AHEAD_BYTES:
+                self._read_resumed.clear()
+                self._read_resumed.wait()
             try:
                 data = self._sock.recv(_READ_BYTES)
             except OSError:
                 data = b''
             if not data:
-                self._note_gone()
+                self._record_disconnect()
                 return
             with contextlib.suppress(h11.RemoteProtocolError):
                 self.http.receive_data(data)
-            self._more.set()
+            self._data_arrived.set()
 
-    def _note_gone(self) -> None:
-        if self.gone.is_set():
+    def _record_disconnect(self) -> None:
+        if self.disconnected.is_set():
             return
-        self.gone.set()
+        self.disconnected.set()
         with contextlib.suppress(h11.RemoteProtocolError, RuntimeError):
             self.http.receive_data(b'')
-        self._more.set()
-        if self.on_gone is not None:
-            self.on_gone()
+        self._data_arrived.set()
+        if self.on_disconnect is not None:
+            self.on_disconnect()
--- a/guavagate/http1/_client.py
+++ b/guavagate/http1/_client.py
@@ -16,7 +16,7 @@
     UpstreamUnreachableError,
 )
 from guavagate.http1._messages import Headers, Request, find_header
-from guavagate.http1._sockets import tune
+from guavagate.http1._sockets import set_socket_options
 
 CONNECT_SECONDS: Final = 1.0
 # Without a Keep-Alive header, how long an idle connection is trusted.
@@ -24,10 +24,10 @@
 # An upstream closes an idle connection at its own timeout; a request that
 # crosses the close is lost, so it is given up a little before. What may not
 # be repeated gets a connection of its own.
-IDLE_SHARE: Final = 0.9
+IDLE_LIMIT_SHARE: Final = 0.9
 _READ_BYTES: Final = 65_536
-SWEEP_SECONDS: Final = 5.0
-_MAX_IDLE: Final = 32
+SWEEP_INTERVAL_SECONDS: Final = 5.0
+_MAX_IDLE_CONNECTIONS: Final = 32
 # The patched one lets other tasks run, which change the list being looked at.
 _poll: Final = monkey.get_original('select', 'poll')
 
@@ -45,7 +45,7 @@
 
     def is_fresh(self, now: float) -> bool:
         """Return whether the other side still keeps it, as far as is known."""
-        return now - self.idle_since <= self.idle_limit * IDLE_SHARE
+        return now - self.idle_since <= self.idle_limit * IDLE_LIMIT_SHARE
 
     def is_usable(self, now: float) -> bool:
         """Return whether an idle connection may carry one more request.
@@ -75,9 +75,9 @@
         self._connection: Connection | None = connection
         self.status = 0
         self.headers: Headers = []
-        self.whole = False
+        self.complete = False
 
-    def find(self, name: bytes) -> str:
+    def get_header(self, name: bytes) -> str:
         """Return a header's value by its name in lower case."""
         return find_header(self.headers, name)
 
@@ -88,21 +88,21 @@
             if isinstance(event, h11.Response):
                 break
             if not isinstance(event, h11.InformationalResponse):
-                raise self._broken(f'sent {event!r} for an answer')
+                raise self._make_error(f'sent {event!r} for an answer')
         self.status = event.status_code
         self.headers = list(event.headers.raw_items())
 
     def chunks(self) -> Iterator[bytes]:
         """Yield the body; a cut one ends with `UpstreamError`."""
-        while not self.whole:
+        while not self.complete:
             event = self._next_event()
             if isinstance(event, h11.Data):
                 yield bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                self.whole = True
+                self.complete = True
             else:
-                raise self._broken('closed in the middle of its answer')
-        self._give_back()
+                raise self._make_error('closed in the middle of its answer')
+        self._release()
 
     def read(self) -> bytes:
         """Return the whole body."""
@@ -117,7 +117,7 @@
     def _next_event(self) -> object:
         connection = self._connection
         if connection is None:
-            raise self._broken('was left by us')
+            raise self._make_error('was left by us')
         try:
             while True:
                 event = connection.http.next_event()
@@ -125,19 +125,21 @@
                     return event
                 connection.http.receive_data(connection.sock.recv(_READ_BYTES))
         except (OSError, h11.RemoteProtocolError) as error:
-            raise self._broken(str(error) or type(error).__name__) from error
+            raise self._make_error(
+                str(error) or type(error).__name__
+            ) from error
 
-    def _broken(self, problem: str) -> UpstreamError:
+    def _make_error(self, problem: str) -> UpstreamError:
         self.close()
         return UpstreamError(
             f'{self._address}: {problem}',
             'check the upstream; whether it ran the request is unknown',
         )
 
-    def _give_back(self) -> None:
+    def _release(self) -> None:
         connection, self._connection = self._connection, None
         if connection is not None:
-            self._pool.give_back(self._address, connection, self)
+            self._pool.release(self._address, connection, self)
 
 
 class ConnectionPool:
@@ -174,11 +176,11 @@
         UpstreamError
             Some of the request may have gone out.
         """
-        connection = self._take(address) if reuse else None
+        connection = self._acquire(address) if reuse else None
         if connection is None:
             connection = self._connect(address)
         answer = Answer(self, address, connection)
-        with self._bound(address, timeout):
+        with self._limit_time(address, timeout):
             try:
                 _write(connection, request, body)
                 answer.read_head()
@@ -187,14 +189,18 @@
                 raise
         return answer
 
-    def give_back(
+    def release(
         self, address: str, connection: Connection, answer: Answer
     ) -> None:
         """Keep a connection whose answer has ended, if it may be used."""
         http = connection.http
         done = http.our_state is h11.DONE and http.their_state is h11.DONE
         idle = self._idle.setdefault(address, deque())
-        if not done or http.trailing_data[0] or len(idle) >= _MAX_IDLE:
+        if (
+            not done
+            or http.trailing_data[0]
+            or len(idle) >= _MAX_IDLE_CONNECTIONS
+        ):
             connection.close()
             return
         http.start_next_cycle()
@@ -202,23 +208,23 @@
         connection.idle_limit = _read_keep_alive(answer)
         idle.append(connection)
 
-    def is_connected(self, address: str) -> bool:
+    def has_idle_connection(self, address: str) -> bool:
         """Return whether an idle connection to an address is kept."""
         idle = self._idle.get(address)
         return bool(idle and idle[-1].is_fresh(self._clock.now()))
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address no longer in use."""
         for connection in self._idle.pop(address, ()):
             connection.close()
 
     def start_sweeping(self) -> None:
         """Close unusable idle connections now and then."""
-        self._clock.spawn(self._sweep_often)
+        self._clock.spawn(self._sweep_periodically)
 
-    def _sweep_often(self) -> None:
+    def _sweep_periodically(self) -> None:
         while True:
-            self._clock.sleep(SWEEP_SECONDS)
+            self._clock.sleep(SWEEP_INTERVAL_SECONDS)
             self.sweep()
 
     def sweep(self) -> None:
@@ -233,7 +239,7 @@
             if not kept:
                 self._idle.pop(address)
 
-    def _take(self, address: str) -> Connection | None:
+    def _acquire(self, address: str) -> Connection | None:
         idle = self._idle.get(address)
         while idle:
             connection = idle.pop()
@@ -254,11 +260,11 @@
                 'check that the upstream runs',
             ) from error
         sock.settimeout(None)
-        tune(sock)
+        set_socket_options(sock)
         self.opened += 1
         return Connection(sock, self._clock)
 
-    def _bound(
+    def _limit_time(
         self, address: str, timeout: float | None
     ) -> contextlib.AbstractContextManager[None]:
         if timeout is None:
@@ -302,7 +308,7 @@
 
 
 def _read_keep_alive(answer: Answer) -> float:
-    for part in answer.find(b'keep-alive').split(','):
+    for part in answer.get_header(b'keep-alive').split(','):
         name, _, amount = part.strip().partition('=')
         if name.lower() == 'timeout' and amount.isdigit():
             return float(amount)
--- a/guavagate/http1/_exchange.py
+++ b/guavagate/http1/_exchange.py
@@ -5,7 +5,10 @@
 
 import h11
 
-from guavagate.http1._caller_link import CallerGoneError, CallerLink
+from guavagate.http1._caller_connection import (
+    CallerConnection,
+    CallerDisconnectedError,
+)
 from guavagate.http1._messages import Headers, Request, find_header
 
 _REASONS: Final = {
@@ -23,19 +26,19 @@
 class Exchange:
     """One request of a caller, and the answer to it."""
 
-    def __init__(self, link: CallerLink, request: Request) -> None:
-        self._link = link
+    def __init__(self, connection: CallerConnection, request: Request) -> None:
+        self._connection = connection
         self.request = request
-        self.gone = link.gone
+        self.disconnected = connection.disconnected
         self.started = False
         self.ended = False
-        self.arrived = link.clock.now()
+        self.arrived_at = connection.clock.now()
 
-    def find(self, name: bytes) -> str:
+    def get_header(self, name: bytes) -> str:
         """Return a request header by its name in lower case."""
         return find_header(self.request.headers, name)
 
-    def find_all(self, name: bytes) -> list[str]:
+    def get_header_values(self, name: bytes) -> list[str]:
         """Return all values of a request header by its name in lower case."""
         return [
             content.decode('latin-1')
@@ -43,10 +46,10 @@
             if held.lower() == name
         ]
 
-    def on_gone(self, call: Callable[[], None] | None) -> None:
+    def on_disconnect(self, call: Callable[[], None] | None) -> None:
         """Call back, without blocking, when the caller leaves."""
-        self._link.on_gone = call
-        if call is not None and self.gone.is_set():
+        self._connection.on_disconnect = call
+        if call is not None and self.disconnected.is_set():
             call()
 
     def read_body(self, limit: int) -> bytes:
@@ -56,7 +59,7 @@
         ------
         BodyTooLargeError
             It is over the limit; the rest is not read.
-        CallerGoneError
+        CallerDisconnectedError
             The caller left before all of it was here.
         SlowBodyError
             Nothing more came for the idle time.
@@ -64,11 +67,11 @@
         parts: list[bytes] = []
         size = 0
         while True:
-            event = self._link.next_part()
+            event = self._connection.next_body_event()
             if isinstance(event, h11.EndOfMessage):
                 return b''.join(parts)
             if not isinstance(event, h11.Data):
-                raise CallerGoneError
+                raise CallerDisconnectedError
             size += len(event.data)
             if size > limit:
                 raise BodyTooLargeError
@@ -84,10 +87,13 @@
 
     def start(self, status: int, headers: Headers) -> None:
         """Send the head of an answer."""
-        keep = self._link.skip_body() and not self._link.closing()
+        keep = (
+            self._connection.discard_body()
+            and not self._connection.is_closing()
+        )
         extra = [] if keep else [(b'Connection', b'close')]
         self.started = True
-        self._link.write(
+        self._connection.write(
             h11.Response(
                 status_code=status,
                 headers=[*headers, *extra],
@@ -97,16 +103,16 @@
 
     def send(self, part: bytes) -> None:
         """Send a part of the body."""
-        self._link.write(h11.Data(data=part))
+        self._connection.write(h11.Data(data=part))
 
     def end(self) -> None:
         """End the answer as complete."""
-        self._link.write(h11.EndOfMessage())
+        self._connection.write(h11.EndOfMessage())
         self.ended = True
 
     def abort(self) -> None:
         """Cut the connection: the answer must not look complete."""
-        self._link.reset()
+        self._connection.reset()
 
 
-Handle = Callable[[Exchange], None]
+Handler = Callable[[Exchange], None]
--- a/guavagate/http1/_server.py
+++ b/guavagate/http1/_server.py
@@ -10,18 +10,18 @@
 
 from guavagate.clock import Clock
 from guavagate.helpers.listeners import take_listener
-from guavagate.http1._caller_link import (
-    CallerGoneError,
-    CallerLink,
+from guavagate.http1._caller_connection import (
+    CallerConnection,
+    CallerDisconnectedError,
     ServerLimits,
 )
-from guavagate.http1._exchange import Exchange, Handle
+from guavagate.http1._exchange import Exchange, Handler
 from guavagate.http1._messages import Request
-from guavagate.http1._sockets import tune
+from guavagate.http1._sockets import set_socket_options
 
 _LOGGER: Final = logging.getLogger(__name__)
 _BACKLOG: Final = 1024
-_FINISH_STEP: Final = 0.02
+_DRAIN_CHECK_SECONDS: Final = 0.02
 
 
 class _SlowHeadError(Exception):
@@ -41,24 +41,24 @@
         self,
         address: str,
         clock: Clock,
-        handle: Handle,
+        handle: Handler,
         limits: Callable[[], ServerLimits] = ServerLimits,
     ) -> None:
         host, _, port = address.rpartition(':')
         self._clock = clock
         self._handle = handle
         self._limits = limits
-        early = take_listener(address)
-        if early is None:
+        listener = take_listener(address)
+        if listener is None:
             self._server = StreamServer(
                 (host, int(port)), self._serve, backlog=_BACKLOG
             )
         else:
-            early.setblocking(False)
+            listener.setblocking(False)
             self._server = StreamServer(
-                socket.socket(fileno=early.detach()), self._serve
+                socket.socket(fileno=listener.detach()), self._serve
             )
-        self._idle: set[CallerLink] = set()
+        self._idle: set[CallerConnection] = set()
         self.active = 0
         self.closing = False
 
@@ -70,7 +70,7 @@
         """Ask callers, with each answer, to close their connections."""
         self.closing = True
 
-    def finish(self, until: float) -> int:
+    def drain(self, until: float) -> int:
         """Stop: end idle connections, wait for what is held.
 
         Parameters
@@ -85,15 +85,15 @@
             How many requests were still held then.
         """
         self.announce_stop()
-        self._refuse_new()
+        self._refuse_new_connections()
         while self._clock.now() < until:
             # What was accepted last comes into the counts meanwhile.
-            self._clock.sleep(_FINISH_STEP)
+            self._clock.sleep(_DRAIN_CHECK_SECONDS)
             # One with bytes that wait is about to send a request, or has:
             # closed now, the request would be lost between two processes.
-            for link in list(self._idle):
-                if link.is_quiet():
-                    link.drop()
+            for connection in list(self._idle):
+                if connection.is_idle():
+                    connection.close_idle()
             if not self.active and not self._idle:
                 break
         return self.active
@@ -102,7 +102,7 @@
         """Close the listening socket."""
         self._server.close()
 
-    def _refuse_new(self) -> None:
+    def _refuse_new_connections(self) -> None:
         """Take the connections that wait, then have new ones refused.
 
         The system goes on accepting for a socket that listens. Whoever
@@ -117,19 +117,21 @@
         return self.closing
 
     def _serve(self, sock: socket.socket, _: object) -> None:
-        tune(sock)
-        link = CallerLink(sock, self._clock, self._limits(), self._is_closing)
+        set_socket_options(sock)
+        connection = CallerConnection(
+            sock, self._clock, self._limits(), self._is_closing
+        )
         try:
-            while self._serve_one(link):
-                link.http.start_next_cycle()
-        except (CallerGoneError, h11.LocalProtocolError) as error:
+            while self._serve_one(connection):
+                connection.http.start_next_cycle()
+        except (CallerDisconnectedError, h11.LocalProtocolError) as error:
             _LOGGER.debug('a connection ended: %r', error)
         finally:
-            link.close()
+            connection.close()
 
-    def _serve_one(self, link: CallerLink) -> bool:
+    def _serve_one(self, connection: CallerConnection) -> bool:
         """Serve one request; return whether the connection may be kept."""
-        head = self._wait_head(link)
+        head = self._wait_head(connection)
         if head is None:
             return False
         request = Request(
@@ -137,48 +139,48 @@
             head.target.decode('latin-1'),
             list(head.headers.raw_items()),
         )
-        exchange = Exchange(link, request)
+        exchange = Exchange(connection, request)
         self.active += 1
         try:
             self._run(exchange)
         finally:
             self.active -= 1
-            link.on_gone = None
-        states = (link.http.our_state, link.http.their_state)
+            connection.on_disconnect = None
+        states = (connection.http.our_state, connection.http.their_state)
         return states == (h11.DONE, h11.DONE) and not self.closing
 
     def _run(self, exchange: Exchange) -> None:
         try:
             self._handle(exchange)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             raise
         except Exception:
             _LOGGER.exception('a request failed unexpectedly')
             if exchange.started:
                 exchange.abort()
-                raise CallerGoneError from None
+                raise CallerDisconnectedError from None
             exchange.respond(502, [], b'the request failed; see the log\n')
         if exchange.started and not exchange.ended:
             exchange.abort()
 
-    def _wait_head(self, link: CallerLink) -> h11.Request | None:
+    def _wait_head(self, connection: CallerConnection) -> h11.Request | None:
         """Return the next request's head, or nothing when there is none."""
         limits = self._limits()
-        self._idle.add(link)
+        self._idle.add(connection)
         try:
             with self._clock.timeout(limits.idle_timeout, TimeoutError):
-                link.wait_bytes()
+                connection.wait_for_data()
             with self._clock.timeout(limits.header_timeout, _SlowHeadError):
-                event = link.next_event()
+                event = connection.next_event()
         except TimeoutError:
             return None
         except _SlowHeadError:
-            link.refuse(408, 'send the whole head of a request sooner')
+            connection.reject(408, 'send the whole head of a request sooner')
             return None
         except h11.RemoteProtocolError as error:
             hint = error.error_status_hint or 400
-            link.refuse(hint, f'{error}; send valid HTTP/1.1')
+            connection.reject(hint, f'{error}; send valid HTTP/1.1')
             return None
         finally:
-            self._idle.discard(link)
+            self._idle.discard(connection)
         return event if isinstance(event, h11.Request) else None
--- a/guavagate/http1/_sockets.py
+++ b/guavagate/http1/_sockets.py
@@ -14,7 +14,7 @@
 UNACKNOWLEDGED_MILLIS: Final = 3000
 
 
-def tune(sock: socket.socket) -> None:
+def set_socket_options(sock: socket.socket) -> None:
     """Send small writes at once, and notice a silent peer."""
     tcp = socket.IPPROTO_TCP
     sock.setsockopt(tcp, socket.TCP_NODELAY, 1)
--- a/guavagate/lifecycle.py
+++ b/guavagate/lifecycle.py
@@ -84,6 +84,6 @@
             server.announce_stop()
         if balanced:
             self._clock.sleep(BALANCER_SECONDS)
-        cut = sum(server.finish(until) for server in servers)
+        cut = sum(server.drain(until) for server in servers)
         self._members.stop()
         write(_LOGGER, events.READY, ready=False, cut=cut, stopped=True)
--- a/guavagate/metrics/exposition.py
+++ b/guavagate/metrics/exposition.py
@@ -31,7 +31,7 @@
         if exchange.request.target != path:
             exchange.respond(_MISSING, [], b'')
             return
-        content, headers = metrics.render(exchange.find(b'accept'))
+        content, headers = metrics.render(exchange.get_header(b'accept'))
         shown = [
             (name.encode(), value.encode()) for name, value in headers.items()
         ]
--- a/guavagate/platform/_dialect.py
+++ b/guavagate/platform/_dialect.py
@@ -67,12 +67,14 @@
 
 def read_marks(request_id: str, answer: Answer) -> AnswerMarks:
     """Return what the headers of an answer say about a request."""
-    echoed = answer.find(const.REQUEST_ID.lower())
-    not_run = bool(answer.find(const.NOT_RUN)) or answer.status == _MISDIRECTED
+    echoed = answer.get_header(const.REQUEST_ID.lower())
+    not_run = (
+        bool(answer.get_header(const.NOT_RUN)) or answer.status == _MISDIRECTED
+    )
     return AnswerMarks(
         not_run=not_run,
         mismatched=bool(echoed) and echoed != request_id,
-        busy=_parse_load(answer.find(const.LOAD)),
+        busy=_parse_load(answer.get_header(const.LOAD)),
     )
 
 
--- a/guavagate/platform/_edge.py
+++ b/guavagate/platform/_edge.py
@@ -73,7 +73,7 @@
 
     def _handle_route(self, exchange: Exchange, body: bytes) -> None:
         route = self._routes.find(
-            exchange.find(b'host'), exchange.request.target
+            exchange.get_header(b'host'), exchange.request.target
         )
         request_id = _find_id(exchange)
         if route is None:
@@ -104,15 +104,15 @@
         team: TeamId,
     ) -> Call:
         timeout = route.timeout
-        deadline = exchange.find(const.DEADLINE.lower())
+        deadline = exchange.get_header(const.DEADLINE.lower())
         if deadline.isdigit():
             timeout = min(timeout, int(deadline) / const.MILLIS)
-        resume = exchange.find(const.RESUME.lower())
+        resume = exchange.get_header(const.RESUME.lower())
         return Call(
             id=request_id,
             request=exchange.request,
             body=body,
-            until=exchange.arrived + timeout,
+            until=exchange.arrived_at + timeout,
             resume_after=int(resume) if resume.isdigit() else 0,
             team=team,
             keyed=self._routes.keys.needed,
@@ -169,10 +169,10 @@
         if not after.isdigit():
             send_text(exchange, 400, 'after is a whole number, 0 or more')
             return
-        wait = exchange.find(const.WAIT)
+        wait = exchange.get_header(const.WAIT)
         seconds = int(wait) / const.MILLIS if wait.isdigit() else 0
         self._jobs.read(exchange, job, int(after), seconds, team)
 
 
 def _find_id(exchange: Exchange) -> str:
-    return exchange.find(const.REQUEST_ID.lower())
+    return exchange.get_header(const.REQUEST_ID.lower())
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -81,11 +81,11 @@
         self._upstreams = UpstreamTable(
             self._clock,
             me.availability_zone,
-            is_connected=self._pool.is_connected,
+            is_connected=self._pool.has_idle_connection,
         )
-        self._upstreams.subscribe_address_released(self._pool.forget)
+        self._upstreams.subscribe_address_released(self._pool.close_idle)
         self._upstreams.subscribe_restarts(
-            lambda upstream: self._pool.forget(upstream.address)
+            lambda upstream: self._pool.close_idle(upstream.address)
         )
         ownership = Ownership(self._members, me.id, self._members.boot)
         self._ownership = ownership
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -325,8 +325,9 @@
     Safeguard(
         'an answer that closes says so',
         'guavagate/http1/_exchange.py',
-        'keep = self._link.skip_body() and not self._link.closing()',
-        'keep = not self._link.closing()',
+        '            self._connection.discard_body()\n'
+        '            and not self._connection.is_closing()\n',
+        '            not self._connection.is_closing()\n',
         'tests/http1/test_exchange.py',
     ),
     Safeguard(
--- a/standins/platform/duties.py
+++ b/standins/platform/duties.py
@@ -26,8 +26,8 @@
 
     def _handle(self, exchange: Exchange) -> None:
         report = msgspec.json.decode(exchange.read_body(1_000_000))
-        holder = exchange.find(const.DUTY_HOLDER.lower())
-        generation = int(exchange.find(const.DUTY_FENCE.lower()))
+        holder = exchange.get_header(const.DUTY_HOLDER.lower())
+        generation = int(exchange.get_header(const.DUTY_FENCE.lower()))
         self.reports.append((self._clock.now(), holder, generation))
         contents = self.windows.setdefault(report['window-id'], [])
         if report['counts'] not in contents:
--- a/standins/platform/sampler.py
+++ b/standins/platform/sampler.py
@@ -12,7 +12,12 @@
 import msgspec
 
 from guavagate.clock import SystemClock
-from guavagate.http1 import CallerGoneError, Exchange, Headers, HttpServer
+from guavagate.http1 import (
+    CallerDisconnectedError,
+    Exchange,
+    Headers,
+    HttpServer,
+)
 from guavagate.platform import const
 from standins.platform.store import Store
 
@@ -104,7 +109,7 @@
 
     def _handle(self, exchange: Exchange) -> None:
         body = exchange.read_body(1_000_000)
-        target = exchange.find(const.TARGET.lower())
+        target = exchange.get_header(const.TARGET.lower())
         if target and target != self.name:
             exchange.respond(_MISDIRECTED, [(const.NOT_RUN, b'1')], b'')
         elif exchange.request.target == '/report':
@@ -113,11 +118,13 @@
             self._order(exchange, msgspec.json.decode(body))
         else:
             self._note_team(exchange)
-            self._serve(exchange, exchange.find(const.REQUEST_ID.lower()))
+            self._serve(exchange, exchange.get_header(const.REQUEST_ID.lower()))
 
     def _note_team(self, exchange: Exchange) -> None:
-        self._journal.teams[exchange.find(const.TENANT.lower())] += 1
-        self._journal.keys_seen += bool(exchange.find(const.AUTHORIZATION))
+        self._journal.teams[exchange.get_header(const.TENANT.lower())] += 1
+        self._journal.keys_seen += bool(
+            exchange.get_header(const.AUTHORIZATION)
+        )
 
     def _report(self, exchange: Exchange) -> None:
         report = {
@@ -160,10 +167,10 @@
             self._answer(exchange, name, headers)
             return
         exchange.start(200, [*headers, _STREAM])
-        last = exchange.find(const.RESUME.lower()) or '0'
+        last = exchange.get_header(const.RESUME.lower()) or '0'
         try:
             self._stream(exchange, name, int(last))
-        except CallerGoneError:
+        except CallerDisconnectedError:
             return
 
     def _answer(self, exchange: Exchange, name: str, headers: Headers) -> None:
--- a/tests/forwarding/test_stream.py
+++ b/tests/forwarding/test_stream.py
@@ -67,8 +67,8 @@
     def read(self, call: Call, answer: Answer) -> AnswerMarks:
         """Return whether the request ran and whether the answer matches."""
         return AnswerMarks(
-            not_run=bool(answer.find(b'not-run')),
-            mismatched=answer.find(b'answers') not in {'', call.id},
+            not_run=bool(answer.get_header(b'not-run')),
+            mismatched=answer.get_header(b'answers') not in {'', call.id},
         )
 
 
--- a/tests/http1/callers.py
+++ b/tests/http1/callers.py
@@ -26,7 +26,7 @@
 
     def finish(self) -> int:
         """Stop the server as planned, within two seconds."""
-        return self.server.finish(SystemClock().now() + 2)
+        return self.server.drain(SystemClock().now() + 2)
 
     def ask(self, request: bytes) -> bytes:
         """Send bytes and return what comes first."""
--- a/tests/http1/test_exchange.py
+++ b/tests/http1/test_exchange.py
@@ -43,7 +43,7 @@
 
     def work(exchange: Exchange) -> None:
         exchange.read_body(0)
-        exchange.on_gone(lambda: seen.append('gone'))
+        exchange.on_disconnect(lambda: seen.append('gone'))
         gevent.sleep(0.3)
         exchange.respond(200, [], b'')
 
--- a/tests/platform/test_edge_keys.py
+++ b/tests/platform/test_edge_keys.py
@@ -161,7 +161,7 @@
     running = _EdgeBench()
     yield running
     running.upstream.stop(0)
-    running.server.finish(SystemClock().now())
+    running.server.drain(SystemClock().now())
 
 
 def test_the_upstream_receives_the_team_and_never_the_key(
