--- a/guavagate/ledger/_ledger.py
+++ b/guavagate/ledger/_ledger.py
@@ -32,12 +32,12 @@
 from guavagate.partitions import Command
 from guavagate.runtime import Runtime
 
-_BEGIN_LIMIT: Final = 5.0
-_FINISH_WAIT: Final = 1.0
-_RECORD_LIMIT: Final = 10.0
-_RECORD_TRIES: Final = 30
-_JOIN_WAIT: Final = 5.0
-_JOIN_PAUSE: Final = 0.2
+_BEGIN_TIMEOUT_SECONDS: Final = 5.0
+_FINISH_WAIT_SECONDS: Final = 1.0
+_RECORD_TIMEOUT_SECONDS: Final = 10.0
+_MAX_RECORD_ATTEMPTS: Final = 30
+_JOIN_WAIT_SECONDS: Final = 5.0
+_JOIN_RETRY_SECONDS: Final = 0.2
 
 
 class KeyedRequest(msgspec.Struct, frozen=True, kw_only=True):
@@ -90,7 +90,7 @@
 
     def start(self) -> None:
         """Answer other entries' questions about attempts here."""
-        self._runtime.bus.register(AskAttempt, self._on_ask)
+        self._runtime.bus.register(AskAttempt, self._on_ask_attempt)
 
     def run_once(
         self,
@@ -123,7 +123,7 @@
             if outcome.answer is not None:
                 return outcome.answer
             if outcome.state is not BeginState.JOINED:
-                raise _refusals.explain(outcome.state, self._limits)
+                raise _refusals.make_refusal(outcome.state, self._limits)
             self._join(request, outcome, end)
 
     def _begin(
@@ -139,18 +139,18 @@
             attempt=attempt,
             entry=self._runtime.settings.id,
         )
-        limit = min(end - self._clock.now(), _BEGIN_LIMIT)
+        limit = min(end - self._clock.now(), _BEGIN_TIMEOUT_SECONDS)
         try:
             outcome = self._runtime.partitions.submit(
                 request.scope, command, BeginOutcome, limit
             )
         except NotAppliedError as error:
             self._attempts.pop(attempt)
-            raise _refusals.explain_silence(error) from error
+            raise _refusals.make_unavailable(error) from error
         except PartitionError as error:
             # It may be granted or about to be; nobody is going to run it.
-            self._end(request, attempt, Abort, 0)
-            raise _refusals.explain_silence(error) from error
+            self._record_end(request, attempt, Abort, 0)
+            raise _refusals.make_unavailable(error) from error
         return outcome, attempt
 
     def _run(
@@ -163,28 +163,31 @@
         try:
             answer = run()
         except UpstreamNotStartedError:
-            self._end(request, attempt, Abort, _FINISH_WAIT)
+            self._record_end(request, attempt, Abort, _FINISH_WAIT_SECONDS)
             raise
         except BaseException:
-            self._end(request, attempt, Expire, _FINISH_WAIT)
+            self._record_end(request, attempt, Expire, _FINISH_WAIT_SECONDS)
             raise
-        kept: Answer | None = answer
+        stored: Answer | None = answer
         if len(answer.body) > self._limits.answer_bytes:
-            kept = None
+            stored = None
         command = Finish(
             at=self._clock.wall(),
             scope=request.scope,
             digest=request.digest,
             attempt=attempt,
             entry=self._runtime.settings.id,
-            answer=kept,
+            answer=stored,
         )
         # The caller has its answer here in any case. It waits for the record
         # a little, so that a retry after this entry's death finds it.
-        self._wait(self._settle(request, command, attempt), _FINISH_WAIT)
+        self._wait(
+            self._start_recording(request, command, attempt),
+            _FINISH_WAIT_SECONDS,
+        )
         return answer
 
-    def _end(
+    def _record_end(
         self,
         request: KeyedRequest,
         attempt: str,
@@ -195,9 +198,9 @@
         command = kind(
             at=self._clock.wall(), scope=request.scope, attempt=attempt
         )
-        self._wait(self._settle(request, command, attempt), wait)
+        self._wait(self._start_recording(request, command, attempt), wait)
 
-    def _settle(
+    def _start_recording(
         self, request: KeyedRequest, command: Command, attempt: str = ''
     ) -> Event:
         """Have a command recorded, however long that takes."""
@@ -213,44 +216,46 @@
         Until then the attempt counts as running here, so that whoever joined
         it does not take its outcome for unknown.
         """
-        for _ in range(_RECORD_TRIES):
+        for _ in range(_MAX_RECORD_ATTEMPTS):
             fresh = msgspec.structs.replace(command, at=self._clock.wall())
             try:
                 self._runtime.partitions.submit(
-                    scope, fresh, RecordOutcome, _RECORD_LIMIT
+                    scope, fresh, RecordOutcome, _RECORD_TIMEOUT_SECONDS
                 )
             except PartitionError:
                 self._clock.sleep(1)
                 continue
             break
         done.set()
-        self._forget(attempt)
+        self._remove_attempt(attempt)
 
     def _join(
         self, request: KeyedRequest, outcome: BeginOutcome, end: float
     ) -> None:
         """Wait for the end of the run under way, or find that it has none."""
-        wait = min(end - self._clock.now(), _JOIN_WAIT)
+        wait = min(end - self._clock.now(), _JOIN_WAIT_SECONDS)
         if wait <= 0:
-            raise _refusals.explain(BeginState.JOINED, self._limits)
-        reply = self._ask(outcome, wait)
+            raise _refusals.make_refusal(BeginState.JOINED, self._limits)
+        reply = self._query_attempt(outcome, wait)
         if reply is None:
-            reply = self._suppose(outcome)
+            reply = self._assume_state(outcome)
         if not reply.known:
             command = Expire(
                 at=self._clock.wall(),
                 scope=request.scope,
                 attempt=outcome.attempt,
             )
-            self._wait(self._settle(request, command), wait)
+            self._wait(self._start_recording(request, command), wait)
         elif reply.running:
-            self._clock.sleep(_JOIN_PAUSE)
+            self._clock.sleep(_JOIN_RETRY_SECONDS)
 
-    def _ask(self, outcome: BeginOutcome, wait: float) -> AttemptReply | None:
+    def _query_attempt(
+        self, outcome: BeginOutcome, wait: float
+    ) -> AttemptReply | None:
         """Ask the entry where the attempt runs."""
         request = AskAttempt(attempt=outcome.attempt, wait=wait)
         if outcome.entry == self._runtime.settings.id:
-            return self._answer(request)
+            return self._wait_for_attempt(request)
         if self._runtime.members.get(outcome.entry) is None:
             return None
         try:
@@ -260,7 +265,7 @@
         except LinkError:
             return None
 
-    def _suppose(self, outcome: BeginOutcome) -> AttemptReply:
+    def _assume_state(self, outcome: BeginOutcome) -> AttemptReply:
         """Take an attempt for lost when its entry is gone.
 
         The entry may only be paused. Then it still runs the attempt once and
@@ -269,11 +274,11 @@
         alive = self._runtime.members.get(outcome.entry) is not None
         return AttemptReply(known=alive, running=alive)
 
-    def _on_ask(self, source: InstanceId, request: Any) -> Message:
+    def _on_ask_attempt(self, source: InstanceId, request: Any) -> Message:
         """Answer an `AskAttempt`."""
-        return self._answer(request)
+        return self._wait_for_attempt(request)
 
-    def _answer(self, request: AskAttempt) -> AttemptReply:
+    def _wait_for_attempt(self, request: AskAttempt) -> AttemptReply:
         """Wait for an attempt here."""
         attempt = self._attempts.get(request.attempt)
         if attempt is None:
@@ -281,7 +286,7 @@
         self._wait(attempt.done, request.wait)
         return AttemptReply(known=True, running=not attempt.done.is_set())
 
-    def _forget(self, attempt: str) -> None:
+    def _remove_attempt(self, attempt: str) -> None:
         """Let those waiting look into the ledger."""
         known = self._attempts.pop(attempt, None)
         if known is not None:
--- a/guavagate/ledger/_messages.py
+++ b/guavagate/ledger/_messages.py
@@ -9,7 +9,7 @@
 from guavagate.models import InstanceId
 from guavagate.partitions import Command, Outcome
 
-WINDOW: Final = 3600.0
+WINDOW_SECONDS: Final = 3600.0
 PARTITION_BYTES: Final = 2_000_000
 ANSWER_BYTES: Final = 65_536
 
@@ -27,7 +27,7 @@
         Largest body kept; of a larger one only that it was answered.
     """
 
-    window: float = WINDOW
+    window: float = WINDOW_SECONDS
     partition_bytes: int = PARTITION_BYTES
     answer_bytes: int = ANSWER_BYTES
 
--- a/guavagate/ledger/_refusals.py
+++ b/guavagate/ledger/_refusals.py
@@ -6,16 +6,16 @@
 from guavagate.ledger._messages import BeginState, LedgerLimits
 from guavagate.models import NotRun
 
-_RETRY_AFTER: Final = 2.0
-_FULL_RETRY_AFTER: Final = 30.0
+_RETRY_AFTER_SECONDS: Final = 2.0
+_FULL_RETRY_AFTER_SECONDS: Final = 30.0
 
 
-def explain(state: BeginState, limits: LedgerLimits) -> RefusalError:
+def make_refusal(state: BeginState, limits: LedgerLimits) -> RefusalError:
     """Make the refusal for what the ledger says."""
     return _MAKERS.get(state, _make_unknown)(limits)
 
 
-def explain_silence(error: PartitionError) -> RefusalError:
+def make_unavailable(error: PartitionError) -> RefusalError:
     """Make the refusal for a ledger that gave no answer.
 
     This attempt does not run. An earlier one under the key may have, and only
@@ -26,7 +26,7 @@
         'retry with the same key, which runs at most once',
         reason='ledger_unavailable',
         not_run=NotRun.UNKNOWN,
-        retry_after=_RETRY_AFTER,
+        retry_after=_RETRY_AFTER_SECONDS,
     )
 
 
@@ -57,11 +57,11 @@
         'retry later, or raise the ledger size',
         reason='ledger_full',
         not_run=NotRun.TRUE,
-        retry_after=_FULL_RETRY_AFTER,
+        retry_after=_FULL_RETRY_AFTER_SECONDS,
     )
 
 
-def _make_not_kept(limits: LedgerLimits) -> RefusalError:
+def _make_not_stored(limits: LedgerLimits) -> RefusalError:
     return RefusalError(
         f'it ran and was answered, but bodies over {limits.answer_bytes} B '
         'are not kept',
@@ -79,7 +79,7 @@
         reason='in_progress',
         status=409,
         not_run=NotRun.UNKNOWN,
-        retry_after=_RETRY_AFTER,
+        retry_after=_RETRY_AFTER_SECONDS,
     )
 
 
@@ -88,6 +88,6 @@
     BeginState.ABANDONED: _make_unknown,
     BeginState.CONFLICT: _make_conflict,
     BeginState.FULL: _make_full,
-    BeginState.ANSWER_NOT_KEPT: _make_not_kept,
+    BeginState.ANSWER_NOT_KEPT: _make_not_stored,
     BeginState.JOINED: _make_running,
 }
--- a/guavagate/ledger/_state.py
+++ b/guavagate/ledger/_state.py
@@ -24,7 +24,7 @@
     PartitionState,
 )
 
-_OVERHEAD: Final = 200
+_RECORD_OVERHEAD_BYTES: Final = 200
 
 
 class LedgerSafeguards(msgspec.Struct, frozen=True, kw_only=True):
@@ -79,7 +79,7 @@
         self._records: dict[str, _Record] = {}
         self._bytes = 0
         self._now = float(0)
-        self._run: dict[type[Command], Callable[[Any], Outcome]] = {
+        self._handlers: dict[type[Command], Callable[[Any], Outcome]] = {
             Begin: self._begin,
             Finish: self._finish,
             Abort: self._abort,
@@ -88,8 +88,8 @@
 
     def apply(self, command: Command) -> Outcome:
         """Apply one command."""
-        self._pass_time(command.at)
-        return self._run[type(command)](command)
+        self._advance_time(command.at)
+        return self._handlers[type(command)](command)
 
     def snapshot(self) -> bytes:
         """Return all records."""
@@ -97,12 +97,13 @@
 
     def restore(self, snapshot: bytes) -> None:
         """Replace all records."""
-        held = msgspec.msgpack.decode(snapshot, type=_Snapshot)
-        self._records = held.records
+        state = msgspec.msgpack.decode(snapshot, type=_Snapshot)
+        self._records = state.records
         self._bytes = sum(
-            _measure(scope, record) for scope, record in held.records.items()
+            _count_bytes(scope, record)
+            for scope, record in state.records.items()
         )
-        self._now = held.now
+        self._now = state.now
 
     def _begin(self, command: Begin) -> Outcome:
         """Grant a run, or say what became of the key."""
@@ -115,21 +116,21 @@
             return self._grant(command)
         differs = record.digest != command.digest
         if differs and self._safeguards.compare_digest:
-            return self._refuse_other(record)
+            return self._refuse_mismatch(record)
         return self._begin_known(command, record)
 
     def _begin_new(self, command: Begin) -> Outcome:
         """Grant a key that is not held, unless it won't fit."""
-        size = len(command.scope) + len(command.digest) + _OVERHEAD
+        size = len(command.scope) + len(command.digest) + _RECORD_OVERHEAD_BYTES
         if self._bytes + size > self._limits.partition_bytes:
             return BeginOutcome(state=BeginState.FULL)
         return self._grant(command)
 
     def _begin_known(self, command: Begin, record: _Record) -> Outcome:
         """Say what became of a key that is held."""
-        guards = self._safeguards
+        safeguards = self._safeguards
         if record.state is RecordState.STARTED:
-            if record.attempt == command.attempt or not guards.join:
+            if record.attempt == command.attempt or not safeguards.join:
                 return self._grant(command)
             return BeginOutcome(
                 state=BeginState.JOINED,
@@ -137,16 +138,16 @@
                 entry=record.entry,
             )
         if record.state is RecordState.UNKNOWN:
-            if not guards.keep_unknown:
+            if not safeguards.keep_unknown:
                 return self._grant(command)
             return BeginOutcome(state=BeginState.UNKNOWN)
-        if not guards.keep_answer:
+        if not safeguards.keep_answer:
             return self._grant(command)
         if record.answer is None:
             return BeginOutcome(state=BeginState.ANSWER_NOT_KEPT)
         return BeginOutcome(state=BeginState.ANSWERED, answer=record.answer)
 
-    def _refuse_other(self, record: _Record) -> Outcome:
+    def _refuse_mismatch(self, record: _Record) -> Outcome:
         """Say that the key was used for another request, if that is sure.
 
         A record that an `Abort` left has no digest.
@@ -177,7 +178,7 @@
         at = command.at if record is None else record.at
         answer = command.answer
         if answer is not None:
-            answer = self._bound(answer)
+            answer = self._fit_answer(answer)
         self._put(
             command.scope,
             _Record(
@@ -227,11 +228,11 @@
         self._put(command.scope, unknown)
         return RecordOutcome(state=RecordState.UNKNOWN)
 
-    def _bound(self, answer: Answer) -> Answer | None:
+    def _fit_answer(self, answer: Answer) -> Answer | None:
         """Return the answer if there is room for it."""
         size = len(answer.body)
-        room = self._limits.partition_bytes - self._bytes
-        if size > self._limits.answer_bytes or size > room:
+        free = self._limits.partition_bytes - self._bytes
+        if size > self._limits.answer_bytes or size > free:
             return None
         return answer
 
@@ -239,21 +240,21 @@
         """Replace a record and keep count of the bytes."""
         old = self._records.get(scope)
         if old is not None:
-            self._bytes -= _measure(scope, old)
+            self._bytes -= _count_bytes(scope, old)
             if old.at != record.at:
                 self._records.pop(scope)
         self._records[scope] = record
-        self._bytes += _measure(scope, record)
+        self._bytes += _count_bytes(scope, record)
 
-    def _pass_time(self, at: float) -> None:
+    def _advance_time(self, at: float) -> None:
         """Forget the keys whose window has passed, oldest first."""
         self._now = max(self._now, at)
-        limit = self._now - self._limits.window
+        cutoff = self._now - self._limits.window
         while self._records:
             scope, record = next(iter(self._records.items()))
-            if record.at > limit:
+            if record.at > cutoff:
                 return
-            self._bytes -= _measure(scope, record)
+            self._bytes -= _count_bytes(scope, record)
             self._records.pop(scope)
 
 
@@ -267,9 +268,9 @@
     return dict.fromkeys((Begin, Finish, Abort, Expire), state)
 
 
-def _measure(scope: str, record: _Record) -> int:
+def _count_bytes(scope: str, record: _Record) -> int:
     """Return the bytes that a record is counted for."""
-    size = len(scope) + len(record.digest) + _OVERHEAD
+    size = len(scope) + len(record.digest) + _RECORD_OVERHEAD_BYTES
     if record.answer is not None:
         size += len(record.answer.body)
         size += sum(
--- a/guavagate/partitions/_blobs.py
+++ b/guavagate/partitions/_blobs.py
@@ -23,10 +23,10 @@
 # An object holds a megabyte; base64 adds a third.
 PART_BYTES: Final = 600_000
 RETRY_SECONDS: Final = 0.1
-_CREATE_SECONDS: Final = 5.0
+_CREATE_TIMEOUT_SECONDS: Final = 5.0
 
 
-class BlobGoneError(Exception):
+class BlobDeletedError(Exception):
     """A blob was deleted, as a newer record no longer names it."""
 
 
@@ -39,13 +39,13 @@
     name: str
     size: int
 
-    def list_names(self) -> list[str]:
+    def list_part_names(self) -> list[str]:
         """Return the names of its parts."""
         count = -(-self.size // PART_BYTES)
         return [f'{self.name}-{number:04}' for number in range(count)]
 
 
-class Blobs:
+class BlobStore:
     """Writes, reads and deletes the blobs of one partition."""
 
     def __init__(
@@ -59,20 +59,20 @@
         self._clock = clock
         self._prefix = f'partition-blobs-{partition:05}'
         self._make_id = make_id
-        self._found: dict[str, bytes] = {}
+        self._loaded: dict[str, bytes] = {}
 
-    def read_all(self) -> None:
+    def load_all(self) -> None:
         """Read what is there, for `get`; one call for most partitions."""
-        found, _ = self._store.list_under(self._prefix)
-        self._found = {
-            each.path.rpartition('/')[2]: each.value for each in found
+        objects, _ = self._store.list_under(self._prefix)
+        self._loaded = {
+            each.path.rpartition('/')[2]: each.value for each in objects
         }
 
     def get(self, blob: Blob) -> bytes:
         """Return a blob that `read_all` has read, or raise `BlobGoneError`."""
-        parts = [self._found.get(name) for name in blob.list_names()]
+        parts = [self._loaded.get(name) for name in blob.list_part_names()]
         if None in parts:
-            raise BlobGoneError(blob.name)
+            raise BlobDeletedError(blob.name)
         return b''.join(
             msgspec.json.decode(part, type=bytes)
             for part in parts
@@ -82,29 +82,39 @@
     def put(self, content: bytes) -> Blob:
         """Write a blob, however long that takes."""
         blob = Blob(self._make_id(), len(content))
-        for number, name in enumerate(blob.list_names()):
+        for number, name in enumerate(blob.list_part_names()):
             start = number * PART_BYTES
             part = msgspec.json.encode(content[start : start + PART_BYTES])
             self._create(f'{self._prefix}/{name}', part)
         return blob
 
-    def keep_only(self, named: Iterable[Blob]) -> None:
+    def delete_unreferenced(self, referenced: Iterable[Blob]) -> None:
         """Delete what was read and is not named, and forget the rest.
 
         Writers that died before their record was written leave such blobs.
         """
-        kept = {name for blob in named for name in blob.list_names()}
-        self._delete([name for name in self._found if name not in kept])
-        self._found = {}
+        retained = {
+            name for blob in referenced for name in blob.list_part_names()
+        }
+        self._delete([name for name in self._loaded if name not in retained])
+        self._loaded = {}
 
     def delete(self, blobs: Sequence[Blob]) -> None:
         """Delete blobs that no record names any more."""
-        self._delete([name for blob in blobs for name in blob.list_names()])
+        self._delete(
+            [name for blob in blobs for name in blob.list_part_names()]
+        )
 
     def _create(self, path: str, value: bytes) -> None:
         while True:
             try:
-                create(self._store, self._clock, path, value, _CREATE_SECONDS)
+                create(
+                    self._store,
+                    self._clock,
+                    path,
+                    value,
+                    _CREATE_TIMEOUT_SECONDS,
+                )
             except (NotWrittenError, MaybeWrittenError, StoreError) as error:
                 _LOGGER.debug('%s is not written: %r', path, error)
                 self._clock.sleep(RETRY_SECONDS)
--- a/guavagate/partitions/_hosting.py
+++ b/guavagate/partitions/_hosting.py
@@ -31,21 +31,21 @@
 StatesFactory = Callable[[PartitionId], States]
 
 # Changes of membership wake it; this finds what they have not.
-IDLE_SECONDS: Final = 1.0
+SCAN_INTERVAL_SECONDS: Final = 1.0
 # Instances that start together hear of each other within this time. Without
 # it each would take all partitions, one after the other.
-START_SECONDS: Final = 0.5
+START_DELAY_SECONDS: Final = 0.5
 # Two instances that don't hear each other take a partition from each other in
 # turn; longer each time, so that the commands of one side get on meanwhile.
-FIRST_BACKOFF: Final = 0.3
-LONGEST_BACKOFF: Final = 5.0
+INITIAL_BACKOFF_SECONDS: Final = 0.3
+MAX_BACKOFF_SECONDS: Final = 5.0
 # A partition that was kept for so long is not being fought over any more.
-FORGIVEN_SECONDS: Final = 30.0
+BACKOFF_RESET_SECONDS: Final = 30.0
 # How long a command waits here while its partition is being taken over.
-ACTIVATE_SECONDS: Final = 0.3
+TAKE_OVER_WAIT_SECONDS: Final = 0.3
 # An instance that is being stopped is not chosen again for so long; it is
 # gone or started anew by then.
-LEAVING_SECONDS: Final = 60.0
+LEAVING_TTL_SECONDS: Final = 60.0
 
 
 def make_id() -> str:
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Surroundings:
+class HostContext:
     """What the partitions of one instance work with.
 
     Parameters
@@ -69,7 +69,7 @@
     clock: Clock
     bus: Bus
     store: ObjectStore
-    alive: Callable[[], list[PeerSettings]]
+    list_alive: Callable[[], list[PeerSettings]]
     safeguards: Safeguards
     decide: Callable[[str, str, str, str, dict[str, str] | None], None]
     rng: random.Random
@@ -80,10 +80,10 @@
     """How often a partition was lost lately; times in seconds."""
 
     count: int = 0
-    newest: float = 0
+    last_at: float = 0
 
 
-class Hosting:
+class PartitionHost:
     """Takes the partitions that are this instance's, and lets others go.
 
     Attributes
@@ -93,39 +93,41 @@
     """
 
     def __init__(
-        self, around: Surroundings, make_states: StatesFactory, count: int
+        self, context: HostContext, make_states: StatesFactory, count: int
     ) -> None:
-        self.around = around
+        self.context = context
         self.primaries: dict[PartitionId, Primary] = {}
-        self.changed = Event()
+        self.rescan_needed = Event()
         self._make_states = make_states
         self._count = count
         self._leaving: dict[InstanceId, float] = {}
         self._owners: dict[PartitionId, InstanceId] = {}
-        self._left: dict[PartitionId, StateMachine] = {}
-        self._taking: set[PartitionId] = set()
-        self._not_before: dict[PartitionId, float] = {}
+        self._stale_machines: dict[PartitionId, StateMachine] = {}
+        self._taking_over: set[PartitionId] = set()
+        self._retry_at: dict[PartitionId, float] = {}
         self._losses: dict[PartitionId, _Losses] = {}
         self._stopping = False
-        self._taken = Event()
+        self._activated = Event()
 
     def register(self) -> None:
         """Answer peers' messages from now on."""
-        bus = self.around.bus
+        bus = self.context.bus
         bus.register(msg.Submit, self._on_submit)
         bus.register(msg.TakeOver, self._on_take_over)
         bus.register(msg.Leave, self._on_leave)
 
     def run(self) -> None:
         """Look after the partitions until killed."""
-        self.around.clock.sleep(START_SECONDS)
+        self.context.clock.sleep(START_DELAY_SECONDS)
         while True:
-            self.changed.clear()
-            self._forget_leaving()
+            self.rescan_needed.clear()
+            self._expire_leaving()
             if not self._stopping:
                 for number in range(self._count):
-                    self._look_at(PartitionId(number))
-            wait_for(self.around.clock, self.changed, IDLE_SECONDS)
+                    self._check_partition(PartitionId(number))
+            wait_for(
+                self.context.clock, self.rescan_needed, SCAN_INTERVAL_SECONDS
+            )
 
     def find_owner(self, partition: PartitionId) -> InstanceId | None:
         """Return who should decide for a partition, as far as known here."""
@@ -139,19 +141,19 @@
             self._owners[partition] = owner
         return owner
 
-    def note_change(self) -> None:
+    def refresh_owners(self) -> None:
         """Look again at who should decide what."""
         self._owners.clear()
-        self.changed.set()
+        self.rescan_needed.set()
 
     def submit(self, request: msg.Submit) -> msg.SubmitReply:
         """Carry out a command here, or say who does."""
         primary = self.primaries.get(request.partition)
-        if primary is None and self._is_mine(request.partition):
-            self.changed.set()
-            self._taken.clear()
-            wait = min(ACTIVATE_SECONDS, request.wait)
-            wait_for(self.around.clock, self._taken, wait)
+        if primary is None and self._is_owned_here(request.partition):
+            self.rescan_needed.set()
+            self._activated.clear()
+            wait = min(TAKE_OVER_WAIT_SECONDS, request.wait)
+            wait_for(self.context.clock, self._activated, wait)
             primary = self.primaries.get(request.partition)
         if primary is None:
             owner = self.find_owner(request.partition)
@@ -162,15 +164,15 @@
             request.entry, request.wait, repeated=request.repeated
         )
 
-    def hand_all_over(self, limit: float) -> bool:
+    def hand_over_all(self, limit: float) -> bool:
         """Let go of everything; say whether all was answered in time."""
         self._stopping = True
-        clock = self.around.clock
-        self._leaving[self.around.me] = clock.now()
+        clock = self.context.clock
+        self._leaving[self.context.me] = clock.now()
         self._owners.clear()
-        for peer in self.around.alive():
-            if peer.id != self.around.me:
-                self.around.bus.send(peer.id, msg.Leave())
+        for peer in self.context.list_alive():
+            if peer.id != self.context.me:
+                self.context.bus.send(peer.id, msg.Leave())
         end = clock.now() + limit
         tasks = [
             clock.spawn(self._hand_over, partition, end)
@@ -183,54 +185,59 @@
     def _list_candidates(self) -> list[InstanceId]:
         return [
             peer.id
-            for peer in self.around.alive()
+            for peer in self.context.list_alive()
             if peer.id not in self._leaving
         ]
 
-    def _forget_leaving(self) -> None:
-        since = self.around.clock.now() - LEAVING_SECONDS
+    def _expire_leaving(self) -> None:
+        cutoff = self.context.clock.now() - LEAVING_TTL_SECONDS
         for peer, at in list(self._leaving.items()):
-            if at < since and not self._stopping:
+            if at < cutoff and not self._stopping:
                 self._leaving.pop(peer)
                 self._owners.clear()
 
-    def _is_mine(self, partition: PartitionId) -> bool:
-        mine = self.find_owner(partition) == self.around.me
+    def _is_owned_here(self, partition: PartitionId) -> bool:
+        mine = self.find_owner(partition) == self.context.me
         return mine and not self._stopping
 
-    def _look_at(self, partition: PartitionId) -> None:
+    def _check_partition(self, partition: PartitionId) -> None:
         """Take what is this instance's, let go of what no longer is."""
         primary = self.primaries.get(partition)
         if primary is not None and primary.closed:
-            self._note_lost(partition)
+            self._release_lost(partition)
             return
-        clock = self.around.clock
-        mine = self._is_mine(partition)
+        clock = self.context.clock
+        mine = self._is_owned_here(partition)
         if primary is not None and not mine:
-            end = clock.now() + LONGEST_BACKOFF
+            end = clock.now() + MAX_BACKOFF_SECONDS
             clock.spawn(self._hand_over, partition, end)
             return
-        may = clock.now() >= self._not_before.get(partition, 0)
-        if mine and primary is None and may and partition not in self._taking:
-            self._taking.add(partition)
-            clock.spawn(self._take, partition)
-
-    def _take(self, partition: PartitionId) -> None:
+        may_retry = clock.now() >= self._retry_at.get(partition, 0)
+        if (
+            mine
+            and primary is None
+            and may_retry
+            and partition not in self._taking_over
+        ):
+            self._taking_over.add(partition)
+            clock.spawn(self._take_over, partition)
+
+    def _take_over(self, partition: PartitionId) -> None:
         """Read the record, become its holder, and answer from then on."""
-        around = self.around
-        machine = self._left.pop(partition, None)
+        context = self.context
+        machine = self._stale_machines.pop(partition, None)
         if machine is None:
             machine = StateMachine(self._make_states(partition))
-        keeping = RecordWriter(
-            around.store,
-            around.clock,
+        writer = RecordWriter(
+            context.store,
+            context.clock,
             partition,
-            around.me,
-            around.make_id,
-            around.safeguards,
+            context.me,
+            context.make_id,
+            context.safeguards,
         )
         try:
-            keeping.take_over(machine)
+            writer.take_over(machine)
         except (StoreError, SupersededError) as error:
             self._back_off(partition)
             write(
@@ -243,54 +250,56 @@
             if self._stopping:
                 return
             primary = Primary(
-                around.clock,
-                keeping,
+                context.clock,
+                writer,
                 machine,
-                around.safeguards,
-                self.changed.set,
+                context.safeguards,
+                self.rescan_needed.set,
             )
             self.primaries[partition] = primary
-            self._note_taken(partition, primary)
+            self._record_taken(partition, primary)
         finally:
-            self._taking.discard(partition)
+            self._taking_over.discard(partition)
 
-    def _note_taken(self, partition: PartitionId, primary: Primary) -> None:
+    def _record_taken(self, partition: PartitionId, primary: Primary) -> None:
         reason = 'first of those alive by rendezvous hashing'
         write(_LOGGER, events.TAKEN, partition=partition, epoch=primary.epoch)
-        self.around.decide(
-            f'partition/{partition}', 'holder', self.around.me, reason, None
+        self.context.decide(
+            f'partition/{partition}', 'holder', self.context.me, reason, None
         )
-        self._taken.set()
+        self._activated.set()
 
-    def _note_lost(self, partition: PartitionId) -> None:
+    def _release_lost(self, partition: PartitionId) -> None:
         """Forget a partition that another instance has gone on with."""
         primary = self.primaries.pop(partition)
-        if not self.around.safeguards.discard:
-            self._left[partition] = primary.machine
+        if not self.context.safeguards.discard:
+            self._stale_machines[partition] = primary.machine
         self._back_off(partition)
 
     def _back_off(self, partition: PartitionId) -> None:
-        now = self.around.clock.now()
+        now = self.context.clock.now()
         losses = self._losses.setdefault(partition, _Losses())
-        if now - losses.newest > FORGIVEN_SECONDS:
+        if now - losses.last_at > BACKOFF_RESET_SECONDS:
             losses.count = 0
-        pause = min(FIRST_BACKOFF * 2**losses.count, LONGEST_BACKOFF)
+        pause = min(
+            INITIAL_BACKOFF_SECONDS * 2**losses.count, MAX_BACKOFF_SECONDS
+        )
         losses.count += 1
-        losses.newest = now
-        pause *= self.around.rng.uniform(0.5, 1)
-        self._not_before[partition] = now + pause
-        self.around.clock.spawn(self._look_later, pause)
+        losses.last_at = now
+        pause *= self.context.rng.uniform(0.5, 1)
+        self._retry_at[partition] = now + pause
+        self.context.clock.spawn(self._rescan_later, pause)
 
-    def _look_later(self, pause: float) -> None:
-        self.around.clock.sleep(pause)
-        self.changed.set()
+    def _rescan_later(self, pause: float) -> None:
+        self.context.clock.sleep(pause)
+        self.rescan_needed.set()
 
     def _hand_over(self, partition: PartitionId, end: float) -> bool:
         """Answer what was taken, let go, and tell who is next."""
         primary = self.primaries.get(partition)
         if primary is None or primary.frozen:
             return True
-        whole = primary.freeze(max(end - self.around.clock.now(), 0))
+        whole = primary.freeze(max(end - self.context.clock.now(), 0))
         primary.close()
         self.primaries.pop(partition, None)
         owner = self.find_owner(partition)
@@ -302,8 +311,8 @@
             next=owner,
             whole=whole,
         )
-        if owner is not None and owner != self.around.me:
-            self.around.bus.send(owner, msg.TakeOver(partition=partition))
+        if owner is not None and owner != self.context.me:
+            self.context.bus.send(owner, msg.TakeOver(partition=partition))
         return whole
 
     def _on_submit(self, source: InstanceId, request: Any) -> Message:
@@ -312,10 +321,10 @@
 
     def _on_take_over(self, source: InstanceId, request: Any) -> None:
         """Take a partition that a peer has let go of."""
-        self._not_before.pop(request.partition, None)
-        self.changed.set()
+        self._retry_at.pop(request.partition, None)
+        self.rescan_needed.set()
 
     def _on_leave(self, source: InstanceId, request: Any) -> None:
         """Give a peer nothing more."""
-        self._leaving[source] = self.around.clock.now()
-        self.note_change()
+        self._leaving[source] = self.context.clock.now()
+        self.refresh_owners()
--- a/guavagate/partitions/_messages.py
+++ b/guavagate/partitions/_messages.py
@@ -11,7 +11,7 @@
 class Entry(msgspec.Struct, frozen=True, array_like=True):
     """One command in a partition's record, and the id that tells repeats."""
 
-    command: str
+    command_id: str
     kind: str
     payload: bytes
     at: float
--- a/guavagate/partitions/_record.py
+++ b/guavagate/partitions/_record.py
@@ -21,7 +21,7 @@
 from guavagate.ports.store import StoredObject
 
 PREFIX: Final = 'partitions'
-_ENTRY_BYTES: Final = 120
+_ENTRY_OVERHEAD_BYTES: Final = 120
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True):
@@ -44,7 +44,7 @@
     change: str = ''
     holder: InstanceId = InstanceId('')
     epoch: Epoch = Epoch(0)
-    copy: Blob | None = None
+    snapshot: Blob | None = msgspec.field(default=None, name='copy')
     segments: tuple[Blob, ...] = ()
     tail: tuple[Entry, ...] = ()
 
@@ -52,9 +52,9 @@
         """Return all blobs that belong to the record."""
         return (
             self.segments
-            if self.copy is None
+            if self.snapshot is None
             else (
-                self.copy,
+                self.snapshot,
                 *self.segments,
             )
         )
@@ -65,7 +65,7 @@
     return PartitionId(xxhash.xxh3_64_intdigest(key.encode()) % count)
 
 
-def path_of(partition: PartitionId) -> str:
+def make_record_path(partition: PartitionId) -> str:
     """Return the object that holds a partition's record."""
     return f'{PREFIX}/{partition}'
 
@@ -82,6 +82,8 @@
         ) from error
 
 
-def measure(entries: Sequence[Entry]) -> int:
+def estimate_size(entries: Sequence[Entry]) -> int:
     """Return about how many bytes entries take in the store."""
-    return sum(len(each.payload) * 4 // 3 + _ENTRY_BYTES for each in entries)
+    return sum(
+        len(each.payload) * 4 // 3 + _ENTRY_OVERHEAD_BYTES for each in entries
+    )
--- a/guavagate/partitions/_record_writer.py
+++ b/guavagate/partitions/_record_writer.py
@@ -9,13 +9,13 @@
 from guavagate.clock import Clock
 from guavagate.exceptions import StoreConflictError, StoreUnavailableError
 from guavagate.models import Epoch, InstanceId, PartitionId, Revision
-from guavagate.partitions._blobs import Blob, BlobGoneError, Blobs
+from guavagate.partitions._blobs import Blob, BlobDeletedError, BlobStore
 from guavagate.partitions._messages import Entry
 from guavagate.partitions._record import (
     Record,
     decode_record,
-    measure,
-    path_of,
+    estimate_size,
+    make_record_path,
 )
 from guavagate.partitions._safeguards import Safeguards
 from guavagate.partitions._state_machine import StateMachine
@@ -26,10 +26,10 @@
 # Each write of the record carries the tail again: at fifty writes a second
 # half of this each time is 13 Mbit/s, of the store's 1,000. What goes beyond
 # becomes a segment.
-TAIL_BYTES: Final = 64_000
+MAX_TAIL_BYTES: Final = 64_000
 # Entries since the copy, before another copy is written: at least so many
 # bytes, and as many as the copy has, so that copies cost as much as entries.
-COPY_BYTES: Final = 1_000_000
+MIN_SNAPSHOT_INTERVAL_BYTES: Final = 1_000_000
 RETRY_SECONDS: Final = 0.1
 _ABSENT: Final = Revision(0)
 
@@ -66,8 +66,8 @@
     ) -> None:
         self._store = store
         self._clock = clock
-        self._path = path_of(partition)
-        self._blobs = Blobs(store, clock, partition, make_id)
+        self._path = make_record_path(partition)
+        self._blobs = BlobStore(store, clock, partition, make_id)
         self._me = me
         self._make_id = make_id
         self._safeguards = safeguards
@@ -88,40 +88,46 @@
         if stored is not None:
             self.record = decode_record(stored)
             self._revision = stored.version
-        self._read_into(machine)
-        taken = msgspec.structs.replace(
+        self._load_into(machine)
+        record = msgspec.structs.replace(
             self.record,
             change=self._make_id(),
             holder=self._me,
             epoch=Epoch(self.record.epoch + 1),
         )
         # Without an answer it may be in force; the next try reads it then.
-        self._write(taken, unsure=False)
+        self._write(record, unsure=False)
         # Only the holder names blobs, and that is this instance now.
-        self._clock.spawn(self._blobs.keep_only, taken.list_blobs())
+        self._clock.spawn(self._blobs.delete_unreferenced, record.list_blobs())
 
     def add(self, entries: Sequence[Entry], machine: StateMachine) -> None:
         """Add entries that the machine has applied already.
 
         Returns when the store holds them. Raises `SupersededError`.
         """
-        before = self.record
-        tail = (*before.tail, *entries)
-        if measure(tail) <= TAIL_BYTES:
-            self._replace(self._change(tail=tail))
+        previous = self.record
+        tail = (*previous.tail, *entries)
+        if estimate_size(tail) <= MAX_TAIL_BYTES:
+            self._replace(self._make_record(tail=tail))
             return
         content = msgspec.msgpack.encode(tail)
-        since_copy = sum(each.size for each in before.segments) + len(content)
-        copied = before.copy.size if before.copy else 0
-        if since_copy <= max(COPY_BYTES, copied):
-            segments = (*before.segments, self._blobs.put(content))
-            self._replace(self._change(segments=segments, tail=()))
+        bytes_since_snapshot = sum(
+            each.size for each in previous.segments
+        ) + len(content)
+        snapshot_size = previous.snapshot.size if previous.snapshot else 0
+        if bytes_since_snapshot <= max(
+            MIN_SNAPSHOT_INTERVAL_BYTES, snapshot_size
+        ):
+            segments = (*previous.segments, self._blobs.put(content))
+            self._replace(self._make_record(segments=segments, tail=()))
             return
-        copy = self._blobs.put(machine.snapshot())
-        self._replace(self._change(copy=copy, segments=(), tail=()))
-        self._clock.spawn(self._blobs.delete, before.list_blobs())
+        snapshot = self._blobs.put(machine.snapshot())
+        self._replace(
+            self._make_record(snapshot=snapshot, segments=(), tail=())
+        )
+        self._clock.spawn(self._blobs.delete, previous.list_blobs())
 
-    def _change(self, **fields: object) -> Record:
+    def _make_record(self, **fields: object) -> Record:
         return msgspec.structs.replace(
             self.record, change=self._make_id(), **fields
         )
@@ -150,20 +156,22 @@
         try:
             self._revision = self._store.put(self._path, raw, condition)
         except StoreConflictError as conflict:
-            self._revision = self._settle(conflict, record, unsure=unsure)
+            self._revision = self._resolve_conflict(
+                conflict, record, unsure=unsure
+            )
         self.record = record
 
-    def _settle(
+    def _resolve_conflict(
         self, conflict: StoreConflictError, record: Record, *, unsure: bool
     ) -> Revision:
         """Tell a write of ours whose answer was lost from another's."""
         found = conflict.current or self._read_newer()
         if found is None:
             raise SupersededError(InstanceId(''), unsure=unsure)
-        held = decode_record(found)
-        if held.change == record.change:
+        current = decode_record(found)
+        if current.change == record.change:
             return found.version
-        raise SupersededError(held.holder, unsure=unsure)
+        raise SupersededError(current.holder, unsure=unsure)
 
     def _read_newer(self) -> StoredObject | None:
         """Read the record that a write has met; an old copy won't do.
@@ -180,19 +188,19 @@
                     return found
             self._clock.sleep(RETRY_SECONDS)
 
-    def _read_into(self, machine: StateMachine) -> None:
+    def _load_into(self, machine: StateMachine) -> None:
         """Bring a machine to where the record is."""
         record = self.record
         try:
-            self._blobs.read_all()
-            if record.copy is not None:
-                machine.restore(self._blobs.get(record.copy))
+            self._blobs.load_all()
+            if record.snapshot is not None:
+                machine.restore(self._blobs.get(record.snapshot))
             for segment in record.segments:
                 machine.apply_all(_decode_segment(self._blobs, segment))
-        except BlobGoneError as error:
+        except BlobDeletedError as error:
             raise SupersededError(record.holder, unsure=False) from error
         machine.apply_all(record.tail)
 
 
-def _decode_segment(blobs: Blobs, segment: Blob) -> list[Entry]:
+def _decode_segment(blobs: BlobStore, segment: Blob) -> list[Entry]:
     return msgspec.msgpack.decode(blobs.get(segment), type=list[Entry])
--- a/guavagate/partitions/_state_machine.py
+++ b/guavagate/partitions/_state_machine.py
@@ -12,16 +12,16 @@
 from guavagate.partitions._messages import Entry
 from guavagate.partitions._state import Command, PartitionState, SupportsPreview
 
-_RESULTS: Final = 4096
-_RESULT_BYTES: Final = 4_000_000
+_MAX_RESULTS: Final = 4096
+_MAX_RESULT_BYTES: Final = 4_000_000
 
 States = Mapping[type[Command], PartitionState]
 
 
-class Applied(msgspec.Struct, frozen=True, array_like=True):
+class AppliedCommand(msgspec.Struct, frozen=True, array_like=True):
     """What a command gave, kept to answer its repeats."""
 
-    command: str
+    command_id: str
     outcome: bytes
     at: float
 
@@ -30,7 +30,7 @@
     """All that makes two copies equal."""
 
     states: tuple[bytes, ...]
-    applied: tuple[Applied, ...]
+    applied: tuple[AppliedCommand, ...]
     horizon: float
 
 
@@ -40,15 +40,15 @@
     def __init__(self, states: States) -> None:
         self._kinds = {kind.__name__: kind for kind in states}
         self._states = dict(states)
-        self._applied: dict[str, Applied] = {}
+        self._applied: dict[str, AppliedCommand] = {}
         self._applied_bytes = 0
         self._horizon = float('-inf')
 
-    def state_of(self, command: type[Command]) -> PartitionState:
+    def find_state(self, command: type[Command]) -> PartitionState:
         """Return the state that takes a command."""
         return self._states[command]
 
-    def find(self, command: str) -> Applied | None:
+    def find_applied(self, command: str) -> AppliedCommand | None:
         """Return what a command gave, if it has been applied."""
         return self._applied.get(command)
 
@@ -56,7 +56,7 @@
         """Say whether a command of that time may have been dropped."""
         return at <= self._horizon
 
-    def understands(self, kind: str) -> bool:
+    def is_registered(self, kind: str) -> bool:
         """Say whether a command's kind is registered."""
         return kind in self._kinds
 
@@ -70,13 +70,13 @@
         outcome = state.preview(command)
         return None if outcome is None else msgspec.msgpack.encode(outcome)
 
-    def apply(self, entry: Entry) -> Applied:
+    def apply(self, entry: Entry) -> AppliedCommand:
         """Apply an entry."""
         kind = self._kinds[entry.kind]
         command = msgspec.msgpack.decode(entry.payload, type=kind)
         outcome = msgspec.msgpack.encode(self._states[kind].apply(command))
-        applied = Applied(entry.command, outcome, entry.at)
-        self._remember(applied)
+        applied = AppliedCommand(entry.command_id, outcome, entry.at)
+        self._store_outcome(applied)
         return applied
 
     def apply_all(self, entries: Iterable[Entry]) -> None:
@@ -88,7 +88,7 @@
             One is of a kind that only a later release knows.
         """
         for entry in entries:
-            if not self.understands(entry.kind):
+            if not self.is_registered(entry.kind):
                 raise StoreError(
                     f'the record holds {entry.kind}, unknown to this release',
                     'stop this instance, or run the release that wrote it',
@@ -97,31 +97,36 @@
 
     def snapshot(self) -> bytes:
         """Return all that makes another machine equal to this one."""
-        states = tuple(state.snapshot() for state in self._list_distinct())
+        states = tuple(
+            state.snapshot() for state in self._list_distinct_states()
+        )
         applied = tuple(self._applied.values())
         return msgspec.msgpack.encode(_Snapshot(states, applied, self._horizon))
 
     def restore(self, raw: bytes) -> None:
         """Become equal to the machine that gave a snapshot."""
         snapshot = msgspec.msgpack.decode(raw, type=_Snapshot)
-        pairs = zip(self._list_distinct(), snapshot.states, strict=True)
+        pairs = zip(self._list_distinct_states(), snapshot.states, strict=True)
         for state, part in pairs:
             state.restore(part)
-        self._applied = {one.command: one for one in snapshot.applied}
-        self._applied_bytes = sum(len(one.outcome) for one in snapshot.applied)
+        self._applied = {each.command_id: each for each in snapshot.applied}
+        self._applied_bytes = sum(
+            len(each.outcome) for each in snapshot.applied
+        )
         self._horizon = snapshot.horizon
 
-    def _list_distinct(self) -> list[PartitionState]:
+    def _list_distinct_states(self) -> list[PartitionState]:
         """Return each state once, in the order of registration."""
         found = {id(state): state for state in self._states.values()}
         return list(found.values())
 
-    def _remember(self, applied: Applied) -> None:
+    def _store_outcome(self, applied: AppliedCommand) -> None:
         """Keep an outcome; raise the horizon by what is dropped for it."""
-        self._applied[applied.command] = applied
+        self._applied[applied.command_id] = applied
         self._applied_bytes += len(applied.outcome)
         while (
-            len(self._applied) > _RESULTS or self._applied_bytes > _RESULT_BYTES
+            len(self._applied) > _MAX_RESULTS
+            or self._applied_bytes > _MAX_RESULT_BYTES
         ):
             oldest = self._applied.pop(next(iter(self._applied)))
             self._applied_bytes -= len(oldest.outcome)
--- a/guavagate/partitions/_stored.py
+++ b/guavagate/partitions/_stored.py
@@ -14,9 +14,9 @@
 )
 from guavagate.models import Epoch, InstanceId, PartitionId
 from guavagate.partitions._hosting import (
-    Hosting,
+    HostContext,
+    PartitionHost,
     StatesFactory,
-    Surroundings,
     make_id,
 )
 from guavagate.partitions._messages import Entry, Submit, SubmitReply, Verdict
@@ -27,13 +27,13 @@
 
 # A command asked of a primary that has just died is asked again after this,
 # so that it meets the next one soon; being applied once is sure all the same.
-_ATTEMPT: Final = 0.4
-_PAUSE: Final = 0.05
+_ATTEMPT_SECONDS: Final = 0.4
+_RETRY_SECONDS: Final = 0.05
 # Instances that differ on who lives may point at each other; after so many
 # tries each further one waits a little.
-_FOLLOWED: Final = 2
-_STOP_LIMIT: Final = 10.0
-_FINAL: Final = frozenset(
+_MAX_IMMEDIATE_REDIRECTS: Final = 2
+_STOP_LIMIT_SECONDS: Final = 10.0
+_FINAL_VERDICTS: Final = frozenset(
     (Verdict.DONE, Verdict.INVALID, Verdict.FORGOTTEN, Verdict.REFUSED)
 )
 
@@ -71,34 +71,34 @@
         rng: random.Random | None = None,
     ) -> None:
         source = rng or random.Random()
-        self._around = Surroundings(
+        self._context = HostContext(
             me=runtime.settings.id,
             clock=runtime.clock,
             bus=runtime.bus,
             store=runtime.store,
-            alive=runtime.members.alive,
+            list_alive=runtime.members.alive,
             safeguards=safeguards or Safeguards(),
             decide=runtime.decisions.record,
             rng=source,
             make_id=make_id if rng is None else lambda: _draw_id(source),
         )
         self._members = runtime.members
-        self._hosting = Hosting(self._around, make_states, partitions)
+        self._host = PartitionHost(self._context, make_states, partitions)
         self._partitions = partitions
         self._hints: dict[PartitionId, InstanceId] = {}
 
     def start(self) -> None:
         """Answer peers and look after partitions, from now on."""
-        self._hosting.register()
-        self._members.subscribe(self._hosting.note_change)
-        self._around.clock.spawn(self._hosting.run)
+        self._host.register()
+        self._members.subscribe(self._host.refresh_owners)
+        self._context.clock.spawn(self._host.run)
 
-    def stop(self, limit: float = _STOP_LIMIT) -> bool:
+    def stop(self, limit: float = _STOP_LIMIT_SECONDS) -> bool:
         """Hand over what is decided here; say whether all of it was.
 
         It goes on answering peers, since callers may still be routed here.
         """
-        return self._hosting.hand_all_over(limit)
+        return self._host.hand_over_all(limit)
 
     def submit(
         self,
@@ -110,7 +110,7 @@
         """Have the command applied, and held by the store."""
         entry = self._make_entry(command)
         partition = find_partition(key, self._partitions)
-        end = self._around.clock.now() + timeout
+        end = self._context.clock.now() + timeout
         raw = self._submit(partition, entry, end)
         return msgspec.msgpack.decode(raw, type=outcome)
 
@@ -123,23 +123,23 @@
     ) -> Result:
         """Have it applied by this instance in this epoch, or not at all."""
         partition = find_partition(key, self._partitions)
-        primary = self._hosting.primaries.get(partition)
+        primary = self._host.primaries.get(partition)
         if primary is None or primary.epoch != epoch:
             raise NotAppliedError(
                 f'partition {partition} is not held here in epoch {epoch}',
                 'ask its present holder',
             )
         entry = self._make_entry(command)
-        reply = primary.submit(entry, _ATTEMPT, repeated=False)
-        unsure = reply.verdict is Verdict.UNKNOWN
-        raw = _conclude(reply, unsure)
+        reply = primary.submit(entry, _ATTEMPT_SECONDS, repeated=False)
+        maybe_applied = reply.verdict is Verdict.UNKNOWN
+        raw = _get_outcome(reply, maybe_applied)
         return msgspec.msgpack.decode(raw, type=outcome)
 
     def list_owned(self) -> list[OwnedPartition]:
         """Return the partitions whose primary this instance is."""
         return [
             OwnedPartition(partition, primary.epoch)
-            for partition, primary in sorted(self._hosting.primaries.items())
+            for partition, primary in sorted(self._host.primaries.items())
             if not primary.closed
         ]
 
@@ -152,14 +152,14 @@
         yet: good for planning work, not for answering anyone.
         """
         return [
-            (primary.epoch, primary.machine.state_of(command))
-            for primary in self._hosting.primaries.values()
+            (primary.epoch, primary.machine.find_state(command))
+            for primary in self._host.primaries.values()
             if not primary.closed
         ]
 
     def _make_entry(self, command: Command) -> Entry:
         return Entry(
-            self._around.make_id(),
+            self._context.make_id(),
             type(command).__name__,
             msgspec.msgpack.encode(command),
             command.at,
@@ -169,36 +169,43 @@
         self, partition: PartitionId, entry: Entry, end: float
     ) -> bytes:
         """Try until there is an outcome or the time is up."""
-        clock = self._around.clock
-        sent = False
-        tries = 0
+        clock = self._context.clock
+        maybe_applied = False
+        attempts = 0
         while clock.now() < end:
-            target = self._choose_target(partition, tries)
-            reply, handled = self._ask(target, partition, entry, sent, end)
-            sent = sent or handled
-            if reply is not None and reply.verdict in _FINAL:
-                return _conclude(reply, sent)
-            tries += 1
-            if self._follow(partition, target, reply) and tries <= _FOLLOWED:
+            target = self._choose_target(partition, attempts)
+            reply, maybe_handled = self._attempt(
+                target, partition, entry, maybe_applied, end
+            )
+            maybe_applied = maybe_applied or maybe_handled
+            if reply is not None and reply.verdict in _FINAL_VERDICTS:
+                return _get_outcome(reply, maybe_applied)
+            attempts += 1
+            if (
+                self._follow_redirect(partition, target, reply)
+                and attempts <= _MAX_IMMEDIATE_REDIRECTS
+            ):
                 continue
-            low, high = _PAUSE, _PAUSE * min(tries + 1, 5)
-            pause = self._around.rng.uniform(low, high)
+            low, high = _RETRY_SECONDS, _RETRY_SECONDS * min(attempts + 1, 5)
+            pause = self._context.rng.uniform(low, high)
             clock.sleep(min(pause, max(end - clock.now(), 0)))
-        if sent:
-            raise _make_unknown()
+        if maybe_applied:
+            raise _make_unknown_error()
         raise NotAppliedError(
             f'partition {partition} has no primary that answers',
             'try again in a few seconds',
         )
 
-    def _choose_target(self, partition: PartitionId, tries: int) -> InstanceId:
+    def _choose_target(
+        self, partition: PartitionId, attempts: int
+    ) -> InstanceId:
         """Return who is said to hold a partition, or should by those alive."""
         hint = self._hints.pop(partition, None)
-        if hint and tries:
+        if hint and attempts:
             return hint
-        return self._hosting.find_owner(partition) or self._around.me
+        return self._host.find_owner(partition) or self._context.me
 
-    def _follow(
+    def _follow_redirect(
         self,
         partition: PartitionId,
         target: InstanceId,
@@ -212,7 +219,7 @@
         self._hints[partition] = reply.holder
         return reply.verdict is Verdict.MOVED
 
-    def _ask(
+    def _attempt(
         self,
         target: InstanceId,
         partition: PartitionId,
@@ -224,7 +231,7 @@
         request = Submit(
             partition=partition,
             entry=entry,
-            wait=min(end - self._around.clock.now(), _ATTEMPT),
+            wait=min(end - self._context.clock.now(), _ATTEMPT_SECONDS),
             repeated=repeated,
         )
         try:
@@ -237,26 +244,26 @@
 
     def _request(self, target: InstanceId, request: Submit) -> SubmitReply:
         """Ask this instance or another."""
-        if target == self._around.me:
-            return self._hosting.submit(request)
-        return self._around.bus.request(
+        if target == self._context.me:
+            return self._host.submit(request)
+        return self._context.bus.request(
             target, request, SubmitReply, request.wait
         )
 
 
-def _conclude(reply: SubmitReply, sent: bool) -> bytes:
+def _get_outcome(reply: SubmitReply, maybe_applied: bool) -> bytes:
     """Return the outcome of a final reply, or raise what it means."""
     if reply.verdict is Verdict.DONE:
         return reply.outcome
-    if reply.verdict is Verdict.FORGOTTEN or sent:
-        raise _make_unknown()
+    if reply.verdict is Verdict.FORGOTTEN or maybe_applied:
+        raise _make_unknown_error()
     remedy = 'check releases and clocks of the instances'
     if reply.verdict is Verdict.REFUSED:
         remedy = 'try again when the object API answers'
     raise NotAppliedError(reply.problem, remedy)
 
 
-def _make_unknown() -> OutcomeUnknownError:
+def _make_unknown_error() -> OutcomeUnknownError:
     """Make the error of a command that may have been applied."""
     return OutcomeUnknownError(
         'the partition gave no outcome in time', 'ask again with the same key'
--- a/tests/partitions/test_record_writer.py
+++ b/tests/partitions/test_record_writer.py
@@ -12,7 +12,7 @@
 from guavagate.measure.fakes import MemoryStore, StoreState
 from guavagate.measure.outcomes import Add, Counters
 from guavagate.models import InstanceId, PartitionId
-from guavagate.partitions import _record_writer as keeping
+from guavagate.partitions import _record_writer as record_writer
 from guavagate.partitions._blobs import PART_BYTES
 from guavagate.partitions._messages import Entry
 from guavagate.partitions._record_writer import RecordWriter, SupersededError
@@ -38,7 +38,7 @@
 
     def take(self, name: str = 'a') -> tuple[RecordWriter, StateMachine]:
         """Take the partition over as an instance."""
-        held = RecordWriter(
+        writer = RecordWriter(
             self.store,
             self.clock,
             PartitionId(7),
@@ -47,18 +47,18 @@
             Safeguards(),
         )
         machine = StateMachine({Add: Counters()})
-        self.run(held.take_over, machine)
-        return held, machine
+        self.run(writer.take_over, machine)
+        return writer, machine
 
     def add(
-        self, held: RecordWriter, machine: StateMachine, size: int = 0
+        self, writer: RecordWriter, machine: StateMachine, size: int = 0
     ) -> None:
         """Add one entry whose payload has about so many bytes."""
         filler = 'x' * size
         command = Add(at=0, key=f'{next(self._ids)}{filler}')
         entry = Entry(f'c{next(self._ids)}', 'Add', _encode(command), 1.5)
         machine.apply(entry)
-        self.run(held.add, [entry], machine)
+        self.run(writer.add, [entry], machine)
 
     def blobs(self) -> list[str]:
         """Return the paths of the blobs in the store."""
@@ -81,14 +81,14 @@
     parts. Read together they give the state to the last entry.
     """
     bench = Bench()
-    held, machine = bench.take()
+    writer, machine = bench.take()
     for _ in range(9):
-        bench.add(held, machine, 200_000)
-    bench.add(held, machine)
-    assert held.record.copy is not None
-    assert held.record.copy.size > PART_BYTES
-    assert held.record.segments
-    assert held.record.tail
+        bench.add(writer, machine, 200_000)
+    bench.add(writer, machine)
+    assert writer.record.snapshot is not None
+    assert writer.record.snapshot.size > PART_BYTES
+    assert writer.record.segments
+    assert writer.record.tail
     _, copy = bench.take('b')
     assert copy.snapshot() == machine.snapshot()
 
@@ -100,16 +100,16 @@
     stay for ever.
     """
     bench = Bench()
-    held, machine = bench.take()
+    writer, machine = bench.take()
     path = 'partition-blobs-00007/left-0000'
     bench.run(bench.store.put, path, b'""', 0)
     for _ in range(12):
-        bench.add(held, machine, 200_000)
-    held, _ = bench.take('b')
+        bench.add(writer, machine, 200_000)
+    writer, _ = bench.take('b')
     named = [
         f'partition-blobs-00007/{name}'
-        for blob in held.record.list_blobs()
-        for name in blob.list_names()
+        for blob in writer.record.list_blobs()
+        for name in blob.list_part_names()
     ]
     assert sorted(bench.blobs()) == sorted(named)
 
@@ -128,9 +128,9 @@
 def test_a_lost_answer_is_settled_by_the_change_id() -> None:
     """The store took the write, its answer was lost; it is made once."""
     bench = Bench()
-    held, machine = bench.take()
+    writer, machine = bench.take()
     bench.state.lose_next = 1
-    bench.add(held, machine)
+    bench.add(writer, machine)
     _, copy = bench.take('b')
     assert copy.snapshot() == machine.snapshot()
 
@@ -156,14 +156,14 @@
     Were a copy written each time the record is full, each would be as large
     as all before it, and a step of 30 MB would write gigabytes.
     """
-    monkeypatch.setattr(keeping, 'TAIL_BYTES', 2_000)
-    monkeypatch.setattr(keeping, 'COPY_BYTES', 10_000)
+    monkeypatch.setattr(record_writer, 'MAX_TAIL_BYTES', 2_000)
+    monkeypatch.setattr(record_writer, 'MIN_SNAPSHOT_INTERVAL_BYTES', 10_000)
     bench = Bench()
-    held, machine = bench.take()
+    writer, machine = bench.take()
     written = 0
     known: set[str] = set()
     for number in range(300):
-        bench.add(held, machine, 400 + number % 7)
+        bench.add(writer, machine, 400 + number % 7)
         for path in set(bench.blobs()) - known:
             written += len(bench.state.objects[path].value)
             known.add(path)
@@ -177,8 +177,8 @@
     partition to those that know.
     """
     bench = Bench()
-    held, machine = bench.take()
+    writer, machine = bench.take()
     entry = Entry('c1', 'AddTwice', b'', 1.5)
-    bench.run(held.add, [entry], machine)
+    bench.run(writer.add, [entry], machine)
     with pytest.raises(StoreError, match='run the release that wrote it'):
         bench.take('b')
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -78,8 +78,8 @@
 
 def test_a_snapshot_makes_an_equal_copy() -> None:
     """A new holder says the same as the one before."""
-    state, copy = LedgerState(), LedgerState()
+    state, other = LedgerState(), LedgerState()
     _begin(state, '1', 1.5)
-    copy.restore(state.snapshot())
-    assert copy.snapshot() == state.snapshot()
-    assert _begin(copy, '2') is BeginState.JOINED
+    other.restore(state.snapshot())
+    assert other.snapshot() == state.snapshot()
+    assert _begin(other, '2') is BeginState.JOINED
