--- a/guavagate/partitions/__init__.py
+++ b/guavagate/partitions/__init__.py
@@ -1,4 +1,4 @@
-"""Partitions: state with one decider, kept as one record in the store."""
+"""Replicated state in partitions, each led by one primary instance."""
 
 from guavagate.partitions._local import LocalPartitions
 from guavagate.partitions._state import (
--- a/guavagate/partitions/_blobs.py
+++ b/guavagate/partitions/_blobs.py
@@ -1,4 +1,4 @@
-"""What is too large for a partition's record, in objects written once."""
+"""Stores data too large for a partition's record in write-once objects."""
 
 import logging
 from collections.abc import Callable, Iterable, Sequence
@@ -20,27 +20,27 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# An object holds a megabyte; base64 adds a third.
+# An object holds at most 1 MB, and base64 adds a third to the content.
 PART_BYTES: Final = 600_000
 RETRY_SECONDS: Final = 0.1
 _CREATE_TIMEOUT_SECONDS: Final = 5.0
 
 
 class BlobDeletedError(Exception):
-    """A blob was deleted, as a newer record no longer names it."""
+    """A blob was deleted because a newer record no longer references it."""
 
 
 class Blob(msgspec.Struct, frozen=True):
-    """Bytes in parts that each fit into an object.
+    """Bytes split into parts that each fit into one object.
 
-    The name is new for each: what was deleted is never written again.
+    Every blob gets a new name, so a deleted blob is never written again.
     """
 
     name: str
     size: int
 
     def list_part_names(self) -> list[str]:
-        """Return the names of its parts."""
+        """Return the names of the parts."""
         count = -(-self.size // PART_BYTES)
         return [f'{self.name}-{number:04}' for number in range(count)]
 
@@ -62,14 +62,14 @@
         self._loaded: dict[str, bytes] = {}
 
     def load_all(self) -> None:
-        """Read what is there, for `get`; one call for most partitions."""
+        """Load all stored parts for `get`; one call for most partitions."""
         objects, _ = self._store.list_under(self._prefix)
         self._loaded = {
             each.path.rpartition('/')[2]: each.value for each in objects
         }
 
     def get(self, blob: Blob) -> bytes:
-        """Return a blob that `read_all` has read, or raise `BlobGoneError`."""
+        """Return a loaded blob, or raise `BlobDeletedError`."""
         parts = [self._loaded.get(name) for name in blob.list_part_names()]
         if None in parts:
             raise BlobDeletedError(blob.name)
@@ -80,7 +80,7 @@
         )
 
     def put(self, content: bytes) -> Blob:
-        """Write a blob, however long that takes."""
+        """Write a blob, retrying until the store accepts it."""
         blob = Blob(self._make_id(), len(content))
         for number, name in enumerate(blob.list_part_names()):
             start = number * PART_BYTES
@@ -89,9 +89,10 @@
         return blob
 
     def delete_unreferenced(self, referenced: Iterable[Blob]) -> None:
-        """Delete what was read and is not named, and forget the rest.
+        """Delete the loaded parts that no blob references; clear the cache.
 
-        Writers that died before their record was written leave such blobs.
+        An instance that dies between writing a blob and writing the record
+        leaves unreferenced parts.
         """
         retained = {
             name for blob in referenced for name in blob.list_part_names()
@@ -100,7 +101,7 @@
         self._loaded = {}
 
     def delete(self, blobs: Sequence[Blob]) -> None:
-        """Delete blobs that no record names any more."""
+        """Delete blobs that the record no longer references."""
         self._delete(
             [name for blob in blobs for name in blob.list_part_names()]
         )
@@ -116,7 +117,7 @@
                     _CREATE_TIMEOUT_SECONDS,
                 )
             except (NotWrittenError, MaybeWrittenError, StoreError) as error:
-                _LOGGER.debug('%s is not written: %r', path, error)
+                _LOGGER.debug('Writing %s failed, retrying: %r', path, error)
                 self._clock.sleep(RETRY_SECONDS)
             else:
                 return
--- a/guavagate/partitions/_hosting.py
+++ b/guavagate/partitions/_hosting.py
@@ -1,4 +1,4 @@
-"""The partitions that one instance decides: taken, answered, handed over."""
+"""Takes over, serves and hands over the partitions of one instance."""
 
 import dataclasses
 import logging
@@ -30,39 +30,39 @@
 
 StatesFactory = Callable[[PartitionId], States]
 
-# Changes of membership wake it; this finds what they have not.
+# Member changes trigger a scan at once; this interval covers missed events.
 SCAN_INTERVAL_SECONDS: Final = 1.0
-# Instances that start together hear of each other within this time. Without
-# it each would take all partitions, one after the other.
+# Instances that start together discover each other within this time. Without
+# the delay each of them would take over all partitions in turn.
 START_DELAY_SECONDS: Final = 0.5
-# Two instances that don't hear each other take a partition from each other in
-# turn; longer each time, so that the commands of one side get on meanwhile.
+# Two instances that cannot reach each other take a partition from each other
+# in turn. Growing pauses let commands on one side progress in between.
 INITIAL_BACKOFF_SECONDS: Final = 0.3
 MAX_BACKOFF_SECONDS: Final = 5.0
-# A partition that was kept for so long is not being fought over any more.
+# Without a loss for this long, a partition is no longer contended.
 BACKOFF_RESET_SECONDS: Final = 30.0
-# How long a command waits here while its partition is being taken over.
+# Maximum wait of a command while this instance takes over its partition.
 TAKE_OVER_WAIT_SECONDS: Final = 0.3
-# An instance that is being stopped is not chosen again for so long; it is
-# gone or started anew by then.
+# A stopping instance is not chosen as owner for this long; by then it is gone
+# or has restarted.
 LEAVING_TTL_SECONDS: Final = 60.0
 
 
 def make_id() -> str:
-    """Return an id that no other call gives."""
+    """Return a unique id."""
     return uuid.uuid4().hex
 
 
 @dataclasses.dataclass(frozen=True)
 class HostContext:
-    """What the partitions of one instance work with.
+    """Dependencies of the partitions of one instance.
 
     Parameters
     ----------
-    alive
+    list_alive
         Returns the usable instances.
     make_id
-        Gives unique ids; tests give ones that a seed replays.
+        Returns a unique id; tests use ids that are reproducible from a seed.
     """
 
     me: InstanceId
@@ -77,19 +77,19 @@
 
 
 class _Losses(msgspec.Struct):
-    """How often a partition was lost lately; times in seconds."""
+    """Recent losses of a partition; times in seconds."""
 
     count: int = 0
     last_at: float = 0
 
 
 class PartitionHost:
-    """Takes the partitions that are this instance's, and lets others go.
+    """Takes over the partitions owned here and releases the others.
 
     Attributes
     ----------
-    changed
-        Set when it should look again.
+    rescan_needed
+        Set to trigger a scan of all partitions.
     """
 
     def __init__(
@@ -110,14 +110,14 @@
         self._activated = Event()
 
     def register(self) -> None:
-        """Answer peers' messages from now on."""
+        """Register the handlers of peers' messages."""
         bus = self.context.bus
         bus.register(msg.Submit, self._on_submit)
         bus.register(msg.TakeOver, self._on_take_over)
         bus.register(msg.Leave, self._on_leave)
 
     def run(self) -> None:
-        """Look after the partitions until killed."""
+        """Scan the partitions periodically until killed."""
         self.context.clock.sleep(START_DELAY_SECONDS)
         while True:
             self.rescan_needed.clear()
@@ -130,7 +130,7 @@
             )
 
     def find_owner(self, partition: PartitionId) -> InstanceId | None:
-        """Return who should decide for a partition, as far as known here."""
+        """Return the instance that should lead a partition, if known."""
         owner = self._owners.get(partition)
         if owner is None:
             candidates = self._list_candidates()
@@ -142,12 +142,12 @@
         return owner
 
     def refresh_owners(self) -> None:
-        """Look again at who should decide what."""
+        """Recompute the owners of all partitions."""
         self._owners.clear()
         self.rescan_needed.set()
 
     def submit(self, request: msg.Submit) -> msg.SubmitReply:
-        """Carry out a command here, or say who does."""
+        """Apply a command here or return the expected holder."""
         primary = self.primaries.get(request.partition)
         if primary is None and self._is_owned_here(request.partition):
             self.rescan_needed.set()
@@ -165,7 +165,7 @@
         )
 
     def hand_over_all(self, limit: float) -> bool:
-        """Let go of everything; say whether all was answered in time."""
+        """Release all partitions; return whether all commands got a reply."""
         self._stopping = True
         clock = self.context.clock
         self._leaving[self.context.me] = clock.now()
@@ -201,7 +201,7 @@
         return mine and not self._stopping
 
     def _check_partition(self, partition: PartitionId) -> None:
-        """Take what is this instance's, let go of what no longer is."""
+        """Take over an owned partition or hand over one owned elsewhere."""
         primary = self.primaries.get(partition)
         if primary is not None and primary.closed:
             self._release_lost(partition)
@@ -223,7 +223,7 @@
             clock.spawn(self._take_over, partition)
 
     def _take_over(self, partition: PartitionId) -> None:
-        """Read the record, become its holder, and answer from then on."""
+        """Take over the record and start the primary."""
         context = self.context
         machine = self._stale_machines.pop(partition, None)
         if machine is None:
@@ -262,7 +262,7 @@
             self._taking_over.discard(partition)
 
     def _record_taken(self, partition: PartitionId, primary: Primary) -> None:
-        reason = 'first of those alive by rendezvous hashing'
+        reason = 'first live instance by rendezvous hashing'
         write(_LOGGER, events.TAKEN, partition=partition, epoch=primary.epoch)
         self.context.decide(
             f'partition/{partition}', 'holder', self.context.me, reason, None
@@ -270,7 +270,7 @@
         self._activated.set()
 
     def _release_lost(self, partition: PartitionId) -> None:
-        """Forget a partition that another instance has gone on with."""
+        """Remove a partition that another instance has taken over."""
         primary = self.primaries.pop(partition)
         if not self.context.safeguards.discard:
             self._stale_machines[partition] = primary.machine
@@ -295,11 +295,11 @@
         self.rescan_needed.set()
 
     def _hand_over(self, partition: PartitionId, end: float) -> bool:
-        """Answer what was taken, let go, and tell who is next."""
+        """Finish accepted commands, release, and notify the next owner."""
         primary = self.primaries.get(partition)
         if primary is None or primary.frozen:
             return True
-        whole = primary.freeze(max(end - self.context.clock.now(), 0))
+        answered_all = primary.freeze(max(end - self.context.clock.now(), 0))
         primary.close()
         self.primaries.pop(partition, None)
         owner = self.find_owner(partition)
@@ -309,22 +309,22 @@
             partition=partition,
             epoch=primary.epoch,
             next=owner,
-            whole=whole,
+            whole=answered_all,
         )
         if owner is not None and owner != self.context.me:
             self.context.bus.send(owner, msg.TakeOver(partition=partition))
-        return whole
+        return answered_all
 
     def _on_submit(self, source: InstanceId, request: Any) -> Message:
-        """Answer a `Submit`."""
+        """Handle a `Submit`."""
         return self.submit(request)
 
     def _on_take_over(self, source: InstanceId, request: Any) -> None:
-        """Take a partition that a peer has let go of."""
+        """Take over a partition that a peer has released."""
         self._retry_at.pop(request.partition, None)
         self.rescan_needed.set()
 
     def _on_leave(self, source: InstanceId, request: Any) -> None:
-        """Give a peer nothing more."""
+        """Assign no more partitions to a stopping peer."""
         self._leaving[source] = self.context.clock.now()
         self.refresh_owners()
--- a/guavagate/partitions/_local.py
+++ b/guavagate/partitions/_local.py
@@ -1,11 +1,11 @@
-"""Partitions without a store: one instance alone, and unit tests."""
+"""Partitions without a store, for a single instance and unit tests."""
 
 from guavagate.models import Epoch
 from guavagate.partitions._state import Command, PartitionState, Result
 
 
 class LocalPartitions:
-    """Applies every command here; the baseline without a record."""
+    """Applies every command in this process; stores no record."""
 
     def __init__(self, states: dict[type[Command], PartitionState]) -> None:
         self._states = states
@@ -17,7 +17,7 @@
         outcome: type[Result],
         timeout: float,
     ) -> Result:
-        """Apply the command to the one copy of the state."""
+        """Apply the command to the local state."""
         answer = self._states[type(command)].apply(command)
         if not isinstance(answer, outcome):
             raise TypeError(f'{answer!r} is not a {outcome.__name__}')
@@ -30,5 +30,5 @@
         command: Command,
         outcome: type[Result],
     ) -> Result:
-        """Apply the command; there is no other instance."""
+        """Apply the command; no other instance exists."""
         return self.submit(key, command, outcome, 0)
--- a/guavagate/partitions/_messages.py
+++ b/guavagate/partitions/_messages.py
@@ -1,4 +1,4 @@
-"""What instances say to each other about a partition."""
+"""Messages between instances about a partition."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One command in a partition's record, and the id that tells repeats."""
+    """A command in a partition's record, with an id that marks repeats."""
 
     command_id: str
     kind: str
@@ -18,10 +18,10 @@
 
 
 class Verdict(enum.Enum):
-    """What became of a submitted command.
+    """The result of submitting a command.
 
-    `MOVED` and `REFUSED` say that this attempt applied nothing and never
-    will; after `REFUSED` another attempt is of no use now.
+    `MOVED` and `REFUSED` mean that this attempt has applied nothing and never
+    will. After `REFUSED` an immediate retry is useless.
     """
 
     DONE = 'done'
@@ -33,14 +33,14 @@
 
 
 class Submit(Message, frozen=True, kw_only=True):
-    """A command on its way to the primary.
+    """Submit a command to the primary.
 
     Parameters
     ----------
     wait
-        Seconds that the sender will wait for the reply.
+        Seconds that the sender waits for the reply.
     repeated
-        An earlier attempt of this very command may have been applied.
+        Whether an earlier attempt of the same command may have been applied.
     """
 
     partition: PartitionId
@@ -50,7 +50,7 @@
 
 
 class SubmitReply(Message, frozen=True, kw_only=True):
-    """What became of it, and who holds the partition if it moved."""
+    """The verdict, and the partition's current holder if it moved."""
 
     verdict: Verdict
     outcome: bytes = b''
@@ -59,10 +59,10 @@
 
 
 class TakeOver(Message, frozen=True, kw_only=True):
-    """The sender has let go of a partition, and the receiver is next."""
+    """The sender released a partition; the receiver is to take it over."""
 
     partition: PartitionId
 
 
 class Leave(Message, frozen=True, kw_only=True):
-    """The sender is being stopped: it takes no partitions any more."""
+    """The sender is stopping and takes over no more partitions."""
--- a/guavagate/partitions/_primary.py
+++ b/guavagate/partitions/_primary.py
@@ -1,9 +1,9 @@
-"""The primary of a partition: applies, has the store hold it, answers.
+"""The primary of a partition applies commands, stores them and replies.
 
-Load pattern: many commands for one partition at once. Each write to the store
-takes some milliseconds and has its price, so commands that come while one is
-under way share the next; without it a burst of a thousand keyed requests
-would be a thousand writes one after the other.
+Load pattern: many concurrent commands for one partition. Each write to the
+store takes some milliseconds and adds cost, so commands that arrive during a
+write share the next one. Without batching, a burst of a thousand keyed
+requests would cause a thousand sequential writes.
 """
 
 import logging
@@ -26,22 +26,23 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Between the starts of two writes of a partition. A command alone waits for
-# nothing; a keyed request has two, and waits for this between them: 10 ms.
+# Minimum time between the starts of two writes of a partition. A single command
+# does not wait; a keyed request has two commands, and the second one waits for
+# up to this time.
 WRITE_INTERVAL_SECONDS: Final = 0.01
-# Entries of one write; a larger share of them waits for the next.
+# Maximum payload of one write; further entries wait for the next one.
 MAX_BATCH_BYTES: Final = 400_000
-# A write that has had no answer for so long shows that the store is away;
-# new commands are refused at once then, as nobody can say how long it lasts.
+# After a write has had no response for this long, the store counts as
+# unavailable. New commands are refused at once, as the outage may last.
 STORE_STALL_SECONDS: Final = 1.0
 
-# A command from further off would spoil what states keep by time, such as the
-# ledger's window.
+# A larger clock difference would break states that expire data by command
+# time, such as the ledger's window.
 MAX_CLOCK_SKEW_SECONDS: Final = 60.0
 
 
 class _PendingCommand(msgspec.Struct):
-    """A command that has not been answered; `taken` once it is in a write."""
+    """A command without a reply; `in_write` once a write includes it."""
 
     entry: Entry
     done: Event
@@ -50,21 +51,21 @@
 
 
 class Primary:
-    """Decides for a partition while it holds the record.
+    """Leads a partition while this instance holds its record.
 
     Parameters
     ----------
-    lost
-        Called once when another instance has gone on from here.
+    on_lost
+        Called once when this instance loses the partition.
 
     Attributes
     ----------
     closed
-        It answers nothing any more.
+        It accepts no commands and sends no outcomes any more.
     frozen
-        It takes no new commands, as it is being handed over.
+        It accepts no new commands because a hand-over is in progress.
     holder
-        Who is known to have gone on from here, once closed.
+        The instance that has taken over, if known, once closed.
     """
 
     def __init__(
@@ -92,13 +93,13 @@
 
     @property
     def epoch(self) -> Epoch:
-        """Return the epoch in which this instance holds the record."""
+        """Return the epoch in which this instance is the holder."""
         return self.writer.record.epoch
 
     def submit(
         self, entry: Entry, wait: float, *, repeated: bool
     ) -> SubmitReply:
-        """Have a command applied and held by the store."""
+        """Apply a command and store it durably."""
         refusal = self._find_refusal(entry, repeated=repeated)
         if refusal is not None:
             return refusal
@@ -115,12 +116,12 @@
         return SubmitReply(verdict=Verdict.MOVED)
 
     def freeze(self, limit: float) -> bool:
-        """Take no new commands; return whether all were answered in time."""
+        """Accept no new commands; return whether all got a reply in time."""
         self.frozen = True
         return wait_for(self._clock, self._idle, limit)
 
     def close(self) -> None:
-        """Answer nothing from now on."""
+        """Reply `UNKNOWN` to all pending commands and stop."""
         self._close(SubmitReply(verdict=Verdict.UNKNOWN))
         self._task.kill(block=False)
 
@@ -130,13 +131,16 @@
         if self.closed or self.frozen:
             return SubmitReply(verdict=Verdict.MOVED, holder=self.holder)
         if not self.machine.is_registered(entry.kind):
-            problem = f'no state takes {entry.kind}'
+            problem = f'no state handles {entry.kind}'
             return SubmitReply(verdict=Verdict.INVALID, problem=problem)
         if abs(self._clock.wall() - entry.at) > MAX_CLOCK_SKEW_SECONDS:
-            problem = f'its clock is {MAX_CLOCK_SKEW_SECONDS:.0f}s off'
+            problem = (
+                'the command time differs by more than '
+                f'{MAX_CLOCK_SKEW_SECONDS:.0f}s'
+            )
             return SubmitReply(verdict=Verdict.INVALID, problem=problem)
         if self._is_store_stalled():
-            problem = 'the store gives no answer'
+            problem = 'the store does not answer'
             return SubmitReply(verdict=Verdict.REFUSED, problem=problem)
         known = self._find_applied(entry)
         if known is not None or not repeated:
@@ -180,15 +184,13 @@
         return batch
 
     def _write_batch(self, batch: list[_PendingCommand]) -> None:
-        """Apply commands, have the store hold them, then answer."""
+        """Apply commands, store them durably, then reply."""
         outcomes: list[bytes] = []
         new_entries: list[Entry] = []
         for pending in batch:
             outcome = self._try_apply(pending, new_entries)
             if outcome is None:
-                self._step_down(
-                    batch, Verdict.MOVED, 'a command could not be applied'
-                )
+                self._step_down(batch, Verdict.MOVED, 'a command failed')
                 return
             outcomes.append(outcome)
         if not self._safeguards.durable_first:
@@ -199,16 +201,16 @@
     def _try_apply(
         self, pending: _PendingCommand, new_entries: list[Entry]
     ) -> bytes | None:
-        """Apply a command; one that fails is answered and spoils the state.
+        """Apply a command; reply `INVALID` and return `None` if it fails.
 
-        Without this it would end the task that writes, and the partition
-        would answer nothing any more. Nothing of its group is in the record;
-        what was applied here is forgotten and read again.
+        An unhandled error would end the writing task, and the partition would
+        no longer reply. None of the batch is in the record yet, so the
+        partially changed state is discarded and the record is read again.
         """
         try:
             return self._apply(pending.entry, new_entries)
         except Exception as error:
-            _LOGGER.exception('a command failed unexpectedly')
+            _LOGGER.exception('Command failed unexpectedly')
             problem = f'{pending.entry.kind} failed: {error!r}'
             _set_reply(
                 pending, SubmitReply(verdict=Verdict.INVALID, problem=problem)
@@ -216,7 +218,7 @@
             return None
 
     def _apply(self, entry: Entry, new_entries: list[Entry]) -> bytes:
-        """Return what a command gives; one that needs writing is noted."""
+        """Return a command's outcome; collect an entry that must be stored."""
         known = self._find_applied(entry)
         if known is not None:
             return known.outcome
@@ -229,14 +231,14 @@
     def _add_entries(
         self, batch: list[_PendingCommand], new_entries: list[Entry]
     ) -> bool:
-        """Have the store hold entries; say whether it does."""
+        """Store entries durably; return whether that succeeded."""
         self._writing_since = self._clock.now()
         try:
             self.writer.add(new_entries, self.machine)
         except SupersededError as error:
             self.holder = error.holder
-            # Whoever holds the record now may have read it with these
-            # entries in it; it tells by their ids when they are asked again.
+            # The new holder may have read a record with these entries; it
+            # recognizes repeated commands by their ids.
             verdict = Verdict.UNKNOWN if error.unsure else Verdict.MOVED
             self._step_down(batch, verdict, f'{error.holder} holds the record')
         except StoreError as error:
@@ -251,7 +253,7 @@
     def _step_down(
         self, batch: list[_PendingCommand], verdict: Verdict, problem: str
     ) -> None:
-        """End, as the state here is ahead of the record and of no use."""
+        """Close, because the local state is ahead of the record."""
         write(
             _LOGGER,
             events.SUPERSEDED,
@@ -267,7 +269,7 @@
         self._on_lost()
 
     def _close(self, reply: SubmitReply) -> None:
-        """Answer what waits and take nothing more."""
+        """Reply to all pending commands and accept no more."""
         self.closed = True
         pending, self._queue = self._queue, []
         for each in pending:
--- a/guavagate/partitions/_record.py
+++ b/guavagate/partitions/_record.py
@@ -1,10 +1,10 @@
-"""A partition's record: the one object of the store that decides.
+"""A partition's record: the store object that defines its state.
 
-It holds the newest entries, and names the blobs with what was before. Who
-wants to add entries replaces it under the condition that it is still the one
-they know, so of two instances that both believe that they decide, one is
-refused, reads the record and goes on from there or lets go. Neither leases
-nor clocks matter.
+The record contains the newest entries and references the blobs with all older
+state. An instance adds entries by replacing the record on condition that it is
+unchanged. If two instances both act as primary, the store refuses one of them;
+that one rereads the record and takes over again or releases the partition.
+Correctness depends on neither leases nor clocks.
 """
 
 from collections.abc import Sequence
@@ -25,18 +25,18 @@
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True):
-    """What the store holds of a partition.
+    """A partition as stored.
 
     Parameters
     ----------
     change
-        Unique for each write; settles one whose answer was lost.
+        Unique id of each write; identifies a write whose response was lost.
     epoch
-        Rises with each change of holder.
-    copy
-        The whole state before the first segment; none at first.
+        Increases with each change of holder.
+    snapshot
+        The complete state before the first segment; initially none.
     segments
-        Entries since the copy, oldest first.
+        Entries since the snapshot, oldest first.
     tail
         Entries since the last segment.
     """
@@ -49,7 +49,7 @@
     tail: tuple[Entry, ...] = ()
 
     def list_blobs(self) -> tuple[Blob, ...]:
-        """Return all blobs that belong to the record."""
+        """Return all blobs that the record references."""
         return (
             self.segments
             if self.snapshot is None
@@ -61,17 +61,17 @@
 
 
 def find_partition(key: str, count: int = DEFAULT_PARTITIONS) -> PartitionId:
-    """Return the partition of a key."""
+    """Return the partition that a key belongs to."""
     return PartitionId(xxhash.xxh3_64_intdigest(key.encode()) % count)
 
 
 def make_record_path(partition: PartitionId) -> str:
-    """Return the object that holds a partition's record."""
+    """Return the path of the object with a partition's record."""
     return f'{PREFIX}/{partition}'
 
 
 def decode_record(stored: StoredObject) -> Record:
-    """Read a record; one that others have written over raises."""
+    """Decode a record; raise `StoreError` if the object is not a record."""
     try:
         return msgspec.json.decode(stored.value, type=Record)
     except msgspec.MsgspecError as error:
@@ -83,7 +83,7 @@
 
 
 def estimate_size(entries: Sequence[Entry]) -> int:
-    """Return about how many bytes entries take in the store."""
+    """Return the approximate size of entries in the store, in bytes."""
     return sum(
         len(each.payload) * 4 // 3 + _ENTRY_OVERHEAD_BYTES for each in entries
     )
--- a/guavagate/partitions/_record_writer.py
+++ b/guavagate/partitions/_record_writer.py
@@ -1,4 +1,4 @@
-"""One partition's record as this instance knows it: read, replaced, settled."""
+"""Reads and conditionally replaces the record of one partition."""
 
 import logging
 from collections.abc import Callable, Sequence
@@ -23,12 +23,12 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Each write of the record carries the tail again: at fifty writes a second
-# half of this each time is 13 Mbit/s, of the store's 1,000. What goes beyond
+# Every write of the record includes the tail. At fifty writes a second with a
+# half-full tail this takes 13 Mbit/s of the store's 1,000. A larger tail
 # becomes a segment.
 MAX_TAIL_BYTES: Final = 64_000
-# Entries since the copy, before another copy is written: at least so many
-# bytes, and as many as the copy has, so that copies cost as much as entries.
+# Minimum size of the entries between two snapshots. They must also be as large
+# as the last snapshot, so that snapshots cost no more than entries.
 MIN_SNAPSHOT_INTERVAL_BYTES: Final = 1_000_000
 RETRY_SECONDS: Final = 0.1
 _ABSENT: Final = Revision(0)
@@ -37,7 +37,7 @@
 class SupersededError(Exception):
     """Another instance has replaced the record.
 
-    `unsure` says that what was being written may have been in force before.
+    `unsure` means that this instance's write may have taken effect before.
     """
 
     def __init__(self, holder: InstanceId, *, unsure: bool) -> None:
@@ -52,7 +52,7 @@
     Parameters
     ----------
     make_id
-        Gives unique ids.
+        Returns a unique id.
     """
 
     def __init__(
@@ -75,14 +75,14 @@
         self.record = Record()
 
     def take_over(self, machine: StateMachine) -> None:
-        """Read all that is there into a machine and become the holder.
+        """Load the partition into a state machine and become its holder.
 
         Raises
         ------
         SupersededError
-            Another one changed the record meanwhile.
+            Another instance changed the record meanwhile.
         StoreError
-            The store gives no answer, or holds what is no record.
+            The store does not answer, or the object is not a record.
         """
         stored = self._store.get(self._path)
         if stored is not None:
@@ -95,15 +95,16 @@
             holder=self._me,
             epoch=Epoch(self.record.epoch + 1),
         )
-        # Without an answer it may be in force; the next try reads it then.
+        # A write without a response may have succeeded; the next attempt reads
+        # its result.
         self._write(record, unsure=False)
-        # Only the holder names blobs, and that is this instance now.
+        # Only the holder adds blobs, and this instance is now the holder.
         self._clock.spawn(self._blobs.delete_unreferenced, record.list_blobs())
 
     def add(self, entries: Sequence[Entry], machine: StateMachine) -> None:
-        """Add entries that the machine has applied already.
+        """Add entries that the state machine has already applied.
 
-        Returns when the store holds them. Raises `SupersededError`.
+        Returns once the store has accepted them. Raises `SupersededError`.
         """
         previous = self.record
         tail = (*previous.tail, *entries)
@@ -133,10 +134,10 @@
         )
 
     def _replace(self, record: Record) -> None:
-        """Write until it is known what became of it.
+        """Retry the write until its result is known.
 
-        The same conditional write again can't take effect twice, and its
-        conflict shows by the change id whether it had been ours.
+        Repeating the same conditional write can't take effect twice. On a
+        conflict, the change id shows whether the earlier attempt succeeded.
         """
         unsure = False
         while True:
@@ -164,7 +165,7 @@
     def _resolve_conflict(
         self, conflict: StoreConflictError, record: Record, *, unsure: bool
     ) -> Revision:
-        """Tell a write of ours whose answer was lost from another's."""
+        """Return the revision if the conflict is with our own earlier write."""
         found = conflict.current or self._read_newer()
         if found is None:
             raise SupersededError(InstanceId(''), unsure=unsure)
@@ -174,22 +175,24 @@
         raise SupersededError(current.holder, unsure=unsure)
 
     def _read_newer(self) -> StoredObject | None:
-        """Read the record that a write has met; an old copy won't do.
+        """Read the record that caused a conflict, ignoring stale reads.
 
-        Nothing is returned when someone has removed it.
+        Returns `None` if the record has been deleted.
         """
         while True:
             try:
                 found = self._store.get(self._path)
             except StoreUnavailableError as error:
-                _LOGGER.debug('%s is not read: %s', self._path, error)
+                _LOGGER.debug(
+                    'Reading %s failed, retrying: %s', self._path, error
+                )
             else:
                 if found is None or found.version > self._revision:
                     return found
             self._clock.sleep(RETRY_SECONDS)
 
     def _load_into(self, machine: StateMachine) -> None:
-        """Bring a machine to where the record is."""
+        """Load the state of the record into a state machine."""
         record = self.record
         try:
             self._blobs.load_all()
--- a/guavagate/partitions/_safeguards.py
+++ b/guavagate/partitions/_safeguards.py
@@ -1,4 +1,4 @@
-"""Switches that measurements use to show what each safeguard is for."""
+"""Switches that let measurements disable single safeguards."""
 
 import msgspec
 
@@ -9,16 +9,15 @@
     Parameters
     ----------
     conditional
-        A record is replaced only if it is still the one that was read.
+        Replace a record only if it is unchanged since it was read.
     durable_first
-        An answer waits until the store has taken its entry.
+        Reply to a command only after the store has accepted its entry.
     settle
-        A write whose answer was lost is tried again until it is known what
-        became of it.
+        Retry a write whose response was lost until its result is known.
     discard
-        An instance that another has gone on from forgets what it had applied.
+        Discard the local state when another instance takes over.
     deduplicate
-        A repeated command is applied once.
+        Apply a repeated command only once.
     """
 
     conditional: bool = True
--- a/guavagate/partitions/_state.py
+++ b/guavagate/partitions/_state.py
@@ -1,4 +1,4 @@
-"""What a partition holds and how it is asked."""
+"""Interfaces of partitions and of the states in them."""
 
 from typing import Protocol, TypeVar, runtime_checkable
 
@@ -7,20 +7,20 @@
 
 
 class Command(Message, frozen=True, kw_only=True):
-    """Something a partition's state is told; carries its own time.
+    """A command to a partition's state, with its own timestamp.
 
     Parameters
     ----------
     at
-        Wall-clock seconds at the one who issued it, so that it gives the
-        same whenever the record's entries are applied again.
+        Wall-clock seconds at the issuer. Applying the record's entries again
+        uses the same time and so gives the same result.
     """
 
     at: float
 
 
 class Outcome(Message, frozen=True, kw_only=True):
-    """What applying a command gave."""
+    """The result of applying a command."""
 
 
 Result = TypeVar('Result', bound=Outcome)
@@ -29,30 +29,30 @@
 class PartitionState(Protocol):
     """A deterministic part of a partition's state.
 
-    Applying the same commands in the same order gives the same state; nothing
-    in here reads a clock, draws a random number, raises or does I/O. Iterate
-    over dicts and lists only: the order of a set differs between processes.
+    Applying the same commands in the same order gives the same state, so an
+    implementation must not read a clock, draw random numbers, raise or do I/O.
+    Iterate over dicts and lists only: set order differs between processes.
     """
 
     def apply(self, command: Command) -> Outcome:
         """Apply one command and return its outcome."""
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the complete state."""
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state by a snapshot."""
+        """Replace the state with a snapshot."""
 
 
 @runtime_checkable
 class SupportsPreview(Protocol):
-    """A state some of whose commands need no entry in the record."""
+    """A state that can answer some commands without a record entry."""
 
     def preview(self, command: Command) -> Outcome | None:
-        """Return what a command gives that changes nothing, if it does not.
+        """Return the outcome of a command that changes nothing, else `None`.
 
-        Its outcome must do no harm if another instance has meanwhile gone on
-        from here, as "nothing yet" does none.
+        The outcome must be harmless even if another instance has taken over
+        meanwhile, for example "nothing yet".
         """
 
 
@@ -66,21 +66,21 @@
         outcome: type[Result],
         timeout: float,
     ) -> Result:
-        """Have the command applied, and held by the store.
+        """Apply the command and store it durably.
 
         Parameters
         ----------
         key
-            What decides the partition: an idempotency key, a run id.
+            Selects the partition, for example an idempotency key or a run id.
         timeout
-            Seconds, over all retries to a moved primary.
+            Seconds for all attempts, including those at another primary.
 
         Raises
         ------
         NotAppliedError
-            Certainly not applied, now or later.
+            The command is not applied and never will be.
         OutcomeUnknownError
-            May have been applied.
+            The command may have been applied.
         """
 
     def submit_here(
@@ -90,8 +90,8 @@
         command: Command,
         outcome: type[Result],
     ) -> Result:
-        """Have it applied by this instance in this epoch, or not at all.
+        """Apply the command here in this epoch, or not at all.
 
-        What the store takes then proves that no other instance has gone on
-        from here. Raises as `submit` does.
+        A successful write proves that no other instance has taken over the
+        partition. Raises the same errors as `submit`.
         """
--- a/guavagate/partitions/_state_machine.py
+++ b/guavagate/partitions/_state_machine.py
@@ -1,6 +1,6 @@
-"""The state of one partition, and what its commands gave.
+"""The state machine of one partition, with the outcomes of its commands.
 
-Nothing in here does I/O.
+Nothing in this module does I/O.
 """
 
 from collections.abc import Iterable, Mapping
@@ -19,7 +19,7 @@
 
 
 class AppliedCommand(msgspec.Struct, frozen=True, array_like=True):
-    """What a command gave, kept to answer its repeats."""
+    """The outcome of a command, stored to answer its repeats."""
 
     command_id: str
     outcome: bytes
@@ -27,7 +27,7 @@
 
 
 class _Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """All that makes two copies equal."""
+    """The complete state of a state machine."""
 
     states: tuple[bytes, ...]
     applied: tuple[AppliedCommand, ...]
@@ -35,7 +35,7 @@
 
 
 class StateMachine:
-    """Applies entries in order."""
+    """Applies entries in order and stores their outcomes."""
 
     def __init__(self, states: States) -> None:
         self._kinds = {kind.__name__: kind for kind in states}
@@ -45,23 +45,23 @@
         self._horizon = float('-inf')
 
     def find_state(self, command: type[Command]) -> PartitionState:
-        """Return the state that takes a command."""
+        """Return the state that handles a command."""
         return self._states[command]
 
     def find_applied(self, command: str) -> AppliedCommand | None:
-        """Return what a command gave, if it has been applied."""
+        """Return the stored outcome of a command, if any."""
         return self._applied.get(command)
 
     def may_have_forgotten(self, at: float) -> bool:
-        """Say whether a command of that time may have been dropped."""
+        """Return whether an outcome from that time may have been dropped."""
         return at <= self._horizon
 
     def is_registered(self, kind: str) -> bool:
-        """Say whether a command's kind is registered."""
+        """Return whether a state handles this kind of command."""
         return kind in self._kinds
 
     def preview(self, entry: Entry) -> bytes | None:
-        """Return the outcome of an entry that the record need not hold."""
+        """Return the outcome of an entry that needs no record, else `None`."""
         kind = self._kinds[entry.kind]
         state = self._states[kind]
         if not isinstance(state, SupportsPreview):
@@ -71,7 +71,7 @@
         return None if outcome is None else msgspec.msgpack.encode(outcome)
 
     def apply(self, entry: Entry) -> AppliedCommand:
-        """Apply an entry."""
+        """Apply an entry and store its outcome."""
         kind = self._kinds[entry.kind]
         command = msgspec.msgpack.decode(entry.payload, type=kind)
         outcome = msgspec.msgpack.encode(self._states[kind].apply(command))
@@ -80,23 +80,23 @@
         return applied
 
     def apply_all(self, entries: Iterable[Entry]) -> None:
-        """Apply entries as the record holds them.
+        """Apply entries from the record.
 
         Raises
         ------
         StoreError
-            One is of a kind that only a later release knows.
+            An entry has a kind that only a later release supports.
         """
         for entry in entries:
             if not self.is_registered(entry.kind):
                 raise StoreError(
-                    f'the record holds {entry.kind}, unknown to this release',
+                    f'{entry.kind} in the record is unknown to this release',
                     'stop this instance, or run the release that wrote it',
                 )
             self.apply(entry)
 
     def snapshot(self) -> bytes:
-        """Return all that makes another machine equal to this one."""
+        """Return the complete state."""
         states = tuple(
             state.snapshot() for state in self._list_distinct_states()
         )
@@ -104,7 +104,7 @@
         return msgspec.msgpack.encode(_Snapshot(states, applied, self._horizon))
 
     def restore(self, raw: bytes) -> None:
-        """Become equal to the machine that gave a snapshot."""
+        """Replace the complete state with a snapshot."""
         snapshot = msgspec.msgpack.decode(raw, type=_Snapshot)
         pairs = zip(self._list_distinct_states(), snapshot.states, strict=True)
         for state, part in pairs:
@@ -116,12 +116,12 @@
         self._horizon = snapshot.horizon
 
     def _list_distinct_states(self) -> list[PartitionState]:
-        """Return each state once, in the order of registration."""
+        """Return each state once, in registration order."""
         found = {id(state): state for state in self._states.values()}
         return list(found.values())
 
     def _store_outcome(self, applied: AppliedCommand) -> None:
-        """Keep an outcome; raise the horizon by what is dropped for it."""
+        """Store an outcome; drop the oldest ones and advance the horizon."""
         self._applied[applied.command_id] = applied
         self._applied_bytes += len(applied.outcome)
         while (
--- a/guavagate/partitions/_stored.py
+++ b/guavagate/partitions/_stored.py
@@ -1,4 +1,4 @@
-"""Partitions over the runtime: routes commands to their primaries."""
+"""Routes commands to the primaries of partitions in the store."""
 
 import random
 from typing import Final
@@ -25,12 +25,12 @@
 from guavagate.partitions._state import Command, PartitionState, Result
 from guavagate.runtime import Runtime
 
-# A command asked of a primary that has just died is asked again after this,
-# so that it meets the next one soon; being applied once is sure all the same.
+# Maximum duration of one attempt. A short limit lets a command to a dead
+# primary reach the next one soon; command ids prevent a second application.
 _ATTEMPT_SECONDS: Final = 0.4
 _RETRY_SECONDS: Final = 0.05
-# Instances that differ on who lives may point at each other; after so many
-# tries each further one waits a little.
+# Instances with different member lists may redirect to each other in a loop,
+# so each attempt after this many is delayed.
 _MAX_IMMEDIATE_REDIRECTS: Final = 2
 _STOP_LIMIT_SECONDS: Final = 10.0
 _FINAL_VERDICTS: Final = frozenset(
@@ -39,24 +39,25 @@
 
 
 class OwnedPartition(msgspec.Struct, frozen=True):
-    """A partition that an instance decides, for operators."""
+    """A partition that an instance leads, as reported to operators."""
 
     partition: PartitionId
     epoch: Epoch
 
 
 class StoredPartitions:
-    """Partitions whose records are in the store; `Partitions`.
+    """Partitions whose records are in the store; implements `Partitions`.
 
     Parameters
     ----------
     runtime
-        Its clock, bus, store and members are used.
+        Provides the clock, bus, store and members.
     make_states
-        Makes the states of one partition, by the commands they take; every
-        instance must register the same ones in the same order.
+        Returns the states of one partition by command type; every instance
+        must register the same states in the same order.
     partitions
-        Number of partitions; the same at every instance, for ever.
+        Number of partitions; must be the same at every instance and never
+        change.
     rng
         Source of jitter.
     """
@@ -88,15 +89,15 @@
         self._hints: dict[PartitionId, InstanceId] = {}
 
     def start(self) -> None:
-        """Answer peers and look after partitions, from now on."""
+        """Register message handlers and start to manage partitions."""
         self._host.register()
         self._members.subscribe(self._host.refresh_owners)
         self._context.clock.spawn(self._host.run)
 
     def stop(self, limit: float = _STOP_LIMIT_SECONDS) -> bool:
-        """Hand over what is decided here; say whether all of it was.
+        """Hand over all partitions; return whether all commands got a reply.
 
-        It goes on answering peers, since callers may still be routed here.
+        Message handlers stay active, as callers may still be routed here.
         """
         return self._host.hand_over_all(limit)
 
@@ -107,7 +108,7 @@
         outcome: type[Result],
         timeout: float,
     ) -> Result:
-        """Have the command applied, and held by the store."""
+        """Apply the command and store it durably."""
         entry = self._make_entry(command)
         partition = find_partition(key, self._partitions)
         end = self._context.clock.now() + timeout
@@ -121,13 +122,13 @@
         command: Command,
         outcome: type[Result],
     ) -> Result:
-        """Have it applied by this instance in this epoch, or not at all."""
+        """Apply the command here in this epoch, or not at all."""
         partition = find_partition(key, self._partitions)
         primary = self._host.primaries.get(partition)
         if primary is None or primary.epoch != epoch:
             raise NotAppliedError(
                 f'partition {partition} is not held here in epoch {epoch}',
-                'ask its present holder',
+                'send it to the current holder',
             )
         entry = self._make_entry(command)
         reply = primary.submit(entry, _ATTEMPT_SECONDS, repeated=False)
@@ -136,7 +137,7 @@
         return msgspec.msgpack.decode(raw, type=outcome)
 
     def list_owned(self) -> list[OwnedPartition]:
-        """Return the partitions whose primary this instance is."""
+        """Return the partitions that this instance leads."""
         return [
             OwnedPartition(partition, primary.epoch)
             for partition, primary in sorted(self._host.primaries.items())
@@ -146,10 +147,10 @@
     def list_states(
         self, command: type[Command]
     ) -> list[tuple[Epoch, PartitionState]]:
-        """Return the states that take a command, where this is the primary.
+        """Return the states that handle a command in partitions led here.
 
-        They hold what has been applied here, which the store may not hold
-        yet: good for planning work, not for answering anyone.
+        They may include changes that are not yet durable. Use them to plan
+        work, but not to reply to a requester.
         """
         return [
             (primary.epoch, primary.machine.find_state(command))
@@ -168,7 +169,7 @@
     def _submit(
         self, partition: PartitionId, entry: Entry, end: float
     ) -> bytes:
-        """Try until there is an outcome or the time is up."""
+        """Retry until there is a final reply or the time is up."""
         clock = self._context.clock
         maybe_applied = False
         attempts = 0
@@ -192,14 +193,14 @@
         if maybe_applied:
             raise _make_unknown_error()
         raise NotAppliedError(
-            f'partition {partition} has no primary that answers',
+            f'no primary of partition {partition} answers',
             'try again in a few seconds',
         )
 
     def _choose_target(
         self, partition: PartitionId, attempts: int
     ) -> InstanceId:
-        """Return who is said to hold a partition, or should by those alive."""
+        """Return the reported holder or else the expected owner."""
         hint = self._hints.pop(partition, None)
         if hint and attempts:
             return hint
@@ -211,7 +212,7 @@
         target: InstanceId,
         reply: SubmitReply | None,
     ) -> bool:
-        """Note who holds a partition now; say whether to ask at once."""
+        """Record the reported holder; return whether to retry at once."""
         if reply is None or reply.holder in {'', target}:
             return False
         if self._members.get(reply.holder) is None:
@@ -227,7 +228,7 @@
         repeated: bool,
         end: float,
     ) -> tuple[SubmitReply | None, bool]:
-        """Ask one instance; return whether it may have been applied."""
+        """Try one instance; also return whether the command may be applied."""
         request = Submit(
             partition=partition,
             entry=entry,
@@ -243,7 +244,7 @@
         return reply, reply.verdict in {Verdict.DONE, Verdict.UNKNOWN}
 
     def _request(self, target: InstanceId, request: Submit) -> SubmitReply:
-        """Ask this instance or another."""
+        """Send the request to a peer or handle it here."""
         if target == self._context.me:
             return self._host.submit(request)
         return self._context.bus.request(
@@ -252,24 +253,24 @@
 
 
 def _get_outcome(reply: SubmitReply, maybe_applied: bool) -> bytes:
-    """Return the outcome of a final reply, or raise what it means."""
+    """Return the outcome of a final reply or raise the matching error."""
     if reply.verdict is Verdict.DONE:
         return reply.outcome
     if reply.verdict is Verdict.FORGOTTEN or maybe_applied:
         raise _make_unknown_error()
-    remedy = 'check releases and clocks of the instances'
+    remedy = 'check the releases and clocks of the instances'
     if reply.verdict is Verdict.REFUSED:
         remedy = 'try again when the object API answers'
     raise NotAppliedError(reply.problem, remedy)
 
 
 def _make_unknown_error() -> OutcomeUnknownError:
-    """Make the error of a command that may have been applied."""
+    """Return the error for a command that may have been applied."""
     return OutcomeUnknownError(
-        'the partition gave no outcome in time', 'ask again with the same key'
+        'the partition gave no outcome in time', 'retry with the same key'
     )
 
 
 def _draw_id(rng: random.Random) -> str:
-    """Return an id that a seed replays."""
+    """Return an id that is reproducible from a seed."""
     return f'{rng.getrandbits(128):032x}'
--- a/guavagate/partitions/stored.py
+++ b/guavagate/partitions/stored.py
@@ -1,4 +1,4 @@
-"""The partitions kept in the store, apart since they need the runtime."""
+"""Partitions in the store; a separate module as they need the runtime."""
 
 from guavagate.partitions._record import find_partition
 from guavagate.partitions._safeguards import Safeguards
--- a/tests/partitions/__init__.py
+++ b/tests/partitions/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the partitions that the store keeps."""
+"""Tests of partitions in the store."""
--- a/tests/partitions/test_record_writer.py
+++ b/tests/partitions/test_record_writer.py
@@ -1,4 +1,4 @@
-"""Records, segments and copies in the store, without a fleet."""
+"""Tests of records, segments and snapshots in the store, without a fleet."""
 
 import itertools
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class Bench:
-    """A partition in a store, and instances that take it."""
+    """A partition in a store, and instances that take it over."""
 
     def __init__(self) -> None:
         self.clock = PausedClock()
@@ -30,7 +30,7 @@
         self._ids = itertools.count()
 
     def run(self, act: Callable[..., Any], *args: Any) -> Any:
-        """Run something that waits, in virtual time; return what it gives."""
+        """Run a blocking call in virtual time and return its result."""
         task = self.clock.spawn(act, *args)
         self.clock.run_until(task.ready, 60)
         self.clock.advance(1)
@@ -53,7 +53,7 @@
     def add(
         self, writer: RecordWriter, machine: StateMachine, size: int = 0
     ) -> None:
-        """Add one entry whose payload has about so many bytes."""
+        """Add one entry with a payload of about `size` bytes."""
         filler = 'x' * size
         command = Add(at=0, key=f'{next(self._ids)}{filler}')
         entry = Entry(f'c{next(self._ids)}', 'Add', _encode(command), 1.5)
@@ -70,15 +70,15 @@
 
 
 def _encode(command: Add) -> bytes:
-    """Return a command as an entry holds it."""
+    """Encode a command as the payload of an entry."""
     return msgspec.msgpack.encode(command)
 
 
-def test_a_successor_reads_copy_segments_and_tail() -> None:
-    """The state is more than a record holds; another instance takes it.
+def test_a_successor_reads_snapshot_segments_and_tail() -> None:
+    """A successor restores a state that is too large for the record.
 
-    Entries went from the tail into segments, and those into a copy of several
-    parts. Read together they give the state to the last entry.
+    Entries move from the tail into segments, and those into a snapshot of
+    several parts. Together they give the state up to the last entry.
     """
     bench = Bench()
     writer, machine = bench.take()
@@ -93,11 +93,12 @@
     assert copy.snapshot() == machine.snapshot()
 
 
-def test_what_no_record_names_is_deleted() -> None:
-    """A copy replaces segments and the copy before; a dead writer left one.
+def test_unreferenced_blobs_are_deleted() -> None:
+    """Blobs that the record no longer references are removed.
 
-    Nothing in the store expires by itself: without deleting, each copy would
-    stay for ever.
+    A snapshot replaces the segments and the previous snapshot, and a killed
+    writer leaves a blob behind. Objects in the store do not expire, so without
+    deletion they would accumulate.
     """
     bench = Bench()
     writer, machine = bench.take()
@@ -114,8 +115,8 @@
     assert sorted(bench.blobs()) == sorted(named)
 
 
-def test_the_one_that_was_taken_over_is_refused() -> None:
-    """Two instances both hold a record; only the later one may add to it."""
+def test_a_superseded_holder_is_refused() -> None:
+    """Two instances act as holder; only the later one may add entries."""
     bench = Bench()
     first, machine = bench.take('a')
     second, other = bench.take('b')
@@ -125,8 +126,8 @@
     assert second.record.epoch == 2
 
 
-def test_a_lost_answer_is_settled_by_the_change_id() -> None:
-    """The store took the write, its answer was lost; it is made once."""
+def test_a_lost_response_is_reconciled_by_the_change_id() -> None:
+    """The store applies a write once even if its response is lost."""
     bench = Bench()
     writer, machine = bench.take()
     bench.state.lose_next = 1
@@ -135,11 +136,11 @@
     assert copy.snapshot() == machine.snapshot()
 
 
-def test_an_object_that_is_no_record_is_not_written_over() -> None:
-    """Someone wrote over the record: it is refused with a remedy.
+def test_an_object_that_is_no_record_is_not_overwritten() -> None:
+    """A record overwritten by someone else is refused with a remedy.
 
-    Beginning anew would forget all keys and run non-idempotent requests
-    again.
+    Starting with an empty record would drop all keys and allow non-idempotent
+    requests to run again.
     """
     bench = Bench()
     bench.run(bench.store.put, 'partitions/7', b'not a record', 0)
@@ -148,13 +149,13 @@
     assert bench.state.objects['partitions/7'].value == b'not a record'
 
 
-def test_copies_cost_no_more_than_entries(
+def test_snapshots_cost_no_more_than_entries(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A state that grows by many small entries, as a step's samples do.
+    """A state grows by many small entries, as with the samples of a step.
 
-    Were a copy written each time the record is full, each would be as large
-    as all before it, and a step of 30 MB would write gigabytes.
+    With a snapshot each time the record is full, every snapshot would contain
+    all earlier data, and a step of 30 MB would write gigabytes.
     """
     monkeypatch.setattr(record_writer, 'MAX_TAIL_BYTES', 2_000)
     monkeypatch.setattr(record_writer, 'MIN_SNAPSHOT_INTERVAL_BYTES', 10_000)
@@ -171,10 +172,10 @@
 
 
 def test_an_entry_of_a_later_release_is_not_skipped() -> None:
-    """A newer instance wrote a command that this one does not know.
+    """The record contains a command that only a newer release supports.
 
-    Without it the state would be another one; this instance leaves the
-    partition to those that know.
+    Skipping it would give a different state, so an instance of the older
+    release does not take over the partition.
     """
     bench = Bench()
     writer, machine = bench.take()
--- a/tests/partitions/test_stored.py
+++ b/tests/partitions/test_stored.py
@@ -1,4 +1,4 @@
-"""Partitions of a small fleet under failures, as those who submit see it."""
+"""Partitions of a small fleet under failures, as seen by submitters."""
 
 import pytest
 
@@ -10,14 +10,14 @@
 
 
 def _ready(names: str = 'abc', seed: int = 0) -> Fleet:
-    """Return a fleet whose partition is held."""
+    """Return a fleet whose partition has a primary."""
     fleet = Fleet(names, seed)
     fleet.clock.advance(5)
     return fleet
 
 
-def test_commands_are_applied_once_wherever_they_are_sent() -> None:
-    """Each instance routes to the same primary."""
+def test_commands_are_applied_once_from_every_instance() -> None:
+    """Each instance routes commands to the same primary."""
     fleet = _ready()
     assert fleet.total('a') == 0
     for name in 'abc':
@@ -26,11 +26,11 @@
     assert len(fleet.primaries()) == 1
 
 
-def test_a_killed_primary_is_taken_over_with_all_that_was_answered() -> None:
-    """The caller's command waits, then gets its answer from another.
+def test_answered_commands_survive_the_death_of_the_primary() -> None:
+    """A pending command gets its reply from the next primary.
 
-    The primary dies; members notice after two seconds; the next one reads
-    the record, and no answered command is missing.
+    The primary dies, and members detect it after two seconds. The next primary
+    reads the record, and no answered command is missing.
     """
     fleet = _ready()
     for _ in range(5):
@@ -47,10 +47,10 @@
 
 
 def test_all_instances_lose_power_and_nothing_answered_is_gone() -> None:
-    """Every instance is killed at once, right after an answer.
+    """Every instance is killed at once, right after a reply.
 
-    None of them has a disk. Started again with empty memories, they know
-    what was answered, as the store held it before the caller was told.
+    No instance has a disk. After a restart with empty memory they still know
+    the answered command, because the store had it before the reply.
     """
     fleet = _ready()
     task = fleet.add('a')
@@ -65,11 +65,12 @@
     assert fleet.total('b') == 1
 
 
-def test_a_paused_primary_answers_nothing_when_it_wakes() -> None:
-    """A command that reaches it after its pause is done once, by another.
+def test_a_resumed_primary_does_not_apply_commands() -> None:
+    """A command to a primary that was paused is applied once, by another.
 
-    Others have gone on with the partition. It still believes that it decides;
-    the store refuses its write, as the record is not the one it knows.
+    Another instance has taken over the partition meanwhile. The resumed one
+    still acts as primary, but the store refuses its write because the record
+    has changed.
     """
     fleet = _ready()
     fleet.clock.run_until(fleet.add('a').ready)
@@ -85,12 +86,12 @@
     assert fleet.total(other, timeout=8) == 2
 
 
-def test_an_outage_refuses_at_once_and_what_was_under_way_is_settled() -> None:
+def test_an_outage_refuses_at_once_and_reconciles_pending_writes() -> None:
     """The store goes down under load and comes back after ten seconds.
 
-    A command whose write got no answer is told to be unknown, as the write
-    may be made yet. Later ones are refused without waiting, truly not
-    applied. After the outage the first is there once and the others are not.
+    A command whose write got no response ends as unknown, as the write may
+    still succeed. Later commands are refused at once and not applied. After
+    the outage the first one is applied exactly once and the others are not.
     """
     fleet = _ready()
     primary = fleet.primary()
@@ -110,7 +111,7 @@
 
 
 def test_a_dead_primary_during_an_outage_refuses_until_it_ends() -> None:
-    """The refusal is certain: nothing was applied; afterwards all is there."""
+    """Refused commands are not applied; earlier ones survive the outage."""
     fleet = _ready()
     fleet.clock.run_until(fleet.add('a').ready)
     primary = fleet.primary()
@@ -127,7 +128,7 @@
 
 
 def test_a_planned_stop_leaves_no_gap() -> None:
-    """Commands sent all through the hand-over are answered quickly."""
+    """Commands sent throughout the hand-over are answered quickly."""
     fleet = _ready('abcd')
     primary = fleet.primary()
     other = next(name for name in 'abcd' if name != primary)
@@ -144,11 +145,11 @@
     assert fleet.total(other) == 20
 
 
-def test_two_that_lose_each_other_answer_nothing_twice() -> None:
-    """Each takes the other for dead and the partition for its own.
+def test_two_isolated_instances_answer_nothing_twice() -> None:
+    """Each instance considers the other dead and takes over the partition.
 
-    They take it from each other in turn. Additions asked of both are answered
-    by whoever holds the record, and each answer has a total of its own.
+    They take it from each other in turn. Additions sent to both are answered
+    by the current holder of the record, and each reply has a distinct total.
     """
     fleet = _ready('ab')
     members = fleet.world.members
@@ -167,11 +168,11 @@
     assert len(set(totals)) == len(totals)
 
 
-def test_a_write_made_late_counts_once() -> None:
-    """The store gives no answer, and makes the write seconds later.
+def test_a_delayed_write_counts_once() -> None:
+    """The store does not respond, and applies the write seconds later.
 
-    The primary has meanwhile tried it again under the same condition, so the
-    late one meets a newer record and changes nothing.
+    The primary has meanwhile retried it under the same condition, so the
+    delayed write conflicts with a newer record and changes nothing.
     """
     fleet = _ready()
     fleet.world.store.late = 1
@@ -185,11 +186,11 @@
 
 
 def test_a_burst_shares_writes() -> None:
-    """A hundred commands at once for one partition.
+    """A partition gets a hundred commands at once.
 
-    Each write has its price and takes some milliseconds; commands that come
-    while one is under way share the next, so that the last does not wait for
-    a hundred of them.
+    Each write adds cost and takes some milliseconds. Commands that arrive
+    during a write share the next one, so the last command does not wait for a
+    hundred writes.
     """
     fleet = _ready()
     before = len(fleet.world.store.writes)
@@ -202,23 +203,23 @@
 
 
 class _Fragile(Counters):
-    """Counters that fail at a negative addition, after changing something."""
+    """Counters that fail on a negative addition, after changing state."""
 
     def apply(self, command: Command) -> Outcome:
-        """Add, or fail half-way."""
+        """Add, then fail if the amount is negative."""
         outcome = super().apply(command)
         if isinstance(command, Add) and command.amount < 0:
             raise ValueError('negative')
         return outcome
 
 
-def test_a_command_that_fails_spoils_nothing(
+def test_a_failing_command_does_not_corrupt_the_partition(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A command runs into a fault of the code, in the middle of a change.
+    """A bug makes a command fail in the middle of a change.
 
-    Its caller is told that it was not applied. The partition forgets what was
-    half done, reads its record again, and goes on with what others ask.
+    Its submitter learns that it was not applied. The partition discards the
+    partial change, reads its record again and serves other commands.
     """
     monkeypatch.setattr(common, 'Counters', _Fragile)
     fleet = _ready()
@@ -229,11 +230,11 @@
     assert fleet.total('b') == 1
 
 
-def test_a_record_that_was_removed_is_begun_anew() -> None:
+def test_a_deleted_record_is_created_again() -> None:
     """An operator deletes the record of a partition that is in use.
 
-    Its primary is refused at its next write. It must not wait for a record
-    that never comes back.
+    The store refuses the primary's next write. The primary must not wait for
+    a record that never comes back.
     """
     fleet = _ready()
     fleet.clock.run_until(fleet.add('a').ready)
@@ -243,12 +244,12 @@
     assert task.get(block=False).total == 1
 
 
-def test_a_primary_that_was_gone_on_from_confirms_nothing() -> None:
-    """A paused primary wakes and wants to order a sampler at once.
+def test_a_superseded_primary_confirms_nothing() -> None:
+    """A resumed primary tries to give a sampler an order at once.
 
-    It asks the store to confirm that it still decides. Another has gone on
-    from its record, so the command is refused here and is not passed on to
-    the one that decides now: an order of the old one would be confirmed then.
+    It confirms with a write that it is still the primary. Another instance has
+    taken over, so the command is refused here and not forwarded to the current
+    primary, which would confirm an order of the old one.
     """
     fleet = _ready()
     primary = fleet.primary()
