--- a/guavagate/callers/__init__.py
+++ b/guavagate/callers/__init__.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface."""
+"""HTTP interface for callers."""
 
 import re
 
--- a/guavagate/callers/_completions.py
+++ b/guavagate/callers/_completions.py
@@ -1,4 +1,4 @@
-"""``/v1/completions`` and ``/v1/chat/completions``."""
+"""HTTP resources ``/v1/completions`` and ``/v1/chat/completions``."""
 
 import logging
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 from guavagate.auth import Authenticator
 from guavagate.callers import _render
 from guavagate.callers._idempotency import (
-    make_once_request,
+    make_keyed_request,
     read_idempotency_key,
     run_keyed,
 )
@@ -57,7 +57,7 @@
 
 
 class CompletionContext(msgspec.Struct, frozen=True, kw_only=True):
-    """What both routes work with."""
+    """The services that both routes use."""
 
     runtime: Runtime
     authenticator: Authenticator
@@ -68,8 +68,8 @@
     ledger: Ledger
 
 
-class _Ask(msgspec.Struct, frozen=True, kw_only=True):
-    """One parsed request, whatever route it came by."""
+class _CompletionRequest(msgspec.Struct, frozen=True, kw_only=True):
+    """A parsed request of either route."""
 
     model: DeploymentId
     prompt: str
@@ -84,17 +84,17 @@
 class CompletionsResource:
     """``POST /v1/completions``."""
 
-    def __init__(self, parts: CompletionContext) -> None:
-        self._parts = parts
+    def __init__(self, context: CompletionContext) -> None:
+        self._context = context
 
     def on_post(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
         """Answer a completion request."""
-        opened = _open(self._parts, request)
+        caller_request = _open_request(self._context, request)
         raw = read_body(request)
         body = decode_body(raw, CompletionBody)
-        ask = _Ask(
+        completion = _CompletionRequest(
             model=body.model,
             prompt=body.prompt,
             max_tokens=body.max_tokens,
@@ -104,24 +104,26 @@
             stream=body.stream,
             chat=False,
         )
-        answer_request(self._parts, request, response, opened, ask, raw)
+        answer_request(
+            self._context, request, response, caller_request, completion, raw
+        )
 
 
 class ChatResource:
     """``POST /v1/chat/completions``."""
 
-    def __init__(self, parts: CompletionContext) -> None:
-        self._parts = parts
+    def __init__(self, context: CompletionContext) -> None:
+        self._context = context
 
     def on_post(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
         """Answer a chat request."""
-        opened = _open(self._parts, request)
+        caller_request = _open_request(self._context, request)
         raw = read_body(request)
         body = decode_body(raw, ChatBody)
         limit = body.max_completion_tokens or body.max_tokens
-        ask = _Ask(
+        completion = _CompletionRequest(
             model=body.model,
             prompt=join_messages(body.messages),
             max_tokens=limit or DEFAULT_MAX_TOKENS,
@@ -131,81 +133,91 @@
             stream=body.stream,
             chat=True,
         )
-        answer_request(self._parts, request, response, opened, ask, raw)
+        answer_request(
+            self._context, request, response, caller_request, completion, raw
+        )
 
 
 def answer_request(
-    parts: CompletionContext,
+    context: CompletionContext,
     request: falcon.Request,
     response: falcon.Response,
-    opened: CallerRequest,
-    ask: _Ask,
+    caller_request: CallerRequest,
+    completion: _CompletionRequest,
     body: bytes,
 ) -> None:
-    """Answer a request, through the ledger when it carries a key.
+    """Answer a request, through the ledger if it has an idempotency key.
 
-    A generation may run again, so an outcome that the ledger can't tell is no
-    reason to refuse one. A stream is not kept: its key is not looked at.
+    A generation may be repeated, so it runs again when the ledger can't
+    determine the outcome. Streams are not stored; their keys are ignored.
     """
-    response.set_header(HEADER_REQUEST_ID, opened.id)
-    key = read_idempotency_key(request)
-    if ask.stream or not key:
-        _answer_ask(parts, opened, ask, response)
+    response.set_header(HEADER_REQUEST_ID, caller_request.id)
+    idempotency_key = read_idempotency_key(request)
+    if completion.stream or not idempotency_key:
+        _answer_unkeyed(context, caller_request, completion, response)
         return
-    clock = parts.runtime.clock
-    once = make_once_request(request, opened, key, body)
+    clock = context.runtime.clock
+    keyed_request = make_keyed_request(
+        request, caller_request, idempotency_key, body
+    )
     try:
         answer = run_keyed(
-            parts.ledger,
-            once,
-            lambda: _run_whole(parts, opened, ask),
-            opened.deadline - clock.now(),
+            context.ledger,
+            keyed_request,
+            lambda: _run_to_completion(context, caller_request, completion),
+            caller_request.deadline - clock.now(),
         )
     except RefusalError as refusal:
         if refusal.not_run is not NotRun.UNKNOWN:
             raise
-        answer = _run_whole(parts, opened, ask)
+        answer = _run_to_completion(context, caller_request, completion)
     _write_answer(response, answer)
 
 
-def _answer_ask(
-    parts: CompletionContext,
-    opened: CallerRequest,
-    ask: _Ask,
+def _answer_unkeyed(
+    context: CompletionContext,
+    caller_request: CallerRequest,
+    completion: _CompletionRequest,
     response: falcon.Response,
 ) -> None:
-    """Run a request and answer it, whole or as a stream."""
-    if not ask.stream:
-        _write_answer(response, _run_whole(parts, opened, ask))
+    """Run a request without the ledger; send one answer or a stream."""
+    if not completion.stream:
+        _write_answer(
+            response, _run_to_completion(context, caller_request, completion)
+        )
         return
     progress = Progress()
-    pieces = _start(parts, opened, ask, progress)
+    pieces = _start_generation(context, caller_request, completion, progress)
     try:
-        # The first piece is awaited before the status is sent, so that a
-        # refusal is a refusal and not a broken stream.
+        # Wait for the first piece before sending the status, so that a refusal
+        # has its own status and is not a broken stream.
         first = next(pieces)
     except RefusalError as refusal:
         write(
             _LOGGER,
             REQUEST_REFUSED,
-            request=opened.id,
+            request=caller_request.id,
             reason=refusal.reason,
             not_run=refusal.not_run.value,
         )
         raise
     response.set_header(HEADER_SAMPLER, ','.join(progress.samplers))
     response.content_type = 'text/event-stream'
-    style = _make_style(parts, opened, ask)
-    response.stream = _stream(opened, style, progress, first, pieces)
+    metadata = _make_metadata(context, caller_request, completion)
+    response.stream = _render_stream(
+        caller_request, metadata, progress, first, pieces
+    )
 
 
-def _run_whole(
-    parts: CompletionContext, opened: CallerRequest, ask: _Ask
+def _run_to_completion(
+    context: CompletionContext,
+    caller_request: CallerRequest,
+    completion: _CompletionRequest,
 ) -> Answer:
-    """Run a request to its end and return its answer."""
+    """Run a request to completion and return its answer."""
     progress = Progress()
-    exhaust(_start(parts, opened, ask, progress))
-    _log_answer(opened, progress)
+    exhaust(_start_generation(context, caller_request, completion, progress))
+    _log_answer(caller_request, progress)
     versions = ','.join(f'{version}' for version, _ in progress.versions)
     return Answer(
         status=200,
@@ -214,7 +226,9 @@
             (HEADER_VERSIONS, versions),
             (HEADER_SAMPLER, ','.join(progress.samplers)),
         ),
-        body=_render.render_complete(_make_style(parts, opened, ask), progress),
+        body=_render.render_complete(
+            _make_metadata(context, caller_request, completion), progress
+        ),
     )
 
 
@@ -225,116 +239,122 @@
     response.data = answer.body
 
 
-def _make_style(
-    parts: CompletionContext, opened: CallerRequest, ask: _Ask
+def _make_metadata(
+    context: CompletionContext,
+    caller_request: CallerRequest,
+    completion: _CompletionRequest,
 ) -> _render.AnswerMetadata:
     return _render.AnswerMetadata(
-        request_id=opened.id,
-        model=ask.model,
-        created=int(parts.runtime.clock.wall()),
-        chat=ask.chat,
+        request_id=caller_request.id,
+        model=completion.model,
+        created=int(context.runtime.clock.wall()),
+        chat=completion.chat,
     )
 
 
-def _open(parts: CompletionContext, request: falcon.Request) -> CallerRequest:
-    return open_request(request, parts.authenticator, parts.runtime.clock)
+def _open_request(
+    context: CompletionContext, request: falcon.Request
+) -> CallerRequest:
+    return open_request(request, context.authenticator, context.runtime.clock)
 
 
-def _start(
-    parts: CompletionContext,
-    opened: CallerRequest,
-    ask: _Ask,
+def _start_generation(
+    context: CompletionContext,
+    caller_request: CallerRequest,
+    completion: _CompletionRequest,
     progress: Progress,
 ) -> Iterator[Piece]:
-    team, deployment = _find_deployment(parts, opened, ask.model)
-    work = _describe(parts, opened, team, ask)
-    pool = parts.chooser.choose(
-        parts.queue_owner.specs(), team.team, deployment.id, work
+    team, deployment = _find_deployment(
+        context, caller_request, completion.model
+    )
+    work = _make_work(context, caller_request, team, completion)
+    pool = context.chooser.choose(
+        context.queue_owner.specs(), team.team, deployment.id, work
     )
     source = AnswerSource(
-        client=parts.permits,
-        engine=parts.engine,
+        client=context.permits,
+        engine=context.engine,
         pool=pool,
         token_timeout=parse_duration(deployment.token_timeout),
     )
     generation = Generation(
-        exchange=opened.id,
-        prompt=ask.prompt,
-        max_tokens=ask.max_tokens,
-        temperature=ask.temperature,
-        seed=ask.seed,
-        stop=ask.stops,
+        exchange=caller_request.id,
+        prompt=completion.prompt,
+        max_tokens=completion.max_tokens,
+        temperature=completion.temperature,
+        seed=completion.seed,
+        stop=completion.stops,
     )
     return stream_answer(source, work, generation, progress)
 
 
 def _find_deployment(
-    parts: CompletionContext,
-    opened: CallerRequest,
+    context: CompletionContext,
+    caller_request: CallerRequest,
     model: DeploymentId,
 ) -> tuple[TeamSettings, DeploymentSettings]:
-    team = parts.runtime.teams.get(opened.identity.team)
+    team = context.runtime.teams.get(caller_request.identity.team)
     if team is not None:
         for deployment in team.deployments:
             if deployment.id == model:
                 return team, deployment
     raise RefusalError(
-        f'model {model!r} is no deployment of your team',
+        f'model {model!r} is not a deployment of your team',
         'use the id of a deployment; `guavagate deployments` lists them',
         reason='unknown_deployment',
         status=404,
     )
 
 
-def _describe(
-    parts: CompletionContext,
-    opened: CallerRequest,
+def _make_work(
+    context: CompletionContext,
+    caller_request: CallerRequest,
     team: TeamSettings,
-    ask: _Ask,
+    completion: _CompletionRequest,
 ) -> Work:
-    caller = find_caller(team, opened.identity)
+    caller = find_caller(team, caller_request.identity)
     return Work(
-        id=opened.id,
+        id=caller_request.id,
         team=team.team,
-        caller=opened.identity.caller,
-        deadline=opened.deadline,
-        prefix_keys=hash_prefixes(ask.prompt),
-        prompt_tokens=estimate_tokens(ask.prompt),
-        expected_tokens=ask.max_tokens,
+        caller=caller_request.identity.caller,
+        deadline=caller_request.deadline,
+        prefix_keys=hash_prefixes(completion.prompt),
+        prompt_tokens=estimate_tokens(completion.prompt),
+        expected_tokens=completion.max_tokens,
         weight=caller.weight if caller else 1.0,
         team_weight=team.weight,
-        zone=parts.runtime.settings.availability_zone,
+        zone=context.runtime.settings.availability_zone,
     )
 
 
-def _stream(
-    opened: CallerRequest,
-    style: _render.AnswerMetadata,
+def _render_stream(
+    caller_request: CallerRequest,
+    metadata: _render.AnswerMetadata,
     progress: Progress,
     first: Piece,
     pieces: Iterator[Piece],
 ) -> Iterator[bytes]:
     try:
-        yield _render.render_event(style, first)
+        yield _render.render_event(metadata, first)
         for piece in pieces:
-            yield _render.render_event(style, piece)
-        yield _render.render_end(style, progress)
-        _log_answer(opened, progress)
+            yield _render.render_event(metadata, piece)
+        yield _render.render_end(metadata, progress)
+        _log_answer(caller_request, progress)
     except RefusalError as refusal:
-        # The status has been sent; the stream says so and lacks its terminal
-        # event, so that no caller takes the part for the whole.
+        # The status has already been sent. The stream ends with the error and
+        # without its terminal event, so that it isn't mistaken for complete.
         yield b'data: %b\n\n' % encode_refusal(refusal)
     finally:
         if progress.finish is None:
-            write(_LOGGER, CALLER_GONE, request=opened.id)
+            write(_LOGGER, CALLER_GONE, request=caller_request.id)
         pieces.close()  # type: ignore[attr-defined]
 
 
-def _log_answer(opened: CallerRequest, progress: Progress) -> None:
+def _log_answer(caller_request: CallerRequest, progress: Progress) -> None:
     write(
         _LOGGER,
         REQUEST_ANSWERED,
-        request=opened.id,
+        request=caller_request.id,
         samplers=progress.samplers,
         versions=progress.versions,
         tokens=progress.tokens,
--- a/guavagate/callers/_idempotency.py
+++ b/guavagate/callers/_idempotency.py
@@ -1,4 +1,4 @@
-"""Keyed requests through the ledger: run once, answered wherever they retry."""
+"""Idempotency keys: requests that run at most once over all instances."""
 
 import uuid
 from collections.abc import Callable
@@ -17,11 +17,11 @@
 )
 from guavagate.models import NotRun
 
-MAX_KEY: Final = 255
+MAX_KEY_LENGTH: Final = 255
 
 
 class _NotStarted(UpstreamNotStartedError):
-    """Carries a refusal that is certainly not run through the ledger."""
+    """Passes a refusal with `not_run` true through the ledger."""
 
     def __init__(self, refusal: RefusalError) -> None:
         super().__init__(refusal.problem, refusal.remedy)
@@ -34,7 +34,7 @@
 
 
 def read_idempotency_key(request: falcon.Request) -> str:
-    """Return the idempotency key, or an empty text.
+    """Return the idempotency key, or an empty string.
 
     Raises
     ------
@@ -42,26 +42,27 @@
         The key is too long.
     """
     key = request.get_header(HEADER_IDEMPOTENCY_KEY) or ''
-    if len(key) > MAX_KEY:
+    if len(key) > MAX_KEY_LENGTH:
         raise RefusalError(
             f'the {HEADER_IDEMPOTENCY_KEY} has {len(key)} characters',
-            f'use a key of at most {MAX_KEY} characters, such as a UUIDv7',
+            f'use a key of at most {MAX_KEY_LENGTH} characters, such as a'
+            ' UUIDv7',
             reason='bad_key',
             status=400,
         )
     return key
 
 
-def make_once_request(
+def make_keyed_request(
     request: falcon.Request,
-    opened: CallerRequest,
+    caller_request: CallerRequest,
     key: str,
     body: bytes,
 ) -> KeyedRequest:
-    """Return what the ledger knows a keyed request by."""
+    """Return the ledger's description of a request with a key."""
     return KeyedRequest(
-        team=opened.identity.team,
-        caller=opened.identity.caller,
+        team=caller_request.identity.team,
+        caller=caller_request.identity.caller,
         key=key,
         digest=digest_body(request.method, request.relative_uri, body),
     )
@@ -69,7 +70,7 @@
 
 def run_keyed(
     ledger: Ledger,
-    once: KeyedRequest,
+    keyed_request: KeyedRequest,
     run: Callable[[], Answer],
     timeout: float,
 ) -> Answer:
@@ -78,10 +79,11 @@
     Raises
     ------
     RefusalError
-        With `not_run` as far as the ledger and the upstream know.
+        The request was refused; `not_run` is what the ledger and the upstream
+        know about it.
     """
 
-    def run_or_say_not_started() -> Answer:
+    def run_or_raise_not_started() -> Answer:
         try:
             return run()
         except RefusalError as refusal:
@@ -90,6 +92,6 @@
             raise
 
     try:
-        return ledger.run_once(once, run_or_say_not_started, timeout)
-    except _NotStarted as carried:
-        raise carried.refusal from carried
+        return ledger.run_once(keyed_request, run_or_raise_not_started, timeout)
+    except _NotStarted as not_started:
+        raise not_started.refusal from not_started
--- a/guavagate/callers/_render.py
+++ b/guavagate/callers/_render.py
@@ -1,4 +1,4 @@
-"""Renders answers in OpenAI's shapes."""
+"""Renders answers in the format of OpenAI's API."""
 
 from typing import Final
 
@@ -21,7 +21,7 @@
 
 
 class AnswerMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """What all events of one answer share."""
+    """Fields common to all events of an answer."""
 
     request_id: RequestId
     model: DeploymentId
@@ -29,21 +29,21 @@
     chat: bool
 
 
-def render_complete(style: AnswerMetadata, progress: Progress) -> bytes:
-    """Return the body of a whole answer."""
-    if style.chat:
+def render_complete(metadata: AnswerMetadata, progress: Progress) -> bytes:
+    """Return the body of a complete answer."""
+    if metadata.chat:
         message = ChatMessage(role='assistant', content=progress.text)
         choice = Choice(index=0, message=message, finish_reason=progress.finish)
     else:
         choice = Choice(
             index=0, text=progress.text, finish_reason=progress.finish
         )
-    return _encode(_make_answer(style, choice, progress, whole=True))
+    return _encode(_make_answer(metadata, choice, progress, complete=True))
 
 
-def render_event(style: AnswerMetadata, piece: Piece) -> bytes:
+def render_event(metadata: AnswerMetadata, piece: Piece) -> bytes:
     """Return one event of a streamed answer."""
-    if style.chat:
+    if metadata.chat:
         choice = Choice(
             index=0,
             delta={'content': piece.text},
@@ -51,41 +51,44 @@
         )
     else:
         choice = Choice(index=0, text=piece.text, finish_reason=piece.finish)
-    return _frame(_make_answer(style, choice, None, whole=False))
+    return _format_event(_make_answer(metadata, choice, None, complete=False))
 
 
-def render_end(style: AnswerMetadata, progress: Progress) -> bytes:
-    """Return the last events: usage with provenance, then the terminal."""
-    return _frame(_make_answer(style, None, progress, whole=False)) + DONE
+def render_end(metadata: AnswerMetadata, progress: Progress) -> bytes:
+    """Return the last events: usage with provenance, then the terminal one."""
+    return (
+        _format_event(_make_answer(metadata, None, progress, complete=False))
+        + DONE
+    )
 
 
-def _frame(answer: Answer) -> bytes:
+def _format_event(answer: Answer) -> bytes:
     return b'data: %b\n\n' % _encode(answer)
 
 
 def _make_answer(
-    style: AnswerMetadata,
+    metadata: AnswerMetadata,
     choice: Choice | None,
     progress: Progress | None,
     *,
-    whole: bool,
+    complete: bool,
 ) -> Answer:
-    suffix = '' if whole else '.chunk'
-    kind = f'chat.completion{suffix}' if style.chat else 'text_completion'
+    suffix = '' if complete else '.chunk'
+    kind = f'chat.completion{suffix}' if metadata.chat else 'text_completion'
     usage = None
     provenance = None
     if progress is not None:
         usage = Usage(completion_tokens=progress.tokens)
         provenance = Provenance(
-            request_id=style.request_id,
+            request_id=metadata.request_id,
             samplers=tuple(progress.samplers),
             versions=tuple(progress.versions),
         )
     return Answer(
-        id=style.request_id,
+        id=metadata.request_id,
         object=kind,
-        created=style.created,
-        model=style.model,
+        created=metadata.created,
+        model=metadata.model,
         choices=() if choice is None else (choice,),
         usage=usage,
         guavagate=provenance,
--- a/guavagate/callers/_request.py
+++ b/guavagate/callers/_request.py
@@ -1,4 +1,4 @@
-"""What every caller's request has: identity, id, deadline."""
+"""Identity, id and deadline of a caller's request."""
 
 import uuid
 from typing import Final
@@ -14,13 +14,13 @@
 from guavagate.models import RequestId
 from guavagate.settings import CallerSettings, TeamSettings
 
-DEFAULT_DEADLINE: Final = 60.0
-MAX_DEADLINE: Final = 3600.0
-MAX_REQUEST_ID: Final = 128
+DEFAULT_DEADLINE_SECONDS: Final = 60.0
+MAX_DEADLINE_SECONDS: Final = 3600.0
+MAX_REQUEST_ID_LENGTH: Final = 128
 
 
 class CallerRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """An authenticated request; `deadline` is in the clock's seconds."""
+    """An authenticated request; `deadline` is a time of the clock."""
 
     id: RequestId
     identity: Identity
@@ -32,12 +32,12 @@
     authenticator: Authenticator,
     clock: Clock,
 ) -> CallerRequest:
-    """Authenticate a request, and give it an id and a deadline.
+    """Authenticate a request and assign its id and deadline.
 
     Raises
     ------
     RefusalError
-        The token is not known, or a header is malformed.
+        The token is unknown, or a header is malformed.
     """
     identity = authenticator.identify(request.get_header('Authorization'))
     request.env[ENV_TEAM] = identity.team
@@ -60,30 +60,32 @@
 
 
 def _read_id(request: falcon.Request) -> RequestId:
-    # A caller's own id is kept for its logs, but made unique: two requests
-    # under one id would share a permit, and get each other's answers.
-    own = (request.get_header(HEADER_REQUEST_ID) or '')[:MAX_REQUEST_ID]
+    # The caller's id is included for its logs but made unique: two requests
+    # with the same id would share a permit and get each other's answers.
+    caller_id = (request.get_header(HEADER_REQUEST_ID) or '')[
+        :MAX_REQUEST_ID_LENGTH
+    ]
     unique = uuid.uuid4().hex
-    return RequestId(f'{own}-{unique}' if own else f'req-{unique}')
+    return RequestId(f'{caller_id}-{unique}' if caller_id else f'req-{unique}')
 
 
 def _read_deadline(request: falcon.Request) -> float:
     text = request.get_header(HEADER_DEADLINE)
     if text is None:
-        return DEFAULT_DEADLINE
+        return DEFAULT_DEADLINE_SECONDS
     try:
         seconds = int(text) / 1000
     except (ValueError, OverflowError) as error:
-        raise _refuse_deadline(text) from error
-    if not 0 < seconds <= MAX_DEADLINE:
-        raise _refuse_deadline(text)
+        raise _make_deadline_refusal(text) from error
+    if not 0 < seconds <= MAX_DEADLINE_SECONDS:
+        raise _make_deadline_refusal(text)
     return seconds
 
 
-def _refuse_deadline(text: str) -> RefusalError:
+def _make_deadline_refusal(text: str) -> RefusalError:
     return RefusalError(
-        f'{HEADER_DEADLINE}: {text!r} is no usable deadline',
-        'give whole milliseconds from 1 to 3600000',
+        f'{HEADER_DEADLINE}: {text!r} is not a valid deadline',
+        'use an integer number of milliseconds from 1 to 3600000',
         reason='bad_deadline',
         status=400,
     )
--- a/guavagate/callers/_services.py
+++ b/guavagate/callers/_services.py
@@ -1,4 +1,4 @@
-"""``/v1/services/{service}/…``: plain services, all methods."""
+"""HTTP sink ``/v1/services/{service}/…``: calls to plain services."""
 
 import logging
 from typing import Final
@@ -9,7 +9,7 @@
 
 from guavagate.auth import Authenticator
 from guavagate.callers._idempotency import (
-    make_once_request,
+    make_keyed_request,
     read_idempotency_key,
     run_keyed,
 )
@@ -51,14 +51,14 @@
 _LOGGER = logging.getLogger(__name__)
 
 _PATH_SAFE: Final = "/:@!$&'()*+,;=~"
-# Not passed on: they concern this exchange alone, or are our callers' secret.
-_OWN_HEADERS = frozenset(
+# Not forwarded: they apply to this connection only, or are the caller's secret.
+_UNFORWARDED_HEADERS = frozenset(
     ('AUTHORIZATION', 'HOST', 'CONNECTION', 'CONTENT-LENGTH', 'EXPECT')
 )
 
 
 class ServiceContext(msgspec.Struct, frozen=True, kw_only=True):
-    """What the route works with."""
+    """The services that the route uses."""
 
     runtime: Runtime
     authenticator: Authenticator
@@ -68,95 +68,105 @@
 
 
 class ServiceCall(msgspec.Struct, frozen=True, kw_only=True):
-    """One call of a caller, before an upstream is chosen."""
+    """A caller's call before an upstream is chosen."""
 
-    opened: CallerRequest
+    caller_request: CallerRequest
     team: TeamSettings
     settings: ServiceSettings
     request: ServiceRequest
 
 
 class ServicesSink:
-    """All methods and paths below a service."""
+    """Handles all methods and paths below a service."""
 
-    def __init__(self, parts: ServiceContext) -> None:
-        self._parts = parts
+    def __init__(self, context: ServiceContext) -> None:
+        self._context = context
 
     def __call__(
         self, req: falcon.Request, resp: falcon.Response, **kwargs: str
     ) -> None:
-        """Answer one call with the upstream's whole answer."""
-        opened = open_request(
-            req, self._parts.authenticator, self._parts.runtime.clock
+        """Answer a call with the upstream's complete answer."""
+        caller_request = open_request(
+            req, self._context.authenticator, self._context.runtime.clock
+        )
+        team, settings = _find_service(
+            self._context, caller_request, kwargs['service']
         )
-        team, settings = _find_service(self._parts, opened, kwargs['service'])
         call = ServiceCall(
-            opened=opened,
+            caller_request=caller_request,
             team=team,
             settings=settings,
-            request=_read_call(req, opened, settings, kwargs['path']),
+            request=_make_service_request(
+                req, caller_request, settings, kwargs['path']
+            ),
         )
         answer = self._run(req, call)
         resp.status = answer.status
         for name, value in answer.headers:
             resp.append_header(name, value)
-        resp.set_header(HEADER_REQUEST_ID, opened.id)
+        resp.set_header(HEADER_REQUEST_ID, caller_request.id)
         resp.data = answer.body
 
     def _run(self, req: falcon.Request, call: ServiceCall) -> Answer:
-        """Run a call, through the ledger when a repeat must find it.
+        """Run a call, through the ledger if it is keyed and not repeatable.
 
-        What may be repeated needs no ledger. What may not, and has no key,
-        runs once since this entry sends it once; only its caller could
-        repeat it, and would be asking for a second run.
+        A repeatable call needs no ledger. A call that is not repeatable and has
+        no key runs at most once, since this entry sends it once; if its caller
+        repeats it, that is a request for a second run.
         """
-        parts = self._parts
+        context = self._context
         if call.request.repeatable or not call.request.key:
-            return run_call(parts, call)
-        once = make_once_request(
+            return run_call(context, call)
+        keyed_request = make_keyed_request(
             req,
-            call.opened,
+            call.caller_request,
             call.request.key,
             call.request.body,
         )
-        left = call.opened.deadline - parts.runtime.clock.now()
+        remaining = call.caller_request.deadline - context.runtime.clock.now()
         return run_keyed(
-            parts.ledger, once, lambda: run_call(parts, call), left
+            context.ledger,
+            keyed_request,
+            lambda: run_call(context, call),
+            remaining,
         )
 
 
-def run_call(parts: ServiceContext, call: ServiceCall) -> Answer:
-    """Run a call at most once if it may not be repeated.
+def run_call(context: ServiceContext, call: ServiceCall) -> Answer:
+    """Run a call; one that is not repeatable starts at most once.
 
     Raises
     ------
     RefusalError
-        No whole answer; `not_run` is true only when nothing can have started.
+        No complete answer; `not_run` is true only if nothing can have started.
     """
-    work = _describe(parts, call)
+    work = _make_work(context, call)
     pool = f'{call.team.team}/{call.settings.id}/0'
     failed: FailedAttempt | None = None
     started = False
-    number = 0
+    attempt = 0
     while True:
-        permit = _acquire(parts, pool, work, failed, started=started)
+        permit = _acquire(context, pool, work, failed, started=started)
         request = msgspec.structs.replace(
-            call.request, exchange=RequestId(f'{call.opened.id}.{number}')
+            call.request,
+            exchange=RequestId(f'{call.caller_request.id}.{attempt}'),
         )
         try:
-            return _exchange(parts, call, permit, request)
+            return _call_upstream(context, call, permit, request)
         except UpstreamNotStartedError as error:
             failed = describe_failure(permit, error)
         except UpstreamError as error:
             failed = describe_failure(permit, error)
             started = True
             if not call.request.repeatable:
-                raise _refuse_repeat(parts, permit, error) from error
-        number += 1
+                raise _end_with_unknown_outcome(
+                    context, permit, error
+                ) from error
+        attempt += 1
 
 
 def _acquire(
-    parts: ServiceContext,
+    context: ServiceContext,
     pool: str,
     work: Work,
     failed: FailedAttempt | None,
@@ -164,55 +174,55 @@
     started: bool,
 ) -> Permit:
     try:
-        return parts.permits.acquire(pool, work, failed)
+        return context.permits.acquire(pool, work, failed)
     except RefusalError as refusal:
         if started:
             refusal.not_run = NotRun.FALSE
         raise
 
 
-def _exchange(
-    parts: ServiceContext,
+def _call_upstream(
+    context: ServiceContext,
     call: ServiceCall,
     permit: Permit,
     request: ServiceRequest,
 ) -> Answer:
-    clock = parts.runtime.clock
-    begun = clock.now()
-    left = max(call.opened.deadline - begun, 0.001)
-    limit = min(parse_duration(call.settings.timeout), left)
+    clock = context.runtime.clock
+    started_at = clock.now()
+    remaining = max(call.caller_request.deadline - started_at, 0.001)
+    timeout = min(parse_duration(call.settings.timeout), remaining)
     try:
-        answer = parts.service.call(permit.address, request, limit)
+        answer = context.service.call(permit.address, request, timeout)
     except UpstreamError:
-        parts.permits.drop(permit)
+        context.permits.drop(permit)
         raise
     except BaseException:
-        parts.permits.release(permit, Release.CANCELLED)
+        context.permits.release(permit, Release.CANCELLED)
         raise
-    seconds = clock.now() - begun
-    parts.permits.release(permit, Release.DONE, tokens=1, seconds=seconds)
+    seconds = clock.now() - started_at
+    context.permits.release(permit, Release.DONE, tokens=1, seconds=seconds)
     write(
         _LOGGER,
         REQUEST_ANSWERED,
-        request=call.opened.id,
+        request=call.caller_request.id,
         samplers=[permit.upstream],
         status=answer.status,
     )
-    named = (HEADER_SAMPLER, str(permit.upstream))
+    sampler_header = (HEADER_SAMPLER, str(permit.upstream))
     return Answer(
         status=answer.status,
-        headers=(*answer.headers, named),
+        headers=(*answer.headers, sampler_header),
         body=answer.body,
     )
 
 
-def _refuse_repeat(
-    parts: ServiceContext, permit: Permit, error: UpstreamError
+def _end_with_unknown_outcome(
+    context: ServiceContext, permit: Permit, error: UpstreamError
 ) -> RefusalError:
-    parts.permits.release(permit, Release.FAILED)
+    context.permits.release(permit, Release.FAILED)
     return RefusalError(
-        f'the upstream gave no whole answer: {error.problem}',
-        'it may have run; ask the service before you send it again',
+        f'the upstream returned no complete answer: {error.problem}',
+        'the call may have run; check with the service before you repeat it',
         reason='outcome_unknown',
         status=502,
         not_run=NotRun.UNKNOWN,
@@ -220,26 +230,26 @@
 
 
 def _find_service(
-    parts: ServiceContext,
-    opened: CallerRequest,
+    context: ServiceContext,
+    caller_request: CallerRequest,
     service: str,
 ) -> tuple[TeamSettings, ServiceSettings]:
-    team = parts.runtime.teams.get(opened.identity.team)
+    team = context.runtime.teams.get(caller_request.identity.team)
     if team is not None:
         for settings in team.services:
             if settings.id == service:
                 return team, settings
     raise RefusalError(
-        f'{service!r} is no service of your team',
+        f'{service!r} is not a service of your team',
         'use the id of a service that your team declares',
         reason='unknown_service',
         status=404,
     )
 
 
-def _read_call(
+def _make_service_request(
     request: falcon.Request,
-    opened: CallerRequest,
+    caller_request: CallerRequest,
     settings: ServiceSettings,
     path: str,
 ) -> ServiceRequest:
@@ -247,13 +257,13 @@
     headers = tuple(
         (name.title(), value)
         for name, value in request.headers.items()
-        if name not in _OWN_HEADERS
+        if name not in _UNFORWARDED_HEADERS
     )
     return ServiceRequest(
-        exchange=opened.id,
+        exchange=caller_request.id,
         method=request.method,
-        # The server has decoded the path. A space or a line's end in it would
-        # break the upstream's request line in two.
+        # The server has decoded the path. A space or line break in it would
+        # split the upstream's request line.
         path=f'/{quote(path, safe=_PATH_SAFE)}{query}',
         headers=headers,
         body=read_body(request),
@@ -262,16 +272,16 @@
     )
 
 
-def _describe(parts: ServiceContext, call: ServiceCall) -> Work:
-    caller = find_caller(call.team, call.opened.identity)
+def _make_work(context: ServiceContext, call: ServiceCall) -> Work:
+    caller = find_caller(call.team, call.caller_request.identity)
     return Work(
-        id=call.opened.id,
+        id=call.caller_request.id,
         team=call.team.team,
-        caller=call.opened.identity.caller,
-        deadline=call.opened.deadline,
+        caller=call.caller_request.identity.caller,
+        deadline=call.caller_request.deadline,
         expected_tokens=1,
         idempotent=call.request.repeatable,
         weight=caller.weight if caller else 1.0,
         team_weight=call.team.weight,
-        zone=parts.runtime.settings.availability_zone,
+        zone=context.runtime.settings.availability_zone,
     )
--- a/guavagate/callers/_shapes.py
+++ b/guavagate/callers/_shapes.py
@@ -1,4 +1,4 @@
-"""OpenAI's published request and answer shapes, as far as they are served."""
+"""The supported subset of OpenAI's request and answer formats."""
 
 from typing import Annotated, Final
 
@@ -10,7 +10,7 @@
 MAX_TOKENS: Final = 131_072
 
 Tokens = Annotated[int, msgspec.Meta(ge=1, le=MAX_TOKENS)]
-# Wider integers have no place in the messages between instances.
+# Messages between instances can't encode wider integers.
 Seed = Annotated[int, msgspec.Meta(ge=-(2**63), le=2**63 - 1)]
 Temperature = Annotated[float, msgspec.Meta(ge=0, le=2)]
 
@@ -48,7 +48,7 @@
 
 
 class Provenance(msgspec.Struct, frozen=True, kw_only=True):
-    """Who made an answer: samplers in order, and tokens by version."""
+    """Origin of an answer: samplers in order, and tokens by version."""
 
     request_id: str
     samplers: tuple[str, ...]
@@ -56,13 +56,13 @@
 
 
 class Usage(msgspec.Struct, frozen=True, kw_only=True):
-    """Tokens of an answer."""
+    """Token count of an answer."""
 
     completion_tokens: int
 
 
 class Choice(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One choice of any of the four answer shapes."""
+    """One choice in any of the four answer formats."""
 
     index: int
     text: str | None = None
@@ -72,7 +72,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A whole answer, or one event of a stream."""
+    """A complete answer, or one event of a stream."""
 
     id: str
     object: str
@@ -84,13 +84,13 @@
 
 
 def list_stops(stop: str | list[str] | None) -> tuple[str, ...]:
-    """Return the stop texts of a request as a tuple."""
+    """Return the stop sequences of a request as a tuple."""
     if stop is None:
         return ()
     return (stop,) if isinstance(stop, str) else tuple(stop)
 
 
 def join_messages(messages: list[ChatMessage]) -> str:
-    """Return a chat as the one prompt that engines are given."""
+    """Return a chat as a single prompt for the engine."""
     turns = [f'<|{turn.role}|>\n{turn.content}\n' for turn in messages]
     return ''.join([*turns, '<|assistant|>\n'])
--- a/guavagate/trainers/__init__.py
+++ b/guavagate/trainers/__init__.py
@@ -1,4 +1,4 @@
-"""The trainers' HTTP interface."""
+"""HTTP interface for trainers."""
 
 import falcon
 
@@ -10,11 +10,11 @@
 )
 
 
-def add_routes(app: falcon.App, parts: TrainerContext) -> None:
+def add_routes(app: falcon.App, context: TrainerContext) -> None:
     """Add the trainers' routes."""
-    app.add_route('/v1/runs/{run}/versions', VersionsResource(parts))
-    app.add_route('/v1/runs/{run}/steps', StepsResource(parts))
-    app.add_route('/v1/runs/{run}/batches', BatchesResource(parts))
+    app.add_route('/v1/runs/{run}/versions', VersionsResource(context))
+    app.add_route('/v1/runs/{run}/steps', StepsResource(context))
+    app.add_route('/v1/runs/{run}/batches', BatchesResource(context))
 
 
 __all__ = ('TrainerContext', 'add_routes')
--- a/guavagate/trainers/_resources.py
+++ b/guavagate/trainers/_resources.py
@@ -1,4 +1,4 @@
-"""Versions, steps and batches."""
+"""HTTP resources for weight versions, steps and batches of runs."""
 
 import logging
 from typing import Annotated, Final
@@ -23,7 +23,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 MAX_STEP_SAMPLES: Final = 65_536
-MAX_WAIT: Final = 30.0
+MAX_WAIT_SECONDS: Final = 30.0
 
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 _encode = msgspec.json.Encoder().encode
@@ -40,7 +40,7 @@
 
 
 class StepBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of a submitted step."""
+    """The request body of a submitted step."""
 
     step_id: _Name
     deployment: str | None = None
@@ -48,22 +48,22 @@
 
 
 class VersionBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of a published version."""
+    """The request body of a published version."""
 
     version: Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 
 
 class BatchBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of a pull."""
+    """The request body of a pull."""
 
     cursor: str | None = None
     consumer: _Name | None = None
     max_samples: Annotated[int, msgspec.Meta(ge=1, le=65_536)] = 256
-    wait_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_WAIT)] = 0
+    wait_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_WAIT_SECONDS)] = 0
 
 
 class TrainerContext(msgspec.Struct, frozen=True, kw_only=True):
-    """What the routes work with."""
+    """The services that the routes use."""
 
     runtime: Runtime
     authenticator: Authenticator
@@ -73,17 +73,17 @@
 class VersionsResource:
     """``POST /v1/runs/{run}/versions``."""
 
-    def __init__(self, parts: TrainerContext) -> None:
-        self._parts = parts
+    def __init__(self, context: TrainerContext) -> None:
+        self._context = context
 
     def on_post(
         self, request: falcon.Request, response: falcon.Response, run: str
     ) -> None:
         """Record a published version."""
-        address, _ = _find_run(self._parts, request, run)
+        address, _ = _find_run(self._context, request, run)
         body = decode_body(read_body(request), VersionBody)
         version = WeightVersion(body.version)
-        outcome = self._parts.runs.publish(address, version)
+        outcome = self._context.runs.publish(address, version)
         write(_LOGGER, VERSION_PUBLISHED, run=run, version=version)
         response.data = _encode(
             {'verdict': outcome.verdict, 'newest': outcome.newest}
@@ -93,17 +93,17 @@
 class StepsResource:
     """``POST /v1/runs/{run}/steps``."""
 
-    def __init__(self, parts: TrainerContext) -> None:
-        self._parts = parts
+    def __init__(self, context: TrainerContext) -> None:
+        self._context = context
 
     def on_post(
         self, request: falcon.Request, response: falcon.Response, run: str
     ) -> None:
-        """Submit a step; the same step again is harmless."""
-        address, deployment = _find_run(self._parts, request, run)
+        """Submit a step; the call is idempotent."""
+        address, deployment = _find_run(self._context, request, run)
         body = decode_body(read_body(request), StepBody)
         _check_step(body, deployment)
-        outcome = self._parts.runs.submit_step(
+        outcome = self._context.runs.submit_step(
             address,
             body.step_id,
             tuple(_make_group(group) for group in body.groups),
@@ -118,17 +118,17 @@
 class BatchesResource:
     """``POST /v1/runs/{run}/batches``."""
 
-    def __init__(self, parts: TrainerContext) -> None:
-        self._parts = parts
+    def __init__(self, context: TrainerContext) -> None:
+        self._context = context
 
     def on_post(
         self, request: falcon.Request, response: falcon.Response, run: str
     ) -> None:
-        """Hand out what follows the trainer's cursor."""
-        address, _ = _find_run(self._parts, request, run)
+        """Return the batch that follows the trainer's cursor."""
+        address, _ = _find_run(self._context, request, run)
         body = decode_body(read_body(request), BatchBody)
-        cursor = _choose_cursor(self._parts, address, body)
-        batch = self._parts.runs.pull(
+        cursor = _choose_cursor(self._context, address, body)
+        batch = self._context.runs.pull(
             address, cursor, body.max_samples, body.wait_s
         )
         write(
@@ -143,11 +143,13 @@
 
 
 def _find_run(
-    parts: TrainerContext, request: falcon.Request, run: str
+    context: TrainerContext, request: falcon.Request, run: str
 ) -> tuple[RunAddress, DeploymentSettings]:
-    identity = parts.authenticator.identify(request.get_header('Authorization'))
+    identity = context.authenticator.identify(
+        request.get_header('Authorization')
+    )
     identity.require(Role.TRAINER)
-    return find_run(parts.runtime, identity, RunId(run))
+    return find_run(context.runtime, identity, RunId(run))
 
 
 def find_run(
@@ -158,7 +160,7 @@
     Raises
     ------
     RefusalError
-        No deployment of the team declares the run.
+        No deployment of the identity's team declares the run.
     """
     team = runtime.teams.get(identity.team)
     for deployment in team.deployments if team else ():
@@ -179,7 +181,7 @@
     if body.deployment not in {None, deployment.id}:
         raise RefusalError(
             f'the run belongs to deployment {deployment.id!r}',
-            f'name {deployment.id!r}, or leave the deployment out',
+            f'use {deployment.id!r}, or omit the deployment',
             reason='wrong_deployment',
             status=422,
         )
@@ -187,7 +189,7 @@
     if len(names) < len(body.groups):
         raise RefusalError(
             'two groups have the same group_id',
-            'give each group of a step its own group_id',
+            'use a unique group_id for each group of a step',
             reason='duplicate_group',
             status=422,
         )
@@ -212,17 +214,17 @@
 
 
 def _choose_cursor(
-    parts: TrainerContext, address: RunAddress, body: BatchBody
+    context: TrainerContext, address: RunAddress, body: BatchBody
 ) -> str:
-    """Return the cursor to pull with; a consumer's own is kept for it.
+    """Return the cursor to pull with, storing a named consumer's cursor.
 
-    A consumer without a cursor acknowledges by presenting, in its next pull,
-    the cursor of the batch it took; what it presents is kept first, so that
-    the consumer may forget it.
+    A named consumer acknowledges a batch by presenting its cursor in the next
+    pull. The cursor is stored before the pull, so that the consumer doesn't
+    have to keep it.
     """
     if body.consumer is None:
         return body.cursor or ''
-    return parts.runs.store_cursor(address, body.consumer, body.cursor or '')
+    return context.runs.store_cursor(address, body.consumer, body.cursor or '')
 
 
 def _render_batch(batch: Batch) -> dict[str, object]:
