--- a/guavagate/weights/_rollout.py
+++ b/guavagate/weights/_rollout.py
@@ -155,8 +155,8 @@
             task.join()
         for sampler in deployment.samplers:
             if rollout.read_next.get(sampler.id, now) <= now:
-                pause = rollout.get_report_interval(sampler.id)
-                rollout.read_next[sampler.id] = now + pause
+                interval = rollout.get_report_interval(sampler.id)
+                rollout.read_next[sampler.id] = now + interval
 
     def _read_report(
         self, rollout: DeploymentRollout, sampler: SamplerSettings
@@ -182,7 +182,7 @@
     def _may_order(
         self, rollout: DeploymentRollout, deployment: DeploymentSettings
     ) -> bool:
-        """Return whether orders of a former primary can no longer arrive."""
+        """Return whether no order of a former primary can take effect."""
         if deployment.fences_orders:
             return True
         primary_seconds = self._runtime.clock.now() - rollout.since
--- a/tests/test_model_engine.py
+++ b/tests/test_model_engine.py
@@ -20,23 +20,23 @@
 
 @pytest.fixture
 def server() -> Iterator[Server]:
-    """Start a fast engine."""
+    """Start an engine stand-in that generates quickly."""
     options = engine_standin.EngineOptions(token_s=0.001, report_lag_s=0)
-    running = serve(engine_standin.make_app(options))
-    yield running
-    running.stop()
+    standin = serve(engine_standin.make_app(options))
+    yield standin
+    standin.stop()
 
 
 @pytest.fixture
 def client() -> Iterator[HttpModelEngine]:
-    """Make the adapter."""
+    """Create the adapter under test."""
     adapter = HttpModelEngine(SystemClock())
     yield adapter
     adapter.close()
 
 
 def _set_faults(server: Server, body: bytes) -> None:
-    """Set the engine's faults."""
+    """Inject faults into the engine stand-in."""
     connections = Connections(SystemClock())
     answer = connections.send(
         server.address, 'POST', '/control/faults', body=body, timeout=_TIMEOUT
@@ -45,8 +45,8 @@
     answer.read()
 
 
-def _ask(exchange: str, **fields: int | str) -> Generation:
-    """Return a request for 40 tokens."""
+def _make_generation(exchange: str, **fields: int | str) -> Generation:
+    """Return a generation of 40 tokens."""
     return Generation(
         exchange=RequestId(exchange),
         prompt='draft a condition',
@@ -56,52 +56,54 @@
 
 
 def _generate(
-    client: HttpModelEngine, server: Server, wanted: Generation
+    client: HttpModelEngine, server: Server, generation: Generation
 ) -> str:
-    """Return the whole text of a generation."""
-    pieces = client.generate(server.address, wanted, _TIMEOUT)
+    """Return the complete text of a generation."""
+    pieces = client.generate(server.address, generation, _TIMEOUT)
     return ''.join(piece.text for piece in pieces)
 
 
-def test_a_stream_is_whole_and_resumes(
+def test_a_stream_completes_and_resumes(
     client: HttpModelEngine, server: Server
 ) -> None:
-    """A resumed exchange goes on at the next token."""
-    text = _generate(client, server, _ask('a'))
+    """A resumed generation continues with the next token."""
+    text = _generate(client, server, _make_generation('a'))
     assert not find_fault('draft a condition', text)
-    rest = _generate(client, server, _ask('b', resume_tokens=3))
+    rest = _generate(client, server, _make_generation('b', resume_tokens=3))
     assert rest == ''.join(f' {word}' for word in text.split()[3:])
 
 
-def test_a_swap_in_mid_stream_is_stated_piece_by_piece(
+def test_each_piece_names_its_version_across_a_swap(
     client: HttpModelEngine, server: Server
 ) -> None:
-    """Pieces before and after a swap name different versions."""
-    told = []
-    for piece in client.generate(server.address, _ask('a'), _TIMEOUT):
-        told.append((piece.version, count_versions(piece.text)[0][0]))
-        if len(told) == 3:
+    """Pieces before and after a swap in mid-stream name their own version."""
+    reported = []
+    for piece in client.generate(
+        server.address, _make_generation('a'), _TIMEOUT
+    ):
+        reported.append((piece.version, count_versions(piece.text)[0][0]))
+        if len(reported) == 3:
             order = EngineOrder(action='swap', version=2)  # type: ignore[arg-type]
             client.order(server.address, order, _TIMEOUT)
-    assert all(version == truth for version, truth in told)
-    assert {version for version, _ in told} == {1, 2}
+    assert all(version == actual for version, actual in reported)
+    assert {version for version, _ in reported} == {1, 2}
 
 
-def test_a_crossed_piece_is_dropped_and_the_gap_found(
+def test_a_crossed_piece_is_dropped_and_its_gap_detected(
     client: HttpModelEngine, server: Server
 ) -> None:
-    """Two streams whose pieces change places leave no gap in an answer.
+    """Two streams that swap pieces leave no gap in an answer.
 
-    The engine sends each one's pieces under the other's id. Both streams end
-    by their terminal events, yet both lack pieces: what a caller was given
-    before the gap must be the answer's start, so that a resume completes it.
+    The engine sends pieces of each stream under the other's id. Both end with
+    their terminal events, yet both lack pieces. What the caller received must
+    be the start of the answer without a gap, so that a resume completes it.
     """
     _set_faults(server, b'{"cross": 0.5}')
     received: dict[str, str] = {'a': '', 'b': ''}
 
     def collect(name: str) -> None:
-        wanted = _ask(name)
-        for piece in client.generate(server.address, wanted, _TIMEOUT):
+        generation = _make_generation(name)
+        for piece in client.generate(server.address, generation, _TIMEOUT):
             received[name] += piece.text
 
     tasks = [gevent.spawn(collect, name) for name in received]
@@ -112,25 +114,25 @@
         assert not find_fault('draft a condition', text)
 
 
-def test_a_stream_without_its_terminal_event_is_not_whole(
+def test_a_stream_without_its_terminal_event_is_incomplete(
     client: HttpModelEngine, server: Server
 ) -> None:
-    """The body ends cleanly, as after a crash behind a relay."""
+    """The response body ends cleanly, as after a crash behind a proxy."""
     _set_faults(server, b'{"cut": 1}')
     with pytest.raises(UpstreamError, match='terminal event'):
-        _generate(client, server, _ask('a'))
+        _generate(client, server, _make_generation('a'))
 
 
-def test_a_silent_stream_is_given_up_and_cancelled(
+def test_a_stalled_stream_times_out_and_is_cancelled(
     client: HttpModelEngine, server: Server
 ) -> None:
-    """The engine stalls after some tokens; its connection stays open.
+    """The engine stalls after some tokens while its connection stays open.
 
-    The time limit between two tokens ends the wait, whatever the whole answer
-    may take, and the engine is told to stop, so that its slot becomes free
-    once it goes on.
+    The timeout between two tokens ends the wait, regardless of the time limit
+    of the complete answer. The generation is cancelled, so that the engine
+    frees its slot once it continues.
     """
-    pieces = client.generate(server.address, _ask('a'), 0.3)
+    pieces = client.generate(server.address, _make_generation('a'), 0.3)
     next(pieces)
     _set_faults(server, b'{"stall": true}')
     with pytest.raises(UpstreamError, match='has sent nothing'):
@@ -141,41 +143,41 @@
             gevent.sleep(0.005)
 
 
-def test_a_stream_that_names_no_version_is_refused(
+def test_a_stream_without_a_version_is_refused(
     client: HttpModelEngine, server: Server
 ) -> None:
-    """A sample could not name the version that made it, so none is made."""
+    """A sample must name its version, so a stream without one is an error."""
     _set_faults(server, b'{"silent_versions": true}')
     with pytest.raises(UpstreamError, match='which version'):
-        _generate(client, server, _ask('a'))
+        _generate(client, server, _make_generation('a'))
 
 
-def test_only_what_has_not_started_says_so(
+def test_only_requests_that_did_not_start_are_reported_so(
     client: HttpModelEngine, server: Server
 ) -> None:
-    """A refusal is "not started"; a reset after the request is not.
+    """A refusal means "not started"; a reset after the request doesn't.
 
-    A leaving engine refuses before it starts, and a closed port takes no
-    byte. A crash resets the connection after the request has gone out: the
+    A leaving engine refuses before it starts, and a closed port receives no
+    byte. A crash resets the connection after the request was sent, so the
     engine may have run it.
     """
     _set_faults(server, b'{"leaving": true}')
     with pytest.raises(UpstreamNotStartedError):
-        _generate(client, server, _ask('a'))
+        _generate(client, server, _make_generation('a'))
     _set_faults(server, b'{"crash": true}')
     with pytest.raises(UpstreamError) as caught:
-        _generate(client, server, _ask('b'))
+        _generate(client, server, _make_generation('b'))
     assert not isinstance(caught.value, UpstreamNotStartedError)
     server.stop()
     with pytest.raises(UpstreamNotStartedError):
-        _generate(client, server, _ask('c'))
+        _generate(client, server, _make_generation('c'))
 
 
-def test_closing_the_iterator_cancels_upstream(
+def test_closing_the_iterator_cancels_the_generation(
     client: HttpModelEngine, server: Server
 ) -> None:
-    """The caller is gone after one piece: the engine's slot becomes free."""
-    pieces = client.generate(server.address, _ask('a'), _TIMEOUT)
+    """The caller disconnects after one piece; the engine frees its slot."""
+    pieces = client.generate(server.address, _make_generation('a'), _TIMEOUT)
     next(pieces)
     assert client.report(server.address, _TIMEOUT).running == 1
     pieces.close()  # type: ignore[attr-defined]
