--- a/guavagate/front/__init__.py
+++ b/guavagate/front/__init__.py
@@ -1,4 +1,4 @@
-"""What callers are told, whatever the calls look like on the wire."""
+"""Handlers of callers' and trainers' calls, independent of the wire format."""
 
 from guavagate.front._authenticator import KeyAuthenticator
 from guavagate.front._jobs import JobHandler
--- a/guavagate/front/_authenticator.py
+++ b/guavagate/front/_authenticator.py
@@ -1,4 +1,4 @@
-"""Lets callers in by their keys, and tells the others why not."""
+"""Authenticates callers by their keys and refuses all others."""
 
 import logging
 import math
@@ -27,17 +27,17 @@
     KeyState.MISSING: 'send one `Authorization: Bearer KEY` of your team',
     KeyState.UNKNOWN: 'the key is not known; ask for a key of your team',
 }
-# An instance that is cut off stays so for seconds; another one may well serve.
+# An isolated instance stays so for seconds, but another one can serve.
 UNPROVEN_RETRY_SECONDS: Final = 0.3
 
 
 class KeyAuthenticator:
-    """Judges callers' keys by the configuration in force.
+    """Checks callers' keys against the configuration in force.
 
     Parameters
     ----------
     proof_age
-        Returns how long ago that was surely the newest one, in seconds.
+        Returns how long ago the configuration was proven current, in seconds.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
     def authenticate(
         self, exchange: Exchange, request_id: str
     ) -> TeamId | None:
-        """Return whose request it is, or nothing once it was refused."""
+        """Return the team of a request, or `None` after refusing it."""
         verdict = check_key(
             self._routes.keys,
             exchange.get_header_values(_AUTHORIZATION),
@@ -64,49 +64,49 @@
         )
         if verdict.allowed:
             return verdict.team
-        self._deny(exchange, request_id, verdict)
+        self._refuse_key(exchange, request_id, verdict)
         return None
 
     def refuse_no_route(self, exchange: Exchange, request_id: str) -> None:
-        """Say that there is no route, if no newer configuration may have it.
+        """Answer 404, or 503 if a newer configuration may have the route.
 
-        Where nobody needs a key no proof is kept up for it, and by the time
-        within which a configuration is in force the word of this one will do.
+        Without keys no proof is maintained. The configuration here then counts
+        as current, as a new one is in force within its promised time.
         """
         proved = may_deny(self._proof_age(), self._bounds)
         if proved or not self._routes.keys.needed:
             send_text(exchange, 404, 'no route of the configuration matches')
             return
-        self._refuse(exchange, request_id)
+        self._refuse_unproven(exchange, request_id)
 
-    def _deny(
+    def _refuse_key(
         self, exchange: Exchange, request_id: str, verdict: KeyVerdict
     ) -> None:
         reason = verdict.state.value
         self._metrics.count(names.KEYS_DENIED, reason=reason)
         if verdict.state is KeyState.UNPROVEN:
-            self._refuse(exchange, request_id)
+            self._refuse_unproven(exchange, request_id)
             return
         write(
             _LOGGER,
             events.KEY_DENIED,
             request=request_id,
             reason=reason,
-            age=self._tell_age(),
+            age=self._round_age(),
         )
         send_text(exchange, 401, _DENIALS[verdict.state], _CHALLENGE)
 
-    def _refuse(self, exchange: Exchange, request_id: str) -> None:
+    def _refuse_unproven(self, exchange: Exchange, request_id: str) -> None:
         write(
             _LOGGER,
             events.REFUSED_UNPROVEN,
             request=request_id,
-            age=self._tell_age(),
+            age=self._round_age(),
         )
         reason = 'the configuration here may be an old one'
         refuse(exchange, reason, UNPROVEN_RETRY_SECONDS)
 
-    def _tell_age(self) -> float | None:
-        """Return the proof's age as it is logged; nothing without a proof."""
+    def _round_age(self) -> float | None:
+        """Return the age of the proof for the log; `None` without a proof."""
         age = self._proof_age()
         return round(age, 2) if math.isfinite(age) else None
--- a/guavagate/front/_jobs.py
+++ b/guavagate/front/_jobs.py
@@ -1,4 +1,4 @@
-"""Trainers' calls for jobs: accepted, read, ended."""
+"""Handles trainers' calls that accept, read and end jobs."""
 
 import logging
 from collections.abc import Callable
@@ -27,21 +27,21 @@
 _LOGGER: Final = logging.getLogger(__name__)
 _JSON: Final = (b'Content-Type', b'application/json')
 _OCTETS: Final = (b'Content-Type', b'application/octet-stream')
-# A trainer that is refused asks at another instance soon.
+# A refused trainer retries at another instance soon.
 JOB_RETRY_SECONDS: Final = 0.5
-UNSURE_RETRY_SECONDS: Final = 0.3
+UNKNOWN_RETRY_SECONDS: Final = 0.3
 ACCEPT_SECONDS: Final = 2.5
 END_SECONDS: Final = 2.5
 MAX_WAIT_SECONDS: Final = 1.0
 
 
 class JobHandler:
-    """Answers calls for jobs at any instance.
+    """Handles calls for jobs at any instance.
 
     Parameters
     ----------
     encode_page
-        Returns results as trainers read them.
+        Encodes a page of results for the trainer.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._encode_page = encode_page
 
     def accept(self, exchange: Exchange, job: Job) -> None:
-        """Keep a job, and answer once it is durable."""
+        """Store a job, and answer once it is durable."""
         try:
             new = self._job_store.accept(job, ACCEPT_SECONDS)
         except JobConflictError:
@@ -69,11 +69,11 @@
                 exchange, 409, 'the id is taken by another job; use a new one'
             )
         except (NotWrittenError, MaybeWrittenError) as error:
-            self._tell_not_accepted(exchange, job, error)
+            self._respond_not_accepted(exchange, job, error)
         else:
-            self._tell_accepted(exchange, job, new=new)
+            self._respond_accepted(exchange, job, new=new)
 
-    def _tell_accepted(
+    def _respond_accepted(
         self, exchange: Exchange, job: Job, *, new: bool
     ) -> None:
         self._reader.cache_job(job)
@@ -90,7 +90,7 @@
         )
         exchange.respond(202, [], b'')
 
-    def _tell_not_accepted(
+    def _respond_not_accepted(
         self, exchange: Exchange, job: Job, error: Exception
     ) -> None:
         if isinstance(error, MaybeWrittenError):
@@ -108,8 +108,8 @@
         wait: float,
         team: TeamId,
     ) -> None:
-        """Tell results from a position on; `wait` in seconds."""
-        known, page = self._reader.read(
+        """Answer with the results from a position on; `wait` in seconds."""
+        status, page = self._reader.read(
             self._routes.job_services(),
             job,
             after,
@@ -117,28 +117,28 @@
             team,
         )
         if page is None:
-            _tell_unknown(exchange, known)
+            _respond_not_found(exchange, status)
             return
         exchange.respond(200, [_JSON], self._encode_page(page))
 
     def read_item(
         self, exchange: Exchange, job: JobId, item: ItemId, team: TeamId
     ) -> None:
-        """Tell an item's body."""
-        known, body = self._reader.read_item(
+        """Answer with the body of an item."""
+        status, body = self._reader.read_item(
             self._routes.job_services(), job, item, team
         )
-        if known is not LookupStatus.FOUND:
-            _tell_unknown(exchange, known)
+        if status is not LookupStatus.FOUND:
+            _respond_not_found(exchange, status)
             return
         exchange.respond(200, [_OCTETS], body)
 
     def end(self, exchange: Exchange, job: JobId, team: TeamId) -> None:
         """End a job, and answer once that is durable."""
         services = self._routes.job_services()
-        known = self._reader.exists(services, job, team)
-        if known is not LookupStatus.FOUND:
-            _tell_unknown(exchange, known)
+        status = self._reader.exists(services, job, team)
+        if status is not LookupStatus.FOUND:
+            _respond_not_found(exchange, status)
             return
         try:
             self._job_store.end(job, END_SECONDS)
@@ -148,8 +148,8 @@
             exchange.respond(200, [], b'')
 
 
-def _tell_unknown(exchange: Exchange, known: LookupStatus) -> None:
-    if known is LookupStatus.MISSING:
+def _respond_not_found(exchange: Exchange, status: LookupStatus) -> None:
+    if status is LookupStatus.MISSING:
         send_text(exchange, 404, 'there is no such job or item')
         return
-    refuse(exchange, 'not known at the moment', UNSURE_RETRY_SECONDS)
+    refuse(exchange, 'not known at the moment', UNKNOWN_RETRY_SECONDS)
--- a/guavagate/front/_requests.py
+++ b/guavagate/front/_requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests that are passed on to upstreams."""
+"""Handles callers' requests that are forwarded to upstreams."""
 
 from collections.abc import Callable
 
@@ -22,13 +22,13 @@
 
 
 class RequestHandler:
-    """Passes requests on, answers their callers and counts them.
+    """Forwards requests, answers their callers and counts usage.
 
     Parameters
     ----------
     count_usage
-        Called with the team of a request that an upstream began to run, and
-        how many seconds ago that was.
+        Called with the team of a request that an upstream started to run and
+        the seconds since then.
     """
 
     def __init__(
@@ -48,8 +48,8 @@
     def forward(
         self, exchange: Exchange, call: Call, route: Route, service: ServiceId
     ) -> None:
-        """Pass one request on and answer it."""
-        outcome = self._pass_on(exchange, call, route, service)
+        """Forward one request and answer it."""
+        outcome = self._forward(exchange, call, route, service)
         now = self._clock.now()
         if outcome.began_at is not None:
             self._count_usage(call.team, now - outcome.began_at)
@@ -61,13 +61,13 @@
         if not exchange.started:
             send_outcome(exchange, outcome)
 
-    def _pass_on(
+    def _forward(
         self, exchange: Exchange, call: Call, route: Route, service: ServiceId
     ) -> Outcome:
         if route.kind is RouteKind.STREAM:
             return self._streams.forward(exchange, call, route, service)
-        ended: Queue = Queue()
-        exchange.on_disconnect(lambda: ended.put(None))
-        outcome = self._forwarder.forward(call, route, service, ended)
+        results: Queue = Queue()
+        exchange.on_disconnect(lambda: results.put(None))
+        outcome = self._forwarder.forward(call, route, service, results)
         exchange.on_disconnect(None)
         return outcome
--- a/guavagate/web/__init__.py
+++ b/guavagate/web/__init__.py
@@ -1,4 +1,4 @@
-"""The HTTP edge: server, bodies and error bodies, shared by all routes."""
+"""The HTTP server, request bodies and error bodies that all routes share."""
 
 from guavagate.web._active import ActiveRequests
 from guavagate.web._bodies import decode_body, read_body
--- a/guavagate/web/_active.py
+++ b/guavagate/web/_active.py
@@ -1,4 +1,4 @@
-"""Counts the requests being answered, streams included."""
+"""Counts the active requests, streams included."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
@@ -6,20 +6,23 @@
 from gevent.event import Event
 
 WsgiApp = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
-# Called at a request's start; what it returns, with the status at its end.
-Watch = Callable[[dict[str, Any]], Callable[[str], None]]
+# Called at the start of a request; the function that it returns is called with
+# the status at the end.
+RequestObserver = Callable[[dict[str, Any]], Callable[[str], None]]
 
 
 class ActiveRequests:
-    """Wraps an app; a planned stop waits until nothing is active.
+    """Wraps an app so that a planned stop can wait until no request is active.
 
-    While `closing`, each answer asks its caller to close the connection, so
-    that the balancer sends the next request elsewhere.
+    While `closing`, each answer asks its caller to close the connection. The
+    load balancer then sends the next request to another instance.
     """
 
-    def __init__(self, app: WsgiApp, watch: Watch | None = None) -> None:
+    def __init__(
+        self, app: WsgiApp, observer: RequestObserver | None = None
+    ) -> None:
         self._app = app
-        self._watch = watch or _watch_nothing
+        self._observer = observer or _ignore_request
         self.count = 0
         self.closing = False
         self._idle = Event()
@@ -28,7 +31,7 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterator[bytes]:
-        """Answer one request and count it until its last byte is written."""
+        """Answer a request and count it until its last byte is written."""
         self.count += 1
         self._idle.clear()
         try:
@@ -39,21 +42,21 @@
                 self._idle.set()
 
     def wait_idle(self) -> None:
-        """Block until no request is being answered."""
+        """Block until no request is active."""
         self._idle.wait()
 
     def _answer(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterator[bytes]:
-        end = self._watch(environ)
-        sent = ['']
+        end = self._observer(environ)
+        sent_status = ['']
 
         def start(
             status: str,
             headers: list[tuple[str, str]],
             *args: Any,
         ) -> Any:
-            sent[0] = status
+            sent_status[0] = status
             if self.closing:
                 headers = [*headers, ('Connection', 'close')]
             return start_response(status, headers, *args)
@@ -65,8 +68,8 @@
             close = getattr(body, 'close', None)
             if close is not None:
                 close()
-            end(sent[0])
+            end(sent_status[0])
 
 
-def _watch_nothing(environ: dict[str, Any]) -> Callable[[str], None]:
+def _ignore_request(environ: dict[str, Any]) -> Callable[[str], None]:
     return lambda status: None
--- a/guavagate/web/_bodies.py
+++ b/guavagate/web/_bodies.py
@@ -1,4 +1,4 @@
-"""Request bodies, checked at the edge."""
+"""Reads and validates request bodies."""
 
 from typing import Final, TypeVar
 
@@ -13,7 +13,7 @@
 
 
 def read_body(request: falcon.Request, limit: int = MAX_BODY) -> bytes:
-    """Return the whole body.
+    """Return the complete body.
 
     Raises
     ------
@@ -34,12 +34,12 @@
 
 
 def decode_body(body: bytes, kind: type[Body]) -> Body:
-    """Return a JSON body as a typed message.
+    """Return a JSON body decoded as a message type.
 
     Raises
     ------
     RefusalError
-        The body is no JSON, or a field is missing or has the wrong type.
+        The body is not JSON, or a field is missing or has the wrong type.
     """
     try:
         return msgspec.json.decode(body, type=kind)
@@ -65,7 +65,9 @@
     try:
         body: bytes = request.env['wsgi.input'].read(limit + 1)
     except OSError as error:
-        raise _refuse_cut('the chunked body is malformed or cut') from error
+        raise _make_cut_short_error(
+            'the chunked body is malformed or cut'
+        ) from error
     if len(body) > limit:
         raise RefusalError(
             f'the body has more than {limit} bytes',
@@ -77,21 +79,23 @@
 
 
 def _read_announced(request: falcon.Request, length: int) -> bytes:
-    """Return a body of announced length, or refuse a part of it.
+    """Return a body with a Content-Length, or refuse it if it is shorter.
 
-    A caller that dies while sending leaves a body that may still parse; run,
-    it would be a request that nobody sent in this form.
+    If a caller dies while sending, the incomplete body may still parse. It must
+    not run, as the caller never sent it in this form.
     """
     try:
         body = request.bounded_stream.read(length)
     except OSError as error:
-        raise _refuse_cut(f'the body has not {length} bytes') from error
+        raise _make_cut_short_error(
+            f'the body has not {length} bytes'
+        ) from error
     if len(body) < length:
-        raise _refuse_cut(f'the body ended after {len(body)} bytes')
+        raise _make_cut_short_error(f'the body ended after {len(body)} bytes')
     return body
 
 
-def _refuse_cut(problem: str) -> RefusalError:
+def _make_cut_short_error(problem: str) -> RefusalError:
     return RefusalError(
         problem,
         'send the whole body, or a correct Content-Length',
--- a/guavagate/web/_errors.py
+++ b/guavagate/web/_errors.py
@@ -1,4 +1,4 @@
-"""Error bodies: OpenAI's shape, with what guavagate promises beside it."""
+"""Error bodies: OpenAI's format with guavagate's fields added."""
 
 import logging
 import math
@@ -14,8 +14,8 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# The rest of such a body is still to come on the connection; kept open, its
-# bytes would be taken for the next request.
+# The rest of such a body may still arrive. If the connection stayed open, it
+# would be parsed as the next request.
 UNREAD_BODY: Final = frozenset(('body_cut_short', 'body_too_large'))
 
 
@@ -36,7 +36,7 @@
 
 
 def encode_refusal(refusal: RefusalError) -> bytes:
-    """Return the JSON body of a refusal."""
+    """Return a refusal as a JSON body."""
     kind = 'invalid_request_error' if refusal.status < 500 else 'server_error'
     detail = ErrorDetail(
         code=refusal.reason,
@@ -49,7 +49,7 @@
 
 
 def add_error_handlers(app: falcon.App) -> None:
-    """Answer every error with a refusal's body."""
+    """Add handlers that answer every error with an error body."""
     app.add_error_handler(RefusalError, _answer_refusal)
     app.add_error_handler(GuavagateError, _answer_guavagate)
     app.add_error_handler(falcon.HTTPError, _answer_falcon)
--- a/guavagate/web/_server.py
+++ b/guavagate/web/_server.py
@@ -1,4 +1,4 @@
-"""The WSGI server of an instance."""
+"""The WSGI server of an instance, with limits on its connections."""
 
 from typing import Any, Final
 
@@ -10,37 +10,37 @@
 from guavagate.exceptions import RefusalError
 from guavagate.web._errors import encode_refusal
 
-# A client that sends its headers a byte at a time holds a task and a socket;
-# a few thousand of them would use up the instance. Ten seconds is far beyond
-# what an honest client needs on the slowest of the brief's links.
+# Seconds. A client that sends its headers byte by byte occupies a task and a
+# socket; a few thousand of them would exhaust the instance. An ordinary client
+# needs far less on the slowest supported link.
 HEADER_TIMEOUT: Final = 10.0
-# An idle keep-alive connection may wait this long for its next request.
+# Seconds that an idle keep-alive connection may wait for its next request.
 IDLE_TIMEOUT: Final = 75.0
 MAX_CONNECTIONS: Final = 4096
 _STATUS_LINES: Final = {408: '408 Request Timeout'}
 
 
 class BoundedServer(WSGIServer):
-    """A server that says how long its connections may wait, in seconds."""
+    """A server with time limits for its connections, in seconds."""
 
     header_timeout = HEADER_TIMEOUT
     idle_timeout = IDLE_TIMEOUT
 
 
 class BoundedHandler(WSGIHandler):
-    """Closes a connection whose headers do not come in time."""
+    """Closes connections whose headers do not arrive in time."""
 
     def handle(self) -> None:
-        """Serve a connection without holding small writes back.
+        """Serve a connection with Nagle's algorithm disabled.
 
-        Otherwise a streamed event waits until the caller has acknowledged the
-        one before it, and callers delay that by up to 40 ms.
+        Otherwise a streamed event waits until the caller acknowledges the
+        previous one, and callers delay that by up to 40 ms.
         """
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         super().handle()
 
     def read_requestline(self) -> Any:
-        """Wait for the first byte of a request, then bound its headers."""
+        """Wait for a request line until the idle timeout."""
         with gevent.Timeout(self.server.idle_timeout, exception=False):
             return super().read_requestline()
         return ''
@@ -48,9 +48,9 @@
     def read_request(self, raw_requestline: str) -> Any:
         """Read the headers within the time limit, and check the framing."""
         with gevent.Timeout(self.server.header_timeout, exception=False):
-            read = super().read_request(raw_requestline)
+            result = super().read_request(raw_requestline)
             _check_framing(self.headers)
-            return read
+            return result
         raise RefusalError(
             'the headers did not come in time',
             'send all headers of a request at once',
@@ -59,10 +59,10 @@
         )
 
     def _handle_client_error(self, ex: Exception) -> tuple[str, bytes]:
-        """Return a refusal for what is no request at all."""
+        """Return a refusal for input that is not a valid request."""
         if isinstance(ex, RefusalError):
-            return _render(ex)
-        return _render(
+            return _encode_answer(ex)
+        return _encode_answer(
             RefusalError(
                 'the request line or a header is malformed',
                 'send a request as RFC 9112 has it',
@@ -75,7 +75,7 @@
 def make_server(
     app: Any, address: str, header_timeout: float = HEADER_TIMEOUT
 ) -> WSGIServer:
-    """Return a server for ``host:port``; port 0 takes a free one.
+    """Return a server for ``host:port``; port 0 selects a free port.
 
     Parameters
     ----------
@@ -95,10 +95,10 @@
 
 
 def _check_framing(headers: Any) -> None:
-    """Refuse a body whose end two readers may see at different places.
+    """Refuse a request whose body length is ambiguous.
 
-    The balancer and the server beneath us could then take the rest of one
-    caller's body for another caller's request.
+    The load balancer and the WSGI server could disagree where the body ends,
+    and parse the rest of it as another caller's request (request smuggling).
     """
     codings = headers.get_all('Transfer-Encoding') or []
     lengths = headers.get_all('Content-Length') or []
@@ -114,8 +114,8 @@
     )
 
 
-def _render(refusal: RefusalError) -> tuple[str, bytes]:
-    """Return a whole answer, after which the connection is closed."""
+def _encode_answer(refusal: RefusalError) -> tuple[str, bytes]:
+    """Return a complete answer, after which the connection is closed."""
     body = encode_refusal(refusal)
     line = _STATUS_LINES.get(refusal.status, '400 Bad Request')
     head = (
