--- a/guavagate/ledger/__init__.py
+++ b/guavagate/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""The request ledger: a keyed request runs at most once, over all entries."""
+"""The request ledger runs each keyed request at most once on all entries."""
 
 from guavagate.ledger._keys import digest_body
 from guavagate.ledger._ledger import KeyedRequest, Ledger
--- a/guavagate/ledger/_keys.py
+++ b/guavagate/ledger/_keys.py
@@ -1,10 +1,10 @@
-"""Idempotency keys: what tells two requests under one key apart."""
+"""Digests that detect different requests with the same idempotency key."""
 
 import xxhash
 
 
 def digest_body(method: str, path: str, body: bytes) -> str:
-    """Return what tells two different requests under one key apart."""
+    """Return a digest that differs for different requests."""
     digest = xxhash.xxh3_128(f'{method} {path}\n'.encode())
     digest.update(body)
     return digest.hexdigest()
--- a/guavagate/ledger/_ledger.py
+++ b/guavagate/ledger/_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger as entries use it: run a keyed request at most once."""
+"""Runs keyed requests at most once, for the entry that receives them."""
 
 import dataclasses
 from collections.abc import Callable
@@ -56,24 +56,24 @@
 
     @property
     def scope(self) -> str:
-        """Return what the ledger knows the key by."""
+        """Return the key with its team and caller, as used in the ledger."""
         return f'{self.team}/{self.caller}/{self.key}'
 
 
 @dataclasses.dataclass
 class _Attempt:
-    """One run at this entry, from before its `Begin` is sent."""
+    """A run at this entry, created before its `Begin` is sent."""
 
     done: Event
 
 
 class Ledger:
-    """Begins, finishes and joins runs; one for each instance.
+    """Begins, finishes and joins runs; each instance has one.
 
     Parameters
     ----------
     make_id
-        Gives unique attempt ids.
+        Returns a unique attempt id.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self._attempts: dict[str, _Attempt] = {}
 
     def start(self) -> None:
-        """Answer other entries' questions about attempts here."""
+        """Register the handler of queries about attempts here."""
         self._runtime.bus.register(AskAttempt, self._on_ask_attempt)
 
     def run_once(
@@ -98,21 +98,22 @@
         run: Callable[[], Answer],
         timeout: float,
     ) -> Answer:
-        """Run, join the run under way, or return the answer given before.
+        """Run, join an active run, or return the stored answer.
 
         Parameters
         ----------
         run
-            Does the work at most once. `UpstreamNotStartedError` from it
-            says that the work has certainly not started; after any other
-            error the outcome stays unknown.
+            Does the work; called at most once. `UpstreamNotStartedError` from
+            it means that the work has not started; after any other error the
+            outcome is unknown.
         timeout
-            Seconds to begin, and to wait for a run that is joined.
+            Seconds to begin and to wait for a joined run.
 
         Raises
         ------
         RefusalError
-            With `not_run` as far as the ledger knows of the key.
+            No answer is available; `not_run` tells whether the request ran, as
+            far as the ledger knows.
         """
         end = self._clock.now() + timeout
         while True:
@@ -129,7 +130,7 @@
     def _begin(
         self, request: KeyedRequest, end: float
     ) -> tuple[BeginOutcome, str]:
-        """Ask to run under a new attempt."""
+        """Request permission to run under a new attempt id."""
         attempt = self._make_id()
         self._attempts[attempt] = _Attempt(Event())
         command = Begin(
@@ -148,7 +149,7 @@
             self._attempts.pop(attempt)
             raise _refusals.make_unavailable(error) from error
         except PartitionError as error:
-            # It may be granted or about to be; nobody is going to run it.
+            # The attempt may still be granted, but it will not run.
             self._record_end(request, attempt, Abort, 0)
             raise _refusals.make_unavailable(error) from error
         return outcome, attempt
@@ -159,7 +160,7 @@
         attempt: str,
         run: Callable[[], Answer],
     ) -> Answer:
-        """Run what was granted and record what came of it."""
+        """Run a granted request and record its outcome."""
         try:
             answer = run()
         except UpstreamNotStartedError:
@@ -179,8 +180,8 @@
             entry=self._runtime.settings.id,
             answer=stored,
         )
-        # The caller has its answer here in any case. It waits for the record
-        # a little, so that a retry after this entry's death finds it.
+        # The caller gets its answer in any case. A short wait for the record
+        # lets a retry find the answer if this entry dies.
         self._wait(
             self._start_recording(request, command, attempt),
             _FINISH_WAIT_SECONDS,
@@ -194,7 +195,7 @@
         kind: type[Abort] | type[Expire],
         wait: float,
     ) -> None:
-        """Record that a run gave no answer."""
+        """Record that a run ended without an answer."""
         command = kind(
             at=self._clock.wall(), scope=request.scope, attempt=attempt
         )
@@ -203,7 +204,7 @@
     def _start_recording(
         self, request: KeyedRequest, command: Command, attempt: str = ''
     ) -> Event:
-        """Have a command recorded, however long that takes."""
+        """Record a command in the background; return the event of its end."""
         done = Event()
         self._clock.spawn(self._record, request.scope, command, attempt, done)
         return done
@@ -211,10 +212,10 @@
     def _record(
         self, scope: str, command: Command, attempt: str, done: Event
     ) -> None:
-        """Submit until it is applied; give up after some minutes.
+        """Submit until the command is applied; give up after some minutes.
 
-        Until then the attempt counts as running here, so that whoever joined
-        it does not take its outcome for unknown.
+        Until then the attempt counts as running here, so that requests which
+        joined it do not record its outcome as unknown.
         """
         for _ in range(_MAX_RECORD_ATTEMPTS):
             fresh = msgspec.structs.replace(command, at=self._clock.wall())
@@ -232,7 +233,7 @@
     def _join(
         self, request: KeyedRequest, outcome: BeginOutcome, end: float
     ) -> None:
-        """Wait for the end of the run under way, or find that it has none."""
+        """Wait for the end of an active run, or expire a lost one."""
         wait = min(end - self._clock.now(), _JOIN_WAIT_SECONDS)
         if wait <= 0:
             raise _refusals.make_refusal(BeginState.JOINED, self._limits)
@@ -252,7 +253,7 @@
     def _query_attempt(
         self, outcome: BeginOutcome, wait: float
     ) -> AttemptReply | None:
-        """Ask the entry where the attempt runs."""
+        """Query the entry where the attempt runs."""
         request = AskAttempt(attempt=outcome.attempt, wait=wait)
         if outcome.entry == self._runtime.settings.id:
             return self._wait_for_attempt(request)
@@ -266,20 +267,20 @@
             return None
 
     def _assume_state(self, outcome: BeginOutcome) -> AttemptReply:
-        """Take an attempt for lost when its entry is gone.
+        """Assume that an attempt is lost if its entry is gone.
 
-        The entry may only be paused. Then it still runs the attempt once and
-        its answer replaces the unknown outcome.
+        If the entry is only paused, it still runs the attempt once, and its
+        answer replaces the unknown outcome.
         """
         alive = self._runtime.members.get(outcome.entry) is not None
         return AttemptReply(known=alive, running=alive)
 
     def _on_ask_attempt(self, source: InstanceId, request: Any) -> Message:
-        """Answer an `AskAttempt`."""
+        """Handle an `AskAttempt`."""
         return self._wait_for_attempt(request)
 
     def _wait_for_attempt(self, request: AskAttempt) -> AttemptReply:
-        """Wait for an attempt here."""
+        """Wait for the end of an attempt at this entry."""
         attempt = self._attempts.get(request.attempt)
         if attempt is None:
             return AttemptReply(known=False, running=False)
@@ -287,13 +288,13 @@
         return AttemptReply(known=True, running=not attempt.done.is_set())
 
     def _remove_attempt(self, attempt: str) -> None:
-        """Let those waiting look into the ledger."""
+        """Remove an attempt and wake the requests that joined it."""
         known = self._attempts.pop(attempt, None)
         if known is not None:
             known.done.set()
 
     def _wait(self, event: Event, timeout: float) -> None:
-        """Wait for an event at most so long."""
+        """Wait for an event for at most `timeout` seconds."""
         try:
             with self._clock.timeout(timeout, TimeoutError):
                 event.wait()
--- a/guavagate/ledger/_messages.py
+++ b/guavagate/ledger/_messages.py
@@ -1,4 +1,4 @@
-"""Commands to the ledger's state, and what they give."""
+"""Commands to the ledger's state, their outcomes, and messages."""
 
 import enum
 from typing import Final
@@ -15,16 +15,17 @@
 
 
 class LedgerLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """What a ledger keeps; the same at every instance.
+    """Limits of a ledger; must be the same at every instance.
 
     Parameters
     ----------
     window
-        Seconds for which a key is kept; nothing is forgotten earlier.
+        Seconds for which a key is stored; no key expires earlier.
     partition_bytes
-        Size of one partition's records; when full, new keys are refused.
+        Maximum size of one partition's records; beyond it, new keys are
+        refused.
     answer_bytes
-        Largest body kept; of a larger one only that it was answered.
+        Largest stored body; of a larger answer only the fact is stored.
     """
 
     window: float = WINDOW_SECONDS
@@ -33,7 +34,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole answer of an upstream."""
+    """A complete answer of an upstream."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
@@ -41,7 +42,7 @@
 
 
 class BeginState(enum.Enum):
-    """What the ledger says to a request that wants to run."""
+    """The ledger's decision on a request to run."""
 
     GRANTED = 'granted'
     JOINED = 'joined'
@@ -54,7 +55,7 @@
 
 
 class RecordState(enum.Enum):
-    """What is known of a key."""
+    """The state of a key's record."""
 
     STARTED = 'started'
     ANSWERED = 'answered'
@@ -64,16 +65,16 @@
 
 
 class Begin(Command, frozen=True, kw_only=True):
-    """Ask to run.
+    """Request permission to run.
 
     Parameters
     ----------
     scope
         Team, caller and key.
     digest
-        Tells different requests under one key apart.
+        Detects different requests with the same key.
     attempt
-        Unique for one run at one entry; a repeat repeats it.
+        Unique for one run at one entry; a repeated command has the same one.
     """
 
     scope: str
@@ -83,7 +84,7 @@
 
 
 class Finish(Command, frozen=True, kw_only=True):
-    """The run has given this answer; none when it is too large to keep."""
+    """The run ended with this answer; none if it is too large to store."""
 
     scope: str
     digest: str
@@ -93,21 +94,21 @@
 
 
 class Abort(Command, frozen=True, kw_only=True):
-    """The attempt has certainly not run and never will."""
+    """The attempt has not run and never will."""
 
     scope: str
     attempt: str
 
 
 class Expire(Command, frozen=True, kw_only=True):
-    """Nobody will ever tell what became of the attempt."""
+    """The outcome of the attempt can no longer be determined."""
 
     scope: str
     attempt: str
 
 
 class BeginOutcome(Outcome, frozen=True, kw_only=True):
-    """What the ledger says; where the run is, or its answer."""
+    """The decision, with the attempt that runs or the stored answer."""
 
     state: BeginState
     attempt: str = ''
@@ -116,20 +117,20 @@
 
 
 class RecordOutcome(Outcome, frozen=True, kw_only=True):
-    """What is known of the key then."""
+    """The state of the key after the command."""
 
     state: RecordState
 
 
 class AskAttempt(Message, frozen=True, kw_only=True):
-    """Wait at an entry for the end of an attempt that runs there."""
+    """Wait for the end of an attempt that runs at the receiving entry."""
 
     attempt: str
     wait: float
 
 
 class AttemptReply(Message, frozen=True, kw_only=True):
-    """Whether the entry knows of the attempt, and whether it still runs."""
+    """Whether the entry knows the attempt, and whether it still runs."""
 
     known: bool
     running: bool
--- a/guavagate/ledger/_state.py
+++ b/guavagate/ledger/_state.py
@@ -1,4 +1,4 @@
-"""The ledger's part of a partition: one record for each key."""
+"""The ledger's state in a partition: one record for each key."""
 
 from collections.abc import Callable
 from typing import Any, Final
@@ -28,18 +28,18 @@
 
 
 class LedgerSafeguards(msgspec.Struct, frozen=True, kw_only=True):
-    """All are on in the daemon; see `guavagate.partitions`' safeguards.
+    """All are on in the daemon; see the safeguards of `guavagate.partitions`.
 
     Parameters
     ----------
     compare_digest
-        Another body under a known key is refused.
+        Refuse a different request with a known key.
     keep_unknown
-        A key whose outcome can't be known is never granted again.
+        Never grant a key again whose outcome is unknown.
     keep_answer
-        A key that was answered is not granted again.
+        Do not grant an answered key again.
     join
-        A key that is running is not granted again.
+        Do not grant a running key again.
     """
 
     compare_digest: bool = True
@@ -49,7 +49,7 @@
 
 
 class _Record(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of one key."""
+    """The record of one key."""
 
     state: RecordState
     digest: str
@@ -60,14 +60,14 @@
 
 
 class _Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """All that makes two copies equal."""
+    """The complete state of a ledger partition."""
 
     records: dict[str, _Record]
     now: float
 
 
 class LedgerState:
-    """Records by team, caller and key; a `PartitionState`."""
+    """Records by team, caller and key; implements `PartitionState`."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
         self._now = state.now
 
     def _begin(self, command: Begin) -> Outcome:
-        """Grant a run, or say what became of the key."""
+        """Grant a run or return the state of the key."""
         record = self._records.get(command.scope)
         if record is None:
             return self._begin_new(command)
@@ -120,14 +120,14 @@
         return self._begin_known(command, record)
 
     def _begin_new(self, command: Begin) -> Outcome:
-        """Grant a key that is not held, unless it won't fit."""
+        """Grant an unknown key unless the partition is full."""
         size = len(command.scope) + len(command.digest) + _RECORD_OVERHEAD_BYTES
         if self._bytes + size > self._limits.partition_bytes:
             return BeginOutcome(state=BeginState.FULL)
         return self._grant(command)
 
     def _begin_known(self, command: Begin, record: _Record) -> Outcome:
-        """Say what became of a key that is held."""
+        """Decide on a key that has a record."""
         safeguards = self._safeguards
         if record.state is RecordState.STARTED:
             if record.attempt == command.attempt or not safeguards.join:
@@ -148,16 +148,17 @@
         return BeginOutcome(state=BeginState.ANSWERED, answer=record.answer)
 
     def _refuse_mismatch(self, record: _Record) -> Outcome:
-        """Say that the key was used for another request, if that is sure.
+        """Refuse a different request with a known key.
 
-        A record that an `Abort` left has no digest.
+        A record created by an `Abort` has no digest; the refusal then says
+        that the outcome is unknown.
         """
         if not record.digest:
             return BeginOutcome(state=BeginState.UNKNOWN)
         return BeginOutcome(state=BeginState.CONFLICT)
 
     def _grant(self, command: Begin) -> Outcome:
-        """Let the attempt run."""
+        """Record the attempt as started and grant it."""
         self._put(
             command.scope,
             _Record(
@@ -171,7 +172,7 @@
         return BeginOutcome(state=BeginState.GRANTED, attempt=command.attempt)
 
     def _finish(self, command: Finish) -> Outcome:
-        """Keep the answer, also of one whose outcome seemed unknowable."""
+        """Store the answer, even if the outcome was recorded as unknown."""
         record = self._records.get(command.scope)
         if record is not None and record.attempt != command.attempt:
             return RecordOutcome(state=record.state)
@@ -193,10 +194,10 @@
         return RecordOutcome(state=RecordState.ANSWERED)
 
     def _abort(self, command: Abort) -> Outcome:
-        """Free the key, as its attempt has not run.
+        """Release the key because its attempt has not run.
 
-        A key that is not held gets a record too: the attempt's `Begin` may
-        still be on its way, and would be granted to nobody.
+        An unknown key also gets a record: the attempt's `Begin` may arrive
+        later and must not be granted, as the attempt will not run.
         """
         record = self._records.get(command.scope)
         if record is None:
@@ -217,7 +218,7 @@
         return RecordOutcome(state=state)
 
     def _expire(self, command: Expire) -> Outcome:
-        """Note that the outcome of a started attempt can't be known."""
+        """Record the outcome of a started attempt as unknown."""
         record = self._records.get(command.scope)
         if record is None:
             return RecordOutcome(state=RecordState.MISSING)
@@ -229,7 +230,7 @@
         return RecordOutcome(state=RecordState.UNKNOWN)
 
     def _fit_answer(self, answer: Answer) -> Answer | None:
-        """Return the answer if there is room for it."""
+        """Return the answer if it fits, else `None`."""
         size = len(answer.body)
         free = self._limits.partition_bytes - self._bytes
         if size > self._limits.answer_bytes or size > free:
@@ -237,7 +238,7 @@
         return answer
 
     def _put(self, scope: str, record: _Record) -> None:
-        """Replace a record and keep count of the bytes."""
+        """Replace a record and update the byte count."""
         old = self._records.get(scope)
         if old is not None:
             self._bytes -= _count_bytes(scope, old)
@@ -247,7 +248,7 @@
         self._bytes += _count_bytes(scope, record)
 
     def _advance_time(self, at: float) -> None:
-        """Forget the keys whose window has passed, oldest first."""
+        """Advance the time and expire keys, oldest first."""
         self._now = max(self._now, at)
         cutoff = self._now - self._limits.window
         while self._records:
@@ -263,13 +264,13 @@
     limits: LedgerLimits | None = None,
     safeguards: LedgerSafeguards | None = None,
 ) -> dict[type[Command], PartitionState]:
-    """Make the ledger's state of one partition, by the commands it takes."""
+    """Return the ledger's state of one partition, by command type."""
     state = LedgerState(limits, safeguards)
     return dict.fromkeys((Begin, Finish, Abort, Expire), state)
 
 
 def _count_bytes(scope: str, record: _Record) -> int:
-    """Return the bytes that a record is counted for."""
+    """Return the size of a record for the partition limit, in bytes."""
     size = len(scope) + len(record.digest) + _RECORD_OVERHEAD_BYTES
     if record.answer is not None:
         size += len(record.answer.body)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the ledger's rules for one key."""
+"""Tests of the ledger's state."""
 
 from typing import Any
 
@@ -17,7 +17,7 @@
 def _begin(
     state: LedgerState, attempt: str, at: float = 0, **more: Any
 ) -> BeginState:
-    """Begin and return what the ledger says."""
+    """Apply a `Begin` and return the ledger's decision."""
     fields = {'scope': 't/c/k', 'digest': 'd', **more}
     command = Begin(at=at, attempt=attempt, entry=_ENTRY, **fields)
     outcome: Any = state.apply(command)
@@ -25,7 +25,7 @@
 
 
 def test_a_late_answer_replaces_an_unknown_outcome() -> None:
-    """The entry was paused, not dead: its answer comes after all."""
+    """The entry was only paused, and its answer arrives late."""
     state = LedgerState()
     assert _begin(state, '1') is BeginState.GRANTED
     assert _begin(state, '2') is BeginState.JOINED
@@ -45,16 +45,16 @@
     assert _begin(state, '5', digest='other') is BeginState.CONFLICT
 
 
-def test_an_abort_that_overtakes_its_begin_still_counts() -> None:
-    """The grant would go to nobody; the next attempt runs."""
+def test_an_abort_before_its_begin_prevents_the_grant() -> None:
+    """The aborted attempt will not run; the next attempt is granted."""
     state = LedgerState()
     state.apply(Abort(at=0, scope='t/c/k', attempt='1'))
     assert _begin(state, '1') is BeginState.ABANDONED
     assert _begin(state, '2') is BeginState.GRANTED
 
 
-def test_a_full_ledger_refuses_and_forgets_only_after_the_window() -> None:
-    """New keys are refused; a known key is known until its time is over."""
+def test_a_full_ledger_refuses_new_keys_until_the_window_ends() -> None:
+    """New keys are refused; known keys stay until their window ends."""
     state = LedgerState(LedgerLimits(window=100, partition_bytes=500))
     assert _begin(state, '1', scope='t/c/1') is BeginState.GRANTED
     assert _begin(state, '2', scope='t/c/2') is BeginState.GRANTED
@@ -63,10 +63,10 @@
     assert _begin(state, '5', 101, scope='t/c/3') is BeginState.GRANTED
 
 
-def test_a_freed_key_is_granted_anew_and_remembers_its_abort() -> None:
-    """The attempt that was aborted may not run any more, another may.
+def test_an_aborted_attempt_is_not_granted_on_a_released_key() -> None:
+    """An aborted attempt must not run, but another attempt may.
 
-    Its repeated `Begin` can still be on its way when the key is free again.
+    A repeated `Begin` of the aborted attempt can arrive after the release.
     """
     state = LedgerState()
     assert _begin(state, '1') is BeginState.GRANTED
@@ -76,8 +76,8 @@
     assert _begin(state, '3') is BeginState.JOINED
 
 
-def test_a_snapshot_makes_an_equal_copy() -> None:
-    """A new holder says the same as the one before."""
+def test_a_snapshot_restores_an_equal_state() -> None:
+    """A new holder decides the same as the previous one."""
     state, other = LedgerState(), LedgerState()
     _begin(state, '1', 1.5)
     other.restore(state.snapshot())
