--- a/guavagate/ports/__init__.py
+++ b/guavagate/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Typed ports to everything outside; adapters live in integrations."""
+"""Typed interfaces to external systems; `integrations` has adapters."""
--- a/guavagate/ports/configuration.py
+++ b/guavagate/ports/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration of routes as the product sees it."""
+"""The operator's configuration of routes, services and teams."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """Kinds of routes, which decide whether requests may be repeated."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non-idempotent'
@@ -18,16 +18,16 @@
 
 
 class ServiceShare(msgspec.Struct, frozen=True):
-    """A service that gets a share of a route's requests."""
+    """A service and the weight of its share of a route's requests."""
 
     service: ServiceId
     weight: int
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests of one host and path prefix; times in seconds.
+    """A route for one host and path prefix; times in seconds.
 
-    `open` is a route whose callers need no key.
+    Callers of an `open` route need no key.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
 
 class Team(msgspec.Struct, frozen=True, kw_only=True):
-    """A team, and the hashes of the keys that its callers may show."""
+    """A team and the hashes of its callers' valid keys."""
 
     id: TeamId
     key_hashes: tuple[str, ...] = ()
@@ -59,14 +59,14 @@
 
     Attributes
     ----------
-    least, most
-        Bounds of both kinds together, in one zone.
-    boot
-        Seconds until a new upstream serves.
+    min_upstreams, max_upstreams
+        Bounds for regular and spot upstreams together, in one zone.
+    boot_seconds
+        Seconds until a new upstream serves requests.
     spot_price
-        What one that may be reclaimed costs, as a share of a regular one.
+        Price of a spot upstream as a share of a regular one's.
     zone_prices
-        What a second of an upstream costs by zone.
+        Price of an upstream per second, by zone.
     """
 
     min_upstreams: int = 0
@@ -77,7 +77,7 @@
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
-    """A service behind routes; `models` are what its samplers hold."""
+    """A service behind routes; `models` are those of its samplers."""
 
     id: ServiceId
     health_path: str = ''
@@ -89,7 +89,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
-    """One accepted version of the whole configuration."""
+    """One accepted version of the complete configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
--- a/guavagate/ports/dialect.py
+++ b/guavagate/ports/dialect.py
@@ -1,4 +1,4 @@
-"""What requests to upstreams and their answers say, whatever the headers."""
+"""Interface to the wire format of requests to upstreams and answers."""
 
 from typing import Protocol
 
@@ -10,10 +10,11 @@
 
 
 class Call(msgspec.Struct, frozen=True, kw_only=True):
-    """A caller's request that is forwarded; `until` on the runtime's clock.
+    """A caller's request to forward; `until` is on the runtime's clock.
 
-    `team` is whose key the caller showed; `keyed` says that the configuration
-    knows keys, so none of a caller's credentials may go on to an upstream.
+    `team` is the team of the caller's key. `keyed` means that the
+    configuration defines keys, so a caller's credentials must not be forwarded
+    to an upstream.
     """
 
     id: str
@@ -26,9 +27,9 @@
 
 
 class AnswerMarks(msgspec.Struct, frozen=True, kw_only=True):
-    """What an answer says besides its content.
+    """Metadata of an answer.
 
-    `not_run`: the upstream has certainly not run the request.
+    `not_run`: the upstream has not run the request.
     `mismatched`: the answer belongs to another request.
     """
 
@@ -38,26 +39,26 @@
 
 
 class Dialect(Protocol):
-    """Writes requests and reads answers as the upstreams speak."""
+    """Encodes requests and decodes answers in the upstreams' format."""
 
     def prepare(
         self, call: Call, upstream: Upstream, left: float, resume_after: int
     ) -> Request:
-        """Return the request as it goes to an upstream.
+        """Return the request to send to an upstream.
 
         Parameters
         ----------
         left
-            Seconds that the upstream may take.
+            Seconds that the upstream has to answer.
         resume_after
-            The last event that the caller has, 0 for none.
+            Number of the last event that the caller has received, 0 for none.
         """
 
     def compose(self, request_id: str, host: str, path: str) -> Request:
-        """Return a request of our own, to be prepared as callers' are."""
+        """Return a request of this instance, still to be prepared."""
 
     def read_signature(self, headers: Headers) -> str:
-        """Return the signature of an answer's upstream, or nothing."""
+        """Return the signature of the answering upstream, or an empty text."""
 
     def read(self, call: Call, answer: Answer) -> AnswerMarks:
-        """Return what an answer's head says."""
+        """Return the metadata from the head of an answer."""
--- a/guavagate/ports/duties.py
+++ b/guavagate/ports/duties.py
@@ -1,4 +1,4 @@
-"""Calls to the platform that one instance makes for all."""
+"""Calls to the platform that a lease holder makes for all instances."""
 
 import enum
 from typing import Protocol
@@ -11,14 +11,14 @@
 
 
 class LeaseHolder(msgspec.Struct, frozen=True):
-    """Who makes a call, and under which generation of its lease."""
+    """The instance that makes a call, and its lease generation."""
 
     instance: InstanceId
     generation: int
 
 
 class DutyAnswer(enum.Enum):
-    """What the platform made of a call."""
+    """The platform's answer to a call."""
 
     ACCEPTED = 'taken'
     UNAVAILABLE = 'not now'
@@ -27,7 +27,7 @@
 
 
 class ScaleOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """How many upstreams of one kind a service is to have in a zone."""
+    """The target number of upstreams of one kind for a service and zone."""
 
     service: ServiceId
     zone: ZoneId
@@ -36,12 +36,12 @@
 
 
 class DutyClient(Protocol):
-    """Makes the calls; none of them raises."""
+    """Makes the calls; no method raises."""
 
     def report_usage(
         self, holder: LeaseHolder, window: int, counts: TeamCounts
     ) -> DutyAnswer:
-        """Report the requests of each team that began in a window."""
+        """Report the number of requests per team that began in a window."""
 
     def order(self, holder: LeaseHolder, order: ScaleOrder) -> DutyAnswer:
-        """Order upstreams; `NOT_NOW` says that none are to be had."""
+        """Order upstreams; `UNAVAILABLE` if the platform has none now."""
--- a/guavagate/ports/engine.py
+++ b/guavagate/ports/engine.py
@@ -1,4 +1,4 @@
-"""A model engine as the rest of guavagate sees it."""
+"""Interface to model engines."""
 
 from collections.abc import Iterator
 from typing import Protocol
@@ -9,14 +9,14 @@
 
 
 class Generation(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine is asked to generate.
+    """A request to an engine to generate a text.
 
     Parameters
     ----------
     exchange
-        Unique for each upstream exchange, checked on every piece returned.
+        Unique id of each upstream exchange, checked on every returned piece.
     resume_text
-        What has been received already when an interrupted one is resumed.
+        Text already received, when an interrupted generation is resumed.
     """
 
     exchange: RequestId
@@ -30,9 +30,9 @@
 
 
 class Piece(msgspec.Struct, frozen=True, kw_only=True):
-    """Some tokens that one weight version produced.
+    """Consecutive tokens that one weight version produced.
 
-    `finish` is set on the last piece alone; a stream without it is not whole.
+    Only the last piece has `finish`; a stream without it is incomplete.
     """
 
     exchange: RequestId
@@ -44,7 +44,7 @@
 
 
 class EngineReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine says of itself, with a lag."""
+    """An engine's report of its state, which may be slightly outdated."""
 
     version: WeightVersion
     prefetched: tuple[WeightVersion, ...] = ()
@@ -56,7 +56,7 @@
 
 
 class EngineOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An order to an engine; `fence` is the epoch of the one who orders."""
+    """An order to an engine; `fence` is the epoch of the issuer."""
 
     action: str
     version: WeightVersion | None = None
@@ -65,7 +65,7 @@
 
 
 class ModelEngine(Protocol):
-    """Speaks to one engine by its address."""
+    """Sends requests to engines by address."""
 
     def generate(
         self,
@@ -75,8 +75,8 @@
     ) -> Iterator[Piece]:
         """Stream the pieces.
 
-        Raises `UpstreamNotStartedError` while nothing can have started, and
-        `UpstreamError` when the stream breaks, stalls or ends without its
+        Raises `UpstreamNotStartedError` if the engine has not started, and
+        `UpstreamError` if the stream breaks, stalls or ends without its
         terminal event. Closing the iterator cancels the work.
         """
 
@@ -84,4 +84,4 @@
         """Return the engine's report."""
 
     def order(self, address: str, order: EngineOrder, timeout: float) -> None:
-        """Give an order; a refused fence raises `UpstreamError`."""
+        """Send an order; raise `UpstreamError` if the fence is refused."""
--- a/guavagate/ports/plain_service.py
+++ b/guavagate/ports/plain_service.py
@@ -1,4 +1,4 @@
-"""An upstream of a plain service as the rest of guavagate sees it."""
+"""Interface to upstreams of plain services."""
 
 from typing import Protocol
 
@@ -8,20 +8,20 @@
 
 
 class ServiceRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """One call to a plain service.
+    """A request to a plain service.
 
     Parameters
     ----------
     exchange
-        Unique for each attempt; the answer must not name another one.
+        Unique id of each attempt; an answer must not name another one.
     path
-        Path with its query, starting with a slash.
+        Path and query, starting with a slash.
     headers
-        Passed on as they are, but for those of one connection alone.
+        Forwarded unchanged, except for hop-by-hop headers.
     key
-        Idempotency key, passed on when there is one.
+        Idempotency key, forwarded if not empty.
     repeatable
-        Whether the upstream may run it twice.
+        Whether the upstream may run the request twice.
     """
 
     exchange: RequestId
@@ -34,7 +34,7 @@
 
 
 class ServiceAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
@@ -42,7 +42,7 @@
 
 
 class ServiceReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What an upstream says of its load, with a lag."""
+    """An upstream's load report, which may be slightly outdated."""
 
     running: int = 0
     queued: int = 0
@@ -51,7 +51,7 @@
 
 
 class PlainService(Protocol):
-    """Speaks to one upstream by its address."""
+    """Sends requests to upstreams by address."""
 
     def call(
         self,
@@ -59,16 +59,16 @@
         request: ServiceRequest,
         timeout: float,
     ) -> ServiceAnswer:
-        """Send the request once and return the whole answer.
+        """Send the request once and return the complete answer.
 
         Raises
         ------
         UpstreamNotStartedError
-            The upstream certainly has not started: no connection, or it
-            said that it is leaving or overloaded.
+            The upstream has not started: no connection was made, or it
+            answered that it is leaving or overloaded.
         UpstreamError
-            It may have run: broken off, too late, cut short, or answered
-            under another exchange.
+            The request may have run: the connection broke, the answer was
+            late, truncated or named another exchange.
         """
 
     def report(self, address: str, timeout: float) -> ServiceReport:
--- a/guavagate/ports/rewards.py
+++ b/guavagate/ports/rewards.py
@@ -1,4 +1,4 @@
-"""What jobs ask of the services that rate texts."""
+"""Interface of jobs to the services that rate texts."""
 
 import enum
 from typing import Protocol
@@ -9,7 +9,7 @@
 
 
 class RewardRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A request that rates an item's text; it may be repeated."""
+    """A request to rate an item's text; it may be repeated."""
 
     id: str
     host: str
@@ -26,7 +26,7 @@
 
 
 class RewardOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """The end of one try; `failures` counts the upstreams that answered 500."""
+    """The result of an attempt; `failures` counts upstreams' 500 answers."""
 
     kind: RewardKind
     signature: str = ''
@@ -35,9 +35,9 @@
 
 
 class RewardRoute(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a reward request goes by the configuration in force.
+    """The route of a reward request in the current configuration.
 
-    `max_failures` is how many answers of 500 the route allows.
+    `max_failures` is the number of 500 answers that the route allows.
     """
 
     service: ServiceId
@@ -45,13 +45,13 @@
 
 
 class RewardClient(Protocol):
-    """Sends reward requests, one mechanism with callers' requests."""
+    """Sends reward requests through the forwarding of callers' requests."""
 
     def find_route(self, reward: RewardRequest) -> RewardRoute | None:
-        """Return where a request would go now, or nothing."""
+        """Return the current route of a request, or `None`."""
 
     def count_available(self, service: ServiceId) -> int:
-        """Return how many more requests the service's upstreams may get."""
+        """Return how many more requests the service's upstreams accept."""
 
     def send(self, reward: RewardRequest) -> RewardOutcome:
-        """Send a request and wait for its end; cut when its task is killed."""
+        """Send a request and wait; killing the task cancels the request."""
--- a/guavagate/ports/sampler.py
+++ b/guavagate/ports/sampler.py
@@ -1,4 +1,4 @@
-"""What the product asks of a model sampler."""
+"""Interface to model samplers."""
 
 from collections.abc import Iterator
 from typing import Protocol
@@ -10,9 +10,9 @@
 
 
 class ItemRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """One item to generate, after the event number `resume_after` if any.
+    """An item to generate; resumes after event `resume_after` unless 0.
 
-    `team` is that of the job, where the configuration knows teams.
+    `team` is the job's team if the configuration defines teams.
     """
 
     id: str
@@ -25,7 +25,7 @@
 
 
 class TextEvent(msgspec.Struct, frozen=True):
-    """One whole event of a sampler's stream."""
+    """One complete event of a sampler's stream."""
 
     number: int
     text: str
@@ -33,16 +33,16 @@
 
 
 class ItemRun(Protocol):
-    """A sampler's work on an item."""
+    """An item that a sampler is generating."""
 
     def events(self) -> Iterator[TextEvent]:
-        """Yield whole events; ends cleanly only at the stream's whole end.
+        """Yield complete events; end normally only if the stream is complete.
 
-        Raises `UpstreamError` when the stream breaks.
+        Raises `UpstreamError` if the stream breaks.
         """
 
     def cancel(self) -> None:
-        """Leave; the sampler drops the work. Safe from another task."""
+        """Disconnect, so the sampler drops the item; safe from other tasks."""
 
 
 class ItemFailedError(Exception):
@@ -50,11 +50,11 @@
 
 
 class ItemImpossibleError(Exception):
-    """The sampler answered that the item can never be done."""
+    """The sampler answered that the item can never succeed."""
 
 
 class SamplerReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What a sampler tells of itself; some 100 ms old."""
+    """A sampler's report of its state; about 100 ms old."""
 
     busy: bool
     orders_taken: int
@@ -65,7 +65,7 @@
 
 
 class VersionOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An order to serve a version; `generation` fences older holders."""
+    """An order to serve a version; `generation` fences off older holders."""
 
     model: str
     version: WeightVersion
@@ -76,17 +76,17 @@
 
 
 class OrderRefusedError(Exception):
-    """The sampler did not take the order; look at its state again."""
+    """The sampler refused the order; read its state again."""
 
 
 class SamplerClient(Protocol):
     """Requests to samplers; every call may raise `UpstreamError`."""
 
     def run(self, upstream: Upstream, item: ItemRequest, model: str) -> ItemRun:
-        """Start an item and wait for the head of its stream."""
+        """Start an item and wait for the head of its response."""
 
     def report(self, upstream: Upstream) -> SamplerReport:
-        """Return the sampler's state."""
+        """Return the sampler's report."""
 
     def order(self, upstream: Upstream, order: VersionOrder) -> bool:
         """Order a version; return whether the sampler already had it."""
--- a/guavagate/ports/scoring.py
+++ b/guavagate/ports/scoring.py
@@ -1,4 +1,4 @@
-"""A scoring service as the rest of guavagate sees it."""
+"""Interface to scoring services."""
 
 from typing import Protocol
 
@@ -6,7 +6,7 @@
 
 
 class ScoringService(Protocol):
-    """Gives finished samples their scores; scoring may be repeated."""
+    """Scores finished samples; scoring may be repeated."""
 
     def score(
         self,
@@ -16,12 +16,12 @@
         text: str,
         timeout: float,
     ) -> float:
-        """Return a sample's score.
+        """Return the score of a sample.
 
         Raises
         ------
         UpstreamNotStartedError
-            The service certainly has not started.
+            The service has not started.
         UpstreamError
-            It failed, was too late, or answered for another sample.
+            The service failed, was late, or answered for another sample.
         """
--- a/guavagate/ports/store.py
+++ b/guavagate/ports/store.py
@@ -1,4 +1,4 @@
-"""The platform's object API as the rest of guavagate sees it."""
+"""Interface to the platform's object API."""
 
 from typing import Protocol
 
@@ -8,7 +8,7 @@
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """One object; `version` is the store's revision of its last change."""
+    """A stored object; `version` is the revision of its last change."""
 
     path: str
     value: bytes
@@ -16,7 +16,7 @@
 
 
 class StoreChange(msgspec.Struct, frozen=True):
-    """A change that a watch reports; no value means it was deleted."""
+    """A change reported by a watch; `value` is `None` after a deletion."""
 
     path: str
     value: bytes | None
@@ -24,21 +24,21 @@
 
 
 class WatchCompactedError(Exception):
-    """The watch's start is no longer kept; list again, then watch."""
+    """The start revision is no longer available; list and watch again."""
 
 
 class ObjectStore(Protocol):
-    """Objects under paths, with versions, conditional updates and watches.
+    """Objects by path, with versions, conditional updates and watches.
 
-    Every call may raise `StoreUnavailableError`; after one from `put` or
-    `delete` the write may have taken effect: read back to learn it.
+    Every call may raise `StoreUnavailableError`. If `put` or `delete` raises
+    it, the write may have taken effect: read the object to find out.
     """
 
     def get(self, path: str) -> StoredObject | None:
-        """Return the object, or nothing."""
+        """Return the object, or `None`."""
 
     def list_under(self, prefix: str) -> tuple[list[StoredObject], Revision]:
-        """Return all objects under a prefix and the revision of the list."""
+        """Return all objects under a prefix, and the revision of the list."""
 
     def put(
         self,
@@ -48,11 +48,11 @@
     ) -> Revision:
         """Write if the object's version is as expected (0: must not exist).
 
-        ``None`` writes whatever is there. Raises `StoreConflictError`.
+        With ``None`` write unconditionally. Raises `StoreConflictError`.
         """
 
     def delete(self, path: str, expected: Revision | None) -> None:
-        """Delete under the same condition."""
+        """Delete an object under the same condition as `put`."""
 
     def watch(
         self,
@@ -60,7 +60,7 @@
         since: Revision,
         timeout: float,
     ) -> tuple[list[StoreChange], Revision]:
-        """Wait for changes after a revision; may return none at the timeout.
+        """Wait for changes after a revision; may return none on timeout.
 
         Raises `WatchCompactedError`.
         """
--- a/guavagate/ports/upstreams.py
+++ b/guavagate/ports/upstreams.py
@@ -1,4 +1,4 @@
-"""An upstream as its registration describes it."""
+"""Upstreams as registered."""
 
 import msgspec
 
@@ -6,11 +6,10 @@
 
 
 class Upstream(msgspec.Struct, frozen=True, kw_only=True):
-    """One process that serves a service; `versions` by model.
+    """A process that serves a service; `versions` are by model.
 
-    `incarnation` is when it started, in milliseconds by its own clock; 0
-    where it does not tell. One that starts again keeps its id and knows
-    nothing of before.
+    `incarnation` is its start time in milliseconds by its own clock, or 0 if
+    it reports none. A restarted upstream keeps its id but has lost its state.
     """
 
     id: UpstreamId
--- a/guavagate/ports/weights.py
+++ b/guavagate/ports/weights.py
@@ -1,4 +1,4 @@
-"""The weight store as the rest of guavagate sees it."""
+"""Interface to weight stores."""
 
 from typing import Protocol
 
@@ -8,14 +8,14 @@
 
 
 class WeightObject(msgspec.Struct, frozen=True, kw_only=True):
-    """What the store says of one version.
+    """A weight version in the store.
 
     Parameters
     ----------
     size
         Bytes.
     fetches_per_second
-        The store's rate limit; 0 when it states none.
+        The store's rate limit; 0 if it states none.
     """
 
     run: RunId
@@ -25,7 +25,7 @@
 
 
 class WeightStore(Protocol):
-    """Tells whether a version is there; engines fetch by themselves."""
+    """Looks up weight versions; engines fetch the weights themselves."""
 
     def find(
         self,
@@ -34,10 +34,10 @@
         version: WeightVersion,
         timeout: float,
     ) -> WeightObject | None:
-        """Return the version's entry, or nothing when it is not there.
+        """Return the version's entry, or `None` if it is absent.
 
         Raises
         ------
         UpstreamError
-            The store gave no usable answer.
+            The store returned no usable answer.
         """
