--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input at the edge: the right refusal, and nothing run upstream."""
+"""Invalid input at the edge is refused and does not reach an upstream."""
 
 import json
 from collections.abc import Iterator
@@ -16,12 +16,12 @@
 
 _COMPLETIONS: Final = '/v1/completions'
 _VERSIONS: Final = '/v1/runs/plan-batches/versions'
-_ASK: Final = {'model': 'coach-models', 'prompt': 'x', 'max_tokens': 2}
+_BODY: Final = {'model': 'coach-models', 'prompt': 'x', 'max_tokens': 2}
 _HEAD: Final = (
     b'POST /v1/completions HTTP/1.1\r\nHost: x\r\n'
     b'Authorization: Bearer caller-token\r\n'
 )
-_EDGE = settings(derandomize=True, max_examples=40, deadline=None)
+_SETTINGS = settings(derandomize=True, max_examples=40, deadline=None)
 _JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
@@ -29,8 +29,8 @@
 )
 
 
-class _RunPaths:
-    """Notes, as middleware of the stand-ins, what the upstreams ran."""
+class _RequestRecorder:
+    """Middleware of the stand-ins that records what the upstreams ran."""
 
     def __init__(self) -> None:
         self.ran: list[str] = []
@@ -38,31 +38,31 @@
     def process_request(
         self, req: falcon.Request, resp: falcon.Response
     ) -> None:
-        """Note a request that is more than a look at the load."""
+        """Record a request unless it only reads load or sends orders."""
         if req.path not in {'/report', '/cache/events', '/orders'}:
             self.ran.append(req.path)
 
 
 class _Edge(Path):
-    """One instance whose upstreams' work is noted."""
+    """One instance whose upstreams record their requests."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.noted = _RunPaths()
+        self.recorder = _RequestRecorder()
         for server in (*self.engines, self.desk):
-            server._server.application.add_middleware(self.noted)
+            server._server.application.add_middleware(self.recorder)
 
     def check(self, status: int, data: bytes, expected: set[int]) -> str:
-        """Check a refusal and that nothing has run; return its code."""
+        """Check a refusal and that nothing ran; return its code."""
         error = json.loads(data)['error']
         assert status in expected, error
         assert error['not_run'] == 'true'
         assert '; ' in error['message']
-        assert not self.noted.ran
+        assert not self.recorder.ran
         return str(error['code'])
 
     def send(self, data: bytes) -> tuple[int, bytes]:
-        """Send bytes, close the sending half, and read to the end."""
+        """Send bytes, shut down the sending side and read to the end."""
         return _send(self.instance.server.server_port, data)
 
 
@@ -78,7 +78,7 @@
 
 @pytest.fixture(name='shared', scope='module')
 def start_edge() -> Iterator[_Edge]:
-    """Start the one instance of this module."""
+    """Start the instance that all tests share."""
     running = _Edge()
     yield running
     running.stop()
@@ -86,37 +86,37 @@
 
 @pytest.fixture(name='edge')
 def clear_edge(shared: _Edge) -> _Edge:
-    """Forget what earlier tests ran."""
-    shared.noted.ran.clear()
+    """Clear what earlier tests recorded."""
+    shared.recorder.ran.clear()
     return shared
 
 
-def test_a_good_request_is_seen_to_run(edge: _Edge) -> None:
-    """Otherwise the checks that nothing ran could not fail."""
-    edge.ask_json(_COMPLETIONS, _ASK)
-    assert edge.noted.ran == [_COMPLETIONS]
+def test_a_valid_request_runs(edge: _Edge) -> None:
+    """Without this, the checks that nothing ran might never fail."""
+    edge.ask_json(_COMPLETIONS, _BODY)
+    assert edge.recorder.ran == [_COMPLETIONS]
 
 
-@_EDGE
+@_SETTINGS
 @given(body=st.binary(max_size=60) | _JSON.map(json.dumps).map(str.encode))
-def test_no_odd_body_runs(shared: _Edge, body: bytes) -> None:
-    """Neither bytes nor JSON of any other shape get past the edge."""
-    shared.noted.ran.clear()
+def test_an_invalid_body_does_not_run(shared: _Edge, body: bytes) -> None:
+    """Arbitrary bytes and JSON of another shape are refused."""
+    shared.recorder.ran.clear()
     status, data, _ = shared.ask(_COMPLETIONS, body)
     shared.check(status, data, {400, 422})
 
 
-@_EDGE
+@_SETTINGS
 @given(
     field=st.sampled_from(('prompt', 'max_tokens', 'temperature', 'stop')),
     value=st.dictionaries(st.text(), _JSON) | st.just(True),
 )
-def test_no_field_of_a_wrong_type_runs(
+def test_a_field_of_the_wrong_type_does_not_run(
     shared: _Edge, field: str, value: Any
 ) -> None:
-    """The refusal is for the field's type, whatever stands there."""
-    shared.noted.ran.clear()
-    body = _dump({**_ASK, field: value})
+    """A field of the wrong type is refused, whatever its value."""
+    shared.recorder.ran.clear()
+    body = _dump({**_BODY, field: value})
     status, data, _ = shared.ask(_COMPLETIONS, body)
     shared.check(status, data, {400, 422})
 
@@ -163,37 +163,37 @@
         ),
     ],
 )
-def test_what_is_no_whole_request_runs_nothing(
+def test_an_incomplete_request_does_not_run(
     edge: _Edge, tail: bytes, status: int, code: str
 ) -> None:
-    """A body cut short or of unclear length is refused on the wire.
+    """A body that is cut short or has an ambiguous length is refused.
 
-    The caller dies while it sends, or two readers would see the body end at
-    different places. What came may parse; run, it would be a request that
-    nobody sent. The rest must not be read as the next request either: one
-    answer, then the connection is closed.
+    The caller dies while it sends, or two servers would disagree where the body
+    ends. The received part may parse, but running it would run a request that
+    was never sent. The rest must not be parsed as the next request either:
+    there is one answer, then the connection is closed.
     """
-    got, data = edge.send(_HEAD + tail)
-    assert edge.check(got, data, {status}) == code
+    status_code, data = edge.send(_HEAD + tail)
+    assert edge.check(status_code, data, {status}) == code
 
 
 def test_a_chunked_body_over_the_limit_is_refused(edge: _Edge) -> None:
-    """No length is announced; the limit holds for what comes."""
+    """Without a Content-Length, the limit applies to the received bytes."""
     size = MAX_BODY + 1
     chunk = b'%x\r\n%b\r\n0\r\n\r\n' % (size, b' ' * size)
-    got, data = edge.send(
+    status_code, data = edge.send(
         b'%bTransfer-Encoding: chunked\r\n\r\n%b' % (_HEAD, chunk)
     )
-    assert edge.check(got, data, {413}) == 'body_too_large'
+    assert edge.check(status_code, data, {413}) == 'body_too_large'
 
 
 @pytest.mark.parametrize(
     ('path', 'body', 'token', 'headers', 'code'),
     [
-        (_COMPLETIONS, _ASK, 'wrong', {}, 'unauthorized'),
-        (_COMPLETIONS, _ASK, 'é' * 9, {}, 'unauthorized'),
-        (_COMPLETIONS, {**_ASK, 'model': 'x'}, '', {}, 'unknown_deployment'),
-        (_COMPLETIONS, {**_ASK, 'seed': 2**64}, '', {}, 'invalid_body'),
+        (_COMPLETIONS, _BODY, 'wrong', {}, 'unauthorized'),
+        (_COMPLETIONS, _BODY, 'é' * 9, {}, 'unauthorized'),
+        (_COMPLETIONS, {**_BODY, 'model': 'x'}, '', {}, 'unknown_deployment'),
+        (_COMPLETIONS, {**_BODY, 'seed': 2**64}, '', {}, 'invalid_body'),
         (_COMPLETIONS, b'[' * 99_999, '', {}, 'invalid_body'),
         ('/v1/services/other/x', b'', '', {}, 'unknown_service'),
         (_VERSIONS, {'version': 1}, '', {}, 'forbidden'),
@@ -207,12 +207,12 @@
         ),
         (
             _COMPLETIONS,
-            _ASK,
+            _BODY,
             '',
             {'X-Guavagate-Deadline-Ms': '0'},
             'bad_deadline',
         ),
-        (_COMPLETIONS, _ASK, '', {'Idempotency-Key': 'k' * 256}, 'bad_key'),
+        (_COMPLETIONS, _BODY, '', {'Idempotency-Key': 'k' * 256}, 'bad_key'),
         ('/nothing', b'', '', {}, 'bad_request'),
     ],
 )
@@ -224,25 +224,25 @@
     headers: dict[str, str],
     code: str,
 ) -> None:
-    """Who may not, or names what is not there, is told so."""
+    """Missing permissions and unknown names have their own error codes."""
     status, data, _ = edge.ask(path, body, token or 'caller-token', **headers)
     assert edge.check(status, data, set(range(400, 500))) == code
 
 
 @pytest.mark.parametrize('method', ['GET', 'PUT', 'DELETE', 'BREW'])
-def test_an_odd_method_runs_nothing(edge: _Edge, method: str) -> None:
-    """Completions are posted."""
-    status, data, _ = edge.ask(_COMPLETIONS, _ASK, method=method)
+def test_an_unsupported_method_does_not_run(edge: _Edge, method: str) -> None:
+    """Completions accept POST only."""
+    status, data, _ = edge.ask(_COMPLETIONS, _BODY, method=method)
     assert edge.check(status, data, {400, 405}) == 'bad_request'
 
 
 def test_a_key_used_again_with_another_body_runs_once(edge: _Edge) -> None:
-    """The first runs; the second is refused, as it is no repeat."""
+    """The first request runs; the second is refused: it is not a retry."""
     path = '/v1/services/booking-desk/book'
     headers = {'Idempotency-Key': 'k', 'X-Guavagate-First-Attempt': 'true'}
     assert edge.ask(path, b'one', **headers)[0] == 200
-    assert edge.noted.ran == ['/book']
-    edge.noted.ran.clear()
+    assert edge.recorder.ran == ['/book']
+    edge.recorder.ran.clear()
     status, data, _ = edge.ask(path, b'two', **headers)
     assert edge.check(status, data, {422}) == 'key_reused'
 
@@ -250,26 +250,26 @@
 def test_a_decoded_path_cannot_break_the_upstream_request(
     edge: _Edge,
 ) -> None:
-    """A line's end in a path stays inside the path.
+    """A line break in a path stays part of the path.
 
-    The server decodes the path. Passed on like that, the bytes behind the
-    line's end would be headers, or a second request that no one checked.
+    The server decodes the path. Forwarded in that form, the bytes after the
+    line break would be headers, or a second request without any checks.
     """
     path = '/v1/services/booking-desk/a%20b%0d%0aX-Evil:%20y%3Fc'
     status, _, _ = edge.ask(path, b'', method='GET')
     assert status == 200
-    assert edge.noted.ran == ['/a b\r\nX-Evil: y?c']
+    assert edge.recorder.ran == ['/a b\r\nX-Evil: y?c']
 
 
-def test_slow_headers_are_closed() -> None:
-    """A caller that stops amid its headers is told so and closed.
+def test_slow_headers_close_the_connection() -> None:
+    """A caller that stops within its headers gets 408 and is disconnected.
 
-    It would hold a task and a socket for as long as it likes.
+    It would otherwise occupy a task and a socket indefinitely.
     """
     server = make_server(falcon.App(), '127.0.0.1:0', header_timeout=0.05)
     server.start()
-    got, data = _send(server.server_port, _HEAD, close=False)
+    status_code, data = _send(server.server_port, _HEAD, close=False)
     server.stop(timeout=0)
     error = json.loads(data)['error']
-    assert (got, error['code']) == (408, 'headers_too_slow')
+    assert (status_code, error['code']) == (408, 'headers_too_slow')
     assert error['not_run'] == 'true'
--- a/tests/test_plain_service.py
+++ b/tests/test_plain_service.py
@@ -1,4 +1,4 @@
-"""Tests of the plain services' adapter against its stand-in."""
+"""Clients of plain, scoring and weight services against stand-ins."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def server(tmp_path: Path) -> Iterator[Server]:
-    """Start an upstream that records its runs."""
+    """Start a plain service that records the requests it runs."""
     options = plain.PlainOptions(work_s=0, history=str(tmp_path))
     running = serve(plain.make_app(options))
     yield running
@@ -30,7 +30,7 @@
 
 
 def _set_faults(server: Server, body: bytes) -> None:
-    """Set a stand-in's faults."""
+    """Set the faults of a stand-in."""
     connections = Connections(SystemClock())
     answer = connections.send(
         server.address, 'POST', '/control/faults', body=body, timeout=_TIMEOUT
@@ -39,7 +39,7 @@
 
 
 def _call(server: Server, exchange: str) -> ServiceAnswer:
-    """Book a slot."""
+    """Send one booking request."""
     request = ServiceRequest(
         exchange=RequestId(exchange),
         method='POST',
@@ -53,8 +53,8 @@
     )
 
 
-def _runs(folder: Path) -> list[str]:
-    """Return the names of the requests that ran."""
+def _list_runs(folder: Path) -> list[str]:
+    """Return the ids of the requests that ran."""
     history = read_history(*folder.glob('*.jsonl'))
     return [one.request for one in history if isinstance(one, RanAtUpstream)]
 
@@ -76,40 +76,40 @@
     *,
     not_started: bool,
 ) -> None:
-    """One call is answered, the next one meets a fault.
+    """One call succeeds, the next one meets a fault.
 
-    The upstream refuses, resets before it runs, loses its answer after it
-    ran, or answers under another exchange. Only the refusal is known to be
-    "not started": a reset looks the same before and after the run.
+    The upstream refuses, resets the connection before the run, loses its answer
+    after the run, or answers with the id of another exchange. Only the refusal
+    is "not started": a reset looks the same before and after the run.
     """
     assert _call(server, 'a').body == b'a POST /slots/a slot 9'
     _set_faults(server, fault)
     with pytest.raises(UpstreamError) as caught:
         _call(server, 'b')
     assert isinstance(caught.value, UpstreamNotStartedError) is not_started
-    assert _runs(tmp_path) == ['a', *ran]
+    assert _list_runs(tmp_path) == ['a', *ran]
 
 
 def test_a_score_of_another_sample_is_refused() -> None:
-    """The service answers for the wrong sample; nobody gets its score."""
+    """The service answers for another sample; the score is not used."""
     server = serve(scoring.make_app())
     client = HttpScoringService(SystemClock())
-    asked = (server.address, SampleId('s1'), 'prompt', 'text', _TIMEOUT)
-    assert client.score(*asked) == scoring.score_text('text')
+    args = (server.address, SampleId('s1'), 'prompt', 'text', _TIMEOUT)
+    assert client.score(*args) == scoring.score_text('text')
     _set_faults(server, b'{"crossed": true}')
     with pytest.raises(UpstreamError, match='instead of s1'):
-        client.score(*asked)
+        client.score(*args)
     server.stop()
 
 
-def test_the_weight_store_tells_what_it_holds() -> None:
-    """A version that is there has an entry with the rate limit."""
+def test_the_weight_store_reports_existing_versions() -> None:
+    """An existing version has an entry with the rate limit."""
     server = serve(weights.make_app(weights.WeightStoreOptions(rate=3)))
     client = HttpWeightStore(SystemClock())
-    asked = (server.address, RunId('r'), WeightVersion(2), _TIMEOUT)
-    found = client.find(*asked)
+    args = (server.address, RunId('r'), WeightVersion(2), _TIMEOUT)
+    found = client.find(*args)
     assert found is not None
     assert found.fetches_per_second == 3
     _set_faults(server, b'{"missing": [2]}')
-    assert client.find(*asked) is None
+    assert client.find(*args) is None
     server.stop()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Which services an instance works on after it has started again."""
+"""Which services an instance takes over after a restart."""
 
 from collections.abc import Callable
 
@@ -16,28 +16,28 @@
 from tests.rollouts.test_coordinator import make_configuration
 
 _NAMES = tuple(InstanceId(name) for name in 'abc')
-_RECORD = b'{"holder":"%s","generation":4,"nonce":"n","ordered":true}'
+_LEASE = b'{"holder":"%s","generation":4,"nonce":"n","ordered":true}'
 
 
-class _Registry:
-    """Knows of all others at once."""
+class _FakeRegistry:
+    """Fake registry that has discovered all members at once."""
 
     def __init__(self, *, first_start: bool) -> None:
         self.first_start = first_start
         self.enough = False
 
     def wait_for_discovery(self, is_enough: Callable[[], bool] = bool) -> None:
-        """Return at once, or as soon as that is enough where it is asked."""
+        """Return at once; record whether the caller could stop waiting."""
         self.enough = is_enough()
 
 
-def _begin(
+def _start_services(
     world: World,
     name: InstanceId,
-    registry: _Registry,
+    registry: _FakeRegistry,
     boot_of: BootOf = ignore_boots,
 ) -> Services:
-    """Start what one instance does for services, and let it settle."""
+    """Start the services of one instance."""
     clock: PausedClock = world.clock
     store = world.store_of(name)
     routes = RouteTable()
@@ -63,9 +63,11 @@
 
 
 def _find_owners(world: World, *, first_start: bool) -> list[InstanceId]:
-    """Return who works on the service once all have started."""
+    """Return the instances that own the service once all have started."""
     started = {
-        name: _begin(world, name, _Registry(first_start=first_start))
+        name: _start_services(
+            world, name, _FakeRegistry(first_start=first_start)
+        )
         for name in _NAMES
     }
     world.clock.advance(1)
@@ -80,50 +82,50 @@
     return world
 
 
-def test_all_start_again_and_the_last_holder_of_the_lease_owns() -> None:
-    """Every process was killed; the store tells who ordered samplers last.
+def test_after_a_full_restart_the_last_lease_holder_owns_the_service() -> None:
+    """Every process is killed; the store has the last holder of the lease.
 
-    Whoever else took the service over would wait for seconds before it may
-    order them.
+    Any other instance that took over the service would have to wait for seconds
+    before it may order samplers.
     """
     first = _find_owners(_make_world(), first_start=True)[0]
-    former = next(name for name in _NAMES if name != first)
+    last_holder = next(name for name in _NAMES if name != first)
     world = _make_world()
-    world.store.change(f'leases/{SERVICE}', _RECORD % former.encode())
-    assert _find_owners(world, first_start=False) == [former]
+    world.store.change(f'leases/{SERVICE}', _LEASE % last_holder.encode())
+    assert _find_owners(world, first_start=False) == [last_holder]
 
 
-def test_the_former_owner_need_not_hear_of_all_others() -> None:
-    """Every process was killed; two hundred start within a second or two.
+def test_the_last_lease_holder_does_not_wait_for_all_others() -> None:
+    """Every process is killed; two hundred start within one or two seconds.
 
-    Joins come one after the other all that time. Whoever held the lease only
-    has to know that nobody runs for longer; the others wait for all.
+    During that time instances keep joining. The last holder of the lease only
+    has to know that no instance has run for longer; the others wait for all.
     """
     world = _make_world()
     clock: PausedClock = world.clock
-    world.store.change(f'leases/{SERVICE}', _RECORD % b'b')
-    registries = {name: _Registry(first_start=False) for name in _NAMES}
+    world.store.change(f'leases/{SERVICE}', _LEASE % b'b')
+    registries = {name: _FakeRegistry(first_start=False) for name in _NAMES}
     for name, registry in registries.items():
-        _begin(world, name, registry)
+        _start_services(world, name, registry)
     clock.advance(0.1)
     enough = {name: each.enough for name, each in registries.items()}
     assert enough == {'a': False, 'b': True, 'c': False}
 
 
-def test_a_former_owner_that_starts_alone_waits_for_the_others() -> None:
-    """Only its process was killed; one that runs on has taken over."""
+def test_a_former_owner_that_restarts_alone_waits_for_the_others() -> None:
+    """Only its process was killed; a running instance has taken over."""
     world = _make_world()
     clock: PausedClock = world.clock
-    world.store.change(f'leases/{SERVICE}', _RECORD % b'b')
-    registry = _Registry(first_start=False)
+    world.store.change(f'leases/{SERVICE}', _LEASE % b'b')
+    registry = _FakeRegistry(first_start=False)
     boots = {'a': 0, 'b': 20_000, 'c': 0}
-    _begin(world, InstanceId('b'), registry, boots.get)
+    _start_services(world, InstanceId('b'), registry, boots.get)
     clock.advance(0.1)
     assert not registry.enough
 
 
-def test_the_store_is_away_at_the_restart_and_one_owns_all_the_same() -> None:
-    """Who held the lease can't be read; the ranking decides."""
+def test_one_instance_owns_the_service_if_the_store_is_unavailable() -> None:
+    """The holder of the lease can't be read, so the ranking decides."""
     first = _find_owners(_make_world(), first_start=True)[0]
     world = _make_world()
     world.store.outage = True
