--- a/guavagate/partitions/_blobs.py
+++ b/guavagate/partitions/_blobs.py
@@ -89,7 +89,7 @@
         return blob
 
     def delete_unreferenced(self, referenced: Iterable[Blob]) -> None:
-        """Delete the loaded parts that no blob references; clear the cache.
+        """Delete loaded parts of unreferenced blobs and clear the cache.
 
         An instance that dies between writing a blob and writing the record
         leaves unreferenced parts.
--- a/guavagate/partitions/_primary.py
+++ b/guavagate/partitions/_primary.py
@@ -122,7 +122,7 @@
 
     def close(self) -> None:
         """Reply `UNKNOWN` to all pending commands and stop."""
-        self._close(SubmitReply(verdict=Verdict.UNKNOWN))
+        self._close_with(SubmitReply(verdict=Verdict.UNKNOWN))
         self._task.kill(block=False)
 
     def _find_refusal(
@@ -135,7 +135,7 @@
             return SubmitReply(verdict=Verdict.INVALID, problem=problem)
         if abs(self._clock.wall() - entry.at) > MAX_CLOCK_SKEW_SECONDS:
             problem = (
-                'the command time differs by more than '
+                'the command time differs from the local clock by more than '
                 f'{MAX_CLOCK_SKEW_SECONDS:.0f}s'
             )
             return SubmitReply(verdict=Verdict.INVALID, problem=problem)
@@ -265,10 +265,10 @@
         reply = SubmitReply(verdict=verdict, holder=self.holder)
         for pending in batch:
             _set_reply(pending, reply)
-        self._close(SubmitReply(verdict=Verdict.MOVED, holder=self.holder))
+        self._close_with(SubmitReply(verdict=Verdict.MOVED, holder=self.holder))
         self._on_lost()
 
-    def _close(self, reply: SubmitReply) -> None:
+    def _close_with(self, reply: SubmitReply) -> None:
         """Reply to all pending commands and accept no more."""
         self.closed = True
         pending, self._queue = self._queue, []
--- a/guavagate/partitions/_record_writer.py
+++ b/guavagate/partitions/_record_writer.py
@@ -165,7 +165,7 @@
     def _resolve_conflict(
         self, conflict: StoreConflictError, record: Record, *, unsure: bool
     ) -> Revision:
-        """Return the revision if the conflict is with our own earlier write."""
+        """Return the revision of our own write or raise `SupersededError`."""
         found = conflict.current or self._read_newer()
         if found is None:
             raise SupersededError(InstanceId(''), unsure=unsure)
--- a/guavagate/partitions/_stored.py
+++ b/guavagate/partitions/_stored.py
@@ -228,7 +228,7 @@
         repeated: bool,
         end: float,
     ) -> tuple[SubmitReply | None, bool]:
-        """Try one instance; also return whether the command may be applied."""
+        """Try one instance; also return if it may have applied the command."""
         request = Submit(
             partition=partition,
             entry=entry,
--- a/tests/partitions/test_record_writer.py
+++ b/tests/partitions/test_record_writer.py
@@ -29,14 +29,14 @@
         self.store = MemoryStore(self.clock, self.state)
         self._ids = itertools.count()
 
-    def run(self, act: Callable[..., Any], *args: Any) -> Any:
+    def run(self, function: Callable[..., Any], *args: Any) -> Any:
         """Run a blocking call in virtual time and return its result."""
-        task = self.clock.spawn(act, *args)
+        task = self.clock.spawn(function, *args)
         self.clock.run_until(task.ready, 60)
         self.clock.advance(1)
         return task.get(block=False)
 
-    def take(self, name: str = 'a') -> tuple[RecordWriter, StateMachine]:
+    def take_over(self, name: str = 'a') -> tuple[RecordWriter, StateMachine]:
         """Take the partition over as an instance."""
         writer = RecordWriter(
             self.store,
@@ -81,7 +81,7 @@
     several parts. Together they give the state up to the last entry.
     """
     bench = Bench()
-    writer, machine = bench.take()
+    writer, machine = bench.take_over()
     for _ in range(9):
         bench.add(writer, machine, 200_000)
     bench.add(writer, machine)
@@ -89,8 +89,8 @@
     assert writer.record.snapshot.size > PART_BYTES
     assert writer.record.segments
     assert writer.record.tail
-    _, copy = bench.take('b')
-    assert copy.snapshot() == machine.snapshot()
+    _, successor = bench.take_over('b')
+    assert successor.snapshot() == machine.snapshot()
 
 
 def test_unreferenced_blobs_are_deleted() -> None:
@@ -101,25 +101,25 @@
     deletion they would accumulate.
     """
     bench = Bench()
-    writer, machine = bench.take()
+    writer, machine = bench.take_over()
     path = 'partition-blobs-00007/left-0000'
     bench.run(bench.store.put, path, b'""', 0)
     for _ in range(12):
         bench.add(writer, machine, 200_000)
-    writer, _ = bench.take('b')
-    named = [
+    writer, _ = bench.take_over('b')
+    referenced = [
         f'partition-blobs-00007/{name}'
         for blob in writer.record.list_blobs()
         for name in blob.list_part_names()
     ]
-    assert sorted(bench.blobs()) == sorted(named)
+    assert sorted(bench.blobs()) == sorted(referenced)
 
 
 def test_a_superseded_holder_is_refused() -> None:
     """Two instances act as holder; only the later one may add entries."""
     bench = Bench()
-    first, machine = bench.take('a')
-    second, other = bench.take('b')
+    first, machine = bench.take_over('a')
+    second, other = bench.take_over('b')
     with pytest.raises(SupersededError):
         bench.add(first, machine)
     bench.add(second, other)
@@ -129,11 +129,11 @@
 def test_a_lost_response_is_reconciled_by_the_change_id() -> None:
     """The store applies a write once even if its response is lost."""
     bench = Bench()
-    writer, machine = bench.take()
+    writer, machine = bench.take_over()
     bench.state.lose_next = 1
     bench.add(writer, machine)
-    _, copy = bench.take('b')
-    assert copy.snapshot() == machine.snapshot()
+    _, successor = bench.take_over('b')
+    assert successor.snapshot() == machine.snapshot()
 
 
 def test_an_object_that_is_no_record_is_not_overwritten() -> None:
@@ -145,7 +145,7 @@
     bench = Bench()
     bench.run(bench.store.put, 'partitions/7', b'not a record', 0)
     with pytest.raises(StoreError, match='write back its earlier value'):
-        bench.take()
+        bench.take_over()
     assert bench.state.objects['partitions/7'].value == b'not a record'
 
 
@@ -160,7 +160,7 @@
     monkeypatch.setattr(record_writer, 'MAX_TAIL_BYTES', 2_000)
     monkeypatch.setattr(record_writer, 'MIN_SNAPSHOT_INTERVAL_BYTES', 10_000)
     bench = Bench()
-    writer, machine = bench.take()
+    writer, machine = bench.take_over()
     written = 0
     known: set[str] = set()
     for number in range(300):
@@ -178,8 +178,8 @@
     release does not take over the partition.
     """
     bench = Bench()
-    writer, machine = bench.take()
+    writer, machine = bench.take_over()
     entry = Entry('c1', 'AddTwice', b'', 1.5)
     bench.run(writer.add, [entry], machine)
     with pytest.raises(StoreError, match='run the release that wrote it'):
-        bench.take('b')
+        bench.take_over('b')
