--- a/guavagate/forwarding/_stream.py
+++ b/guavagate/forwarding/_stream.py
@@ -98,7 +98,7 @@
         if answer.status != _OK and run.exchange.started:
             raise UpstreamError(
                 f'{upstream.id} answered {answer.status} to a resumed stream',
-                'check the upstream; the stream goes on elsewhere if it may',
+                'check the upstream; a resumable stream continues elsewhere',
             )
         if not run.exchange.started:
             headers = drop_hop_by_hop(answer.headers)
@@ -115,7 +115,7 @@
         if run.partial and answer.status == _OK:
             raise UpstreamError(
                 f'{upstream.id} ended in the middle of an event',
-                'check the upstream; the stream goes on elsewhere if it may',
+                'check the upstream; a resumable stream continues elsewhere',
             )
         if run.partial:
             run.exchange.send(run.partial)
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -139,7 +139,7 @@
         'tests/jobs/test_rewards.py',
     ),
     Safeguard(
-        'a signature comes with a whole success',
+        'only a successful answer gives a signature',
         'guavagate/forwarding/_rewards.py',
         'if attempt.status not in _SUCCESS or not signature:',
         'if False:',
@@ -246,21 +246,21 @@
         'tests/forwarding',
     ),
     Safeguard(
-        'what may have run is not repeated',
+        'a request that may have run is not repeated',
         'guavagate/forwarding/_forward.py',
         'if may_repeat or not progress.may_have_run:',
         'if True:',
         'tests/forwarding',
     ),
     Safeguard(
-        'a stream that may not be resumed is not',
+        'a non-resumable stream is not resumed',
         'guavagate/forwarding/_stream.py',
         'if outcome.kind is OutcomeKind.UNKNOWN and not route.resumable:',
         'if False:',
         'tests/forwarding',
     ),
     Safeguard(
-        'a stream goes on at another after its last whole event',
+        'a stream resumes after its last complete event',
         'guavagate/forwarding/_stream.py',
         "        run.partial = b''\n",
         '        run.last_event_id += 0\n',
@@ -331,7 +331,7 @@
         'tests/http1/test_exchange.py',
     ),
     Safeguard(
-        'the target is named',
+        'a forwarded request has its target header',
         'guavagate/platform/_dialect.py',
         '            (const.TARGET, upstream.id.encode()),\n',
         '',
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -20,7 +20,7 @@
         'tests/test_keys.py',
     ),
     Safeguard(
-        'no route is denied by old news',
+        'no route is denied on an old proof',
         'guavagate/front/_authenticator.py',
         'proved = may_deny(self._proof_age(), self._bounds)',
         'proved = True',
@@ -57,14 +57,14 @@
         'tests/feeds/test_proof.py',
     ),
     Safeguard(
-        'no key goes on to an upstream',
+        'no key is forwarded to an upstream',
         'guavagate/platform/_dialect.py',
         'each[0].lower() in _CREDENTIALS)',
         'False)',
         'tests/platform/test_edge_keys.py',
     ),
     Safeguard(
-        'no caller names its team itself',
+        "a caller's team header is replaced",
         'guavagate/platform/_dialect.py',
         '        const.TENANT.lower(),\n    )\n)',
         '    )\n)',
