--- a/guavagate/links/_socket.py
+++ b/guavagate/links/_socket.py
@@ -144,7 +144,7 @@
             except zmq.Again:
                 break
             taken += 1
-            self._traffic.note_received(len(frames[-1]))
+            self._traffic.record_received(len(frames[-1]))
             self._received(frames)
         return taken
 
@@ -155,7 +155,7 @@
             try:
                 frames = self._outbox[ticket]
                 self._socket.send_multipart(frames, zmq.NOBLOCK)
-                self._traffic.note_sent(len(frames[-1]))
+                self._traffic.record_sent(len(frames[-1]))
             except zmq.Again:
                 break
             except zmq.ZMQError:  # The peer has gone: nobody to answer.
--- a/guavagate/membership/__init__.py
+++ b/guavagate/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is alive: probes between instances, seeded by the platform's list."""
+"""Failure detection between instances, seeded by the platform's list."""
 
 from guavagate.membership._members import Membership
 from guavagate.membership._packet import MemberState
--- a/guavagate/membership/_detector.py
+++ b/guavagate/membership/_detector.py
@@ -1,19 +1,21 @@
-"""The failure detector: SWIM-style probes, without any I/O.
-
-It is given datagrams and the time and returns datagrams to send. Each period
-it probes one member, in a shuffled round; a member that does not answer is
-probed through others before it is suspected, and a suspected one has time to
-refute before it is dead. So the cost of a node does not grow with the fleet.
-
-Differences from the published protocol, each for a failure:
-
-- A claim that another is dead counts as a suspicion, unless three could not
-  reach it, so an instance that hears nobody can't take healthy ones out of
-  use by its word.
-- Whoever hears of a suspicion probes the suspect at once (on average ten of
-  them in a large fleet), and the probe tells the suspect, who refutes.
-- A detector that hears nobody at all accuses nobody for a while.
-- A detector that was itself paused starts all its timers anew.
+"""A SWIM-style failure detector without I/O.
+
+The caller passes in datagrams and the time; the detector returns datagrams to
+send. In each interval it probes one member, in shuffled rounds. A member that
+does not answer is probed through others before it is suspected, and a
+suspected member has time to refute before it is declared dead. The cost per
+instance therefore does not grow with the fleet.
+
+Differences from the published protocol, each of which handles a failure:
+
+- A claim that a member is dead counts as a suspicion until three instances
+  could not reach the member. An instance that receives nothing therefore can't
+  take healthy instances out of use by its claims.
+- Instances that learn of a suspicion probe the suspect at once (on average ten
+  of them in a large fleet). The probe carries the suspicion, so the suspect
+  can refute it.
+- A detector that receives nothing at all accuses no member for a while.
+- A detector whose own process was paused restarts all its timers.
 """
 
 import logging
@@ -25,29 +27,30 @@
 from guavagate.membership._identity import Identity
 from guavagate.membership._join import Joiner
 from guavagate.membership._packet import Act, MemberState, Packet, Update
-from guavagate.membership._probes import HELPERS, Prober, Send
+from guavagate.membership._probes import INDIRECT_PROBERS, Prober, Send
 from guavagate.membership._table import ACCUSED, Member, Table
 from guavagate.models import InstanceId
 from guavagate.settings import PeerSettings
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# One probe a period. Over 80 seeds a dead one of nine was out of use at all
-# others after 1.9 s (p50) and 2.9 s (worst); with 0.25 s the worst was 3.2 s.
-PERIOD: Final = 0.2
-# Time to refute. Ends early once three could not reach it; still a process
-# paused for a second is never dead.
+# Over 80 seeds all others had taken a dead one of nine instances out of use
+# after 1.9 s (p50) and 2.9 s (worst); with 0.25 s the worst was 3.2 s.
+PROBE_INTERVAL_SECONDS: Final = 0.2
+# Time to refute. The shorter limit applies once three instances could not reach
+# the suspect; a process that is paused for a second survives either limit.
 SUSPICION_SECONDS: Final = 1.2
-CONFIRMED_SECONDS: Final = 0.8
-# How long hearing nobody is taken for a fault of one's own.
-DEAF_AFTER: Final = 1.0
-DEAF_LIMIT: Final = 6.0
-PAUSED_AFTER: Final = 1.0
+CONFIRMED_SUSPICION_SECONDS: Final = 0.8
+# An instance that receives nothing for a time between these two limits assumes
+# that the fault is its own.
+ISOLATED_AFTER_SECONDS: Final = 1.0
+LOCAL_FAULT_LIMIT_SECONDS: Final = 6.0
+PAUSED_AFTER_SECONDS: Final = 1.0
 _SUSPECT_PROBERS: Final = 10
 
 
 class Detector:
-    """The state of one instance's membership; see the module."""
+    """The membership protocol's state in one instance."""
 
     def __init__(
         self, me: PeerSettings, boot: int, now: float, seed: int
@@ -55,123 +58,129 @@
         rng = random.Random(seed)
         self.identity = Identity(me, boot)
         self.table = Table()
-        self.heard_facts: dict[InstanceId, dict[str, bytes]] = {}
+        self.peer_facts: dict[InstanceId, dict[str, bytes]] = {}
         self.joiner = Joiner(self.identity, self.table, rng, now)
         self._prober = Prober(self.identity, self.table, rng)
         self._random = rng
-        self._heard_at = now
-        self._ticked_at = now
-        self._period_at = now
-        # Looked for only when something changed: going through all members
-        # at each tick would make the cost grow with the fleet.
+        self._last_message_at = now
+        self._last_tick_at = now
+        self._next_probe_at = now
+        # Rebuilt only when the table changed: scanning all members at each
+        # tick would make the cost grow with the fleet.
         self._suspects: list[InstanceId] = []
-        self._looked_at = self.table.changes
+        self._seen_changes = self.table.changes
 
     def on_tick(self, now: float) -> list[Send]:
-        """Do what is due; call about every tenth of a second."""
-        if now - self._ticked_at > PAUSED_AFTER:
-            self._forgive(now)
-        self._ticked_at = now
+        """Run what is due; the caller ticks about every 0.1 seconds."""
+        if now - self._last_tick_at > PAUSED_AFTER_SECONDS:
+            self._restart_timers(now)
+        self._last_tick_at = now
         if self.identity.superseded:
             return []
         sends, failed = self._prober.check(now)
         for target in failed:
             self._suspect(target, now)
-        self._bury_suspects(now)
-        if now >= self._period_at:
-            self._period_at = now + PERIOD
+        self._expire_suspects(now)
+        if now >= self._next_probe_at:
+            self._next_probe_at = now + PROBE_INTERVAL_SECONDS
             sends += self._prober.start(now)
         return sends + self.joiner.on_tick(now)
 
     def on_message(
         self, address: str, packet: Packet, now: float
     ) -> list[Send]:
-        """Take in a datagram and return the answers."""
+        """Process a datagram and return the datagrams to send in response."""
         if packet.sender == self.identity.me.id or self.identity.superseded:
             return []
-        self._heard_at = now
+        self._last_message_at = now
         if packet.act in {Act.PING, Act.ACK}:
-            self.heard_facts[packet.sender] = packet.facts
-        asked = self._take_header(address, packet, now)
-        # What a page tells is known to others; to pass it on as news again
-        # would fill the datagrams of everyone for minutes after a start.
-        self.take_claims(packet.updates, now, news=packet.act != Act.PAGE)
-        return asked + self._answer(address, packet, now)
-
-    def take_claims(
+            self.peer_facts[packet.sender] = packet.facts
+        queries = self._process_header(address, packet, now)
+        # Other members already know a page's claims. Gossiping them again
+        # would fill every member's datagrams for minutes after a start.
+        self.apply_claims(packet.updates, now, news=packet.act != Act.PAGE)
+        return queries + self._respond(address, packet, now)
+
+    def apply_claims(
         self, updates: Iterable[Update], now: float, *, news: bool = True
     ) -> None:
-        """Take in claims and pass on what is news."""
+        """Apply claims and, for news, gossip those that changed anything."""
         for update in updates:
             if update.id == self.identity.me.id:
                 self.identity.refute(update)
             elif self._apply(update, now):
                 if news:
                     self.identity.gossip.add(update)
-                self._hasten(update, now)
+                self._probe_early(update, now)
 
     def leave(self, state: MemberState) -> list[Send]:
-        """Say that this instance is leaving, or has left, to some at once."""
-        self.identity.change(state)
+        """Return datagrams that announce a leaving state to some members."""
+        self.identity.change_state(state)
         members = self.table.reachable()
-        chosen = self._random.sample(members, min(2 * HELPERS, len(members)))
-        told = (self.identity.describe(),)
+        chosen = self._random.sample(
+            members, min(2 * INDIRECT_PROBERS, len(members))
+        )
+        claims = (self.identity.describe(),)
         return [
-            (self.table.address(each), self._write(Act.GOSSIP, told))
+            (self.table.address(each), self._build_packet(Act.GOSSIP, claims))
             for each in chosen
         ]
 
-    def deaf(self, now: float) -> bool:
-        """Return whether nobody at all is heard, so the fault may be here.
+    def may_have_local_fault(self, now: float) -> bool:
+        """Return whether this instance receives nothing from any member.
 
-        With one other member the two cases can't be told apart, and the
-        other is taken for dead.
+        The fault is then probably its own. With only one other member the two
+        cases can't be distinguished, and the other member counts as failed.
         """
-        if not DEAF_AFTER < now - self._heard_at < DEAF_LIMIT:
+        if (
+            not ISOLATED_AFTER_SECONDS
+            < now - self._last_message_at
+            < LOCAL_FAULT_LIMIT_SECONDS
+        ):
             return False
         return len(self.table.reachable()) > 1
 
     def isolated(self, now: float) -> bool:
-        """Return whether others are known of but none has been heard."""
+        """Return whether members are known but none has sent anything."""
         known = bool(self.table.members)
-        return known and now - self._heard_at > DEAF_AFTER
+        return known and now - self._last_message_at > ISOLATED_AFTER_SECONDS
 
-    def _take_header(
+    def _process_header(
         self, address: str, packet: Packet, now: float
     ) -> list[Send]:
-        """Take in what a sender says of itself; exchange contacts if new."""
+        """Apply the sender's own state; exchange contacts if it is unknown."""
         sends = []
         if packet.unknown:
-            mine = (self.identity.describe(),)
-            sends.append((address, self._write(Act.GOSSIP, mine)))
+            own_claim = (self.identity.describe(),)
+            sends.append((address, self._build_packet(Act.GOSSIP, own_claim)))
         known = self.table.members.get(packet.sender)
-        if known is not None and _is_same(known, packet):
+        if known is not None and _is_known_process(known, packet):
             claim = Update(
                 packet.sender, packet.state, packet.incarnation, packet.sender
             )
-            self.take_claims((claim,), now)
+            self.apply_claims((claim,), now)
             return sends
-        told = () if known is None else (self.table.describe(packet.sender),)
-        ask = self._write(Act.GOSSIP, told, unknown=True)
-        return [*sends, (address, ask)]
+        claims = () if known is None else (self.table.describe(packet.sender),)
+        query = self._build_packet(Act.GOSSIP, claims, unknown=True)
+        return [*sends, (address, query)]
 
-    def _answer(self, address: str, packet: Packet, now: float) -> list[Send]:
+    def _respond(self, address: str, packet: Packet, now: float) -> list[Send]:
         if packet.act == Act.PING:
-            told = self.table.tell_accused(packet.sender)
-            ack = self._write(Act.ACK, told, sequence=packet.sequence)
+            claims = self.table.describe_accused(packet.sender)
+            ack = self._build_packet(Act.ACK, claims, sequence=packet.sequence)
             return [(address, ack)]
         if packet.act == Act.ACK:
             return self._prober.accept_ack(packet)
         if packet.act == Act.PING_REQUEST:
             return self._prober.relay(address, packet, now)
         if packet.act == Act.SYNC:
-            return [(address, self.joiner.page(packet))]
+            return [(address, self.joiner.build_page(packet))]
         if packet.act == Act.PAGE:
             return self.joiner.accept_page(address, packet)
         return []
 
     def _apply(self, update: Update, now: float) -> bool:
-        """Take in a claim about another and log what it changes."""
+        """Apply a claim about another member and log what it changes."""
         before = self.table.members.get(update.id)
         seen = None if before is None else (before.state, before.contact.boot)
         if not self.table.apply(update, now):
@@ -182,7 +191,7 @@
 
     def _suspect(self, target: InstanceId, now: float) -> None:
         member = self.table.find(target)
-        if member is None or self.deaf(now):
+        if member is None or self.may_have_local_fault(now):
             return
         claim = Update(
             target,
@@ -191,31 +200,33 @@
             self.identity.me.id,
             member.contact,
         )
-        self.take_claims((claim,), now)
+        self.apply_claims((claim,), now)
 
-    def _hasten(self, update: Update, now: float) -> None:
-        """Probe a suspect next: it learns of it and can refute in time."""
+    def _probe_early(self, update: Update, now: float) -> None:
+        """Probe a suspect next, so that it can refute in time."""
         if MemberState(update.state) not in ACCUSED:
             return
         chance = _SUSPECT_PROBERS / max(len(self.table.members), 1)
         if self._random.random() < chance:
-            self._prober.hasten(update.id)
-            self._period_at = min(self._period_at, now)
+            self._prober.probe_next(update.id)
+            self._next_probe_at = min(self._next_probe_at, now)
 
-    def _bury_suspects(self, now: float) -> None:
-        if self._looked_at != self.table.changes:
-            self._looked_at = self.table.changes
+    def _expire_suspects(self, now: float) -> None:
+        if self._seen_changes != self.table.changes:
+            self._seen_changes = self.table.changes
             self._suspects = self.table.suspects()
-            self._forget_facts()
-        if not self._suspects or self.deaf(now):
+            self._drop_stale_facts()
+        if not self._suspects or self.may_have_local_fault(now):
             return
         for instance in self._suspects:
             member = self.table.members[instance]
             limit = (
-                CONFIRMED_SECONDS if member.confirmed() else SUSPICION_SECONDS
+                CONFIRMED_SUSPICION_SECONDS
+                if member.confirmed()
+                else SUSPICION_SECONDS
             )
             if now - member.since >= limit:
-                claim = self.table.bury(instance, now)
+                claim = self.table.mark_dead(instance, now)
                 self.identity.gossip.add(claim)
                 accusers = sorted(member.accusers)
                 write(
@@ -225,28 +236,31 @@
                     accusers=accusers,
                 )
 
-    def _forget_facts(self) -> None:
-        """Drop what dead members said; ids of replaced ones never end."""
-        for instance in self.heard_facts.keys() - self.table.members.keys():
-            self.heard_facts.pop(instance)
+    def _drop_stale_facts(self) -> None:
+        """Drop the facts of dead members.
+
+        Replaced instances get new ids, so the facts would grow without limit.
+        """
+        for instance in self.peer_facts.keys() - self.table.members.keys():
+            self.peer_facts.pop(instance)
         for instance, member in self.table.members.items():
             if not member.reachable():
-                self.heard_facts.pop(instance, None)
+                self.peer_facts.pop(instance, None)
 
-    def _forgive(self, now: float) -> None:
-        """Start all timers anew after a pause of this process.
+    def _restart_timers(self, now: float) -> None:
+        """Restart all timers after this process was paused.
 
-        The answers came while it did not run; judged by its old timers,
-        every member would be dead at once.
+        Answers arrived while it did not run. By the old timers it would
+        declare every member dead at once.
         """
-        write(_LOGGER, fleet.PAUSED, seconds=round(now - self._ticked_at, 1))
-        self._prober.forget()
-        self._heard_at = now
+        write(_LOGGER, fleet.PAUSED, seconds=round(now - self._last_tick_at, 1))
+        self._prober.drop_pending()
+        self._last_message_at = now
         for member in self.table.members.values():
             if member.state is MemberState.SUSPECT:
                 member.since = now
 
-    def _write(
+    def _build_packet(
         self,
         act: Act,
         updates: tuple[Update, ...] = (),
@@ -254,7 +268,7 @@
         unknown: bool = False,
         sequence: int = 0,
     ) -> Packet:
-        return self.identity.write_packet(
+        return self.identity.build_packet(
             act,
             len(self.table.members),
             updates,
@@ -263,11 +277,11 @@
         )
 
 
-def _is_same(known: Member, packet: Packet) -> bool:
-    """Return whether the sender is the process held under its id, and lives.
+def _is_known_process(known: Member, packet: Packet) -> bool:
+    """Return whether the sender is the known process of its id, and alive.
 
-    A later process under the same id sends its contact first; its number
-    alone would be put beside the former process's address.
+    A later process under the same id must send its contact first. Otherwise
+    its incarnation would be combined with the former process's address.
     """
     return known.reachable() and known.contact.boot == packet.boot
 
--- a/guavagate/membership/_gossip.py
+++ b/guavagate/membership/_gossip.py
@@ -1,8 +1,8 @@
-"""Claims waiting to be passed on with the next datagrams.
+"""The queue of claims to gossip with the next datagrams.
 
-Each claim rides on about three times log2(members) datagrams, which reaches
-all of them with high probability; the number in a datagram is bounded, so a
-change costs every node the same at any size of the fleet.
+Each claim is sent in about 3 * log2(members) datagrams, which reaches all
+members with high probability. The number of claims per datagram is bounded, so
+a change costs each instance the same at any size of the fleet.
 """
 
 import dataclasses
@@ -23,25 +23,25 @@
 
 
 class Gossip:
-    """The newest claim about each member, least sent first."""
+    """The newest claim about each member; those sent least go first."""
 
     def __init__(self) -> None:
         self._entries: dict[InstanceId, _Entry] = {}
 
     def add(self, update: Update) -> None:
-        """Pass a claim on, in place of an earlier one about the member."""
+        """Queue a claim; it replaces an earlier one about the same member."""
         self._entries[update.id] = _Entry(update)
 
-    def take(self, members: int, room: int) -> tuple[Update, ...]:
-        """Return claims for one datagram that has room for so many."""
+    def take(self, member_count: int, capacity: int) -> tuple[Update, ...]:
+        """Return at most `capacity` claims to send in one datagram."""
         if not self._entries:
             return ()
-        limit = _REPEATS * math.ceil(math.log2(members + 2))
+        send_limit = _REPEATS * math.ceil(math.log2(member_count + 2))
         chosen = sorted(self._entries.values(), key=lambda entry: entry.sent)[
-            : max(room, 0)
+            : max(capacity, 0)
         ]
         for entry in chosen:
             entry.sent += 1
-            if entry.sent >= limit:
+            if entry.sent >= send_limit:
                 self._entries.pop(entry.update.id)
         return tuple(entry.update for entry in chosen)
--- a/guavagate/membership/_identity.py
+++ b/guavagate/membership/_identity.py
@@ -1,4 +1,4 @@
-"""What this instance says of itself, and the datagrams that say it."""
+"""The membership state of this instance and datagrams that carry it."""
 
 import logging
 from typing import Final
@@ -17,17 +17,17 @@
 from guavagate.settings import PeerSettings
 
 _LOGGER: Final = logging.getLogger(__name__)
-_NOBODY: Final = InstanceId('')
+_NO_TARGET: Final = InstanceId('')
 
 
 class Identity:
-    """What this instance is: its state, incarnation and facts.
+    """The state, incarnation and facts of this instance.
 
     Parameters
     ----------
     boot
-        Milliseconds since the epoch at this process's start; the first
-        incarnation too, so a restarted process outranks its predecessor.
+        Milliseconds since the epoch at this process's start. It is also the
+        first incarnation, so a restarted process outranks its predecessor.
     """
 
     def __init__(self, me: PeerSettings, boot: int) -> None:
@@ -42,7 +42,7 @@
         self.announce()
 
     def describe(self) -> Update:
-        """Return the claim about this instance itself."""
+        """Return this instance's claim about itself."""
         return Update(
             self.me.id,
             self.state.value,
@@ -52,49 +52,51 @@
         )
 
     def announce(self) -> None:
-        """Spread the claim about this instance."""
+        """Gossip this instance's claim about itself."""
         self.gossip.add(self.describe())
 
-    def change(self, state: MemberState) -> None:
-        """Take another state, and say so."""
+    def change_state(self, state: MemberState) -> None:
+        """Change this instance's state and announce it."""
         self.state = state
         self.incarnation += 1
         self.announce()
 
     def refute(self, claim: Update) -> None:
-        """Overrule a claim about this instance that is not its own.
+        """Overrule a claim by others about this instance.
 
-        One that names a process started later under the same id is not
-        overruled: the platform has replaced this one while it was paused,
-        and two that overrule each other would both be used in turn.
+        A claim that names a later process under the same id stands: the
+        platform replaced this process while it was paused. If both overruled
+        each other, members would use them alternately.
         """
         if claim.incarnation < self.incarnation:
             return
         other = claim.contact
         if other is not None and other.boot > self.boot:
-            self._yield_id()
+            self._mark_superseded()
             return
         mine = other is None or other == self.contact
-        if mine and claim == self._echo(claim):
+        if mine and claim == self._describe_as_claimed(claim):
             return
         self.incarnation = claim.incarnation + 1
         self.announce()
 
-    def write_packet(
+    def build_packet(
         self,
         act: Act,
-        members: int,
+        member_count: int,
         updates: tuple[Update, ...] = (),
         *,
         unknown: bool = False,
-        target: InstanceId = _NOBODY,
+        target: InstanceId = _NO_TARGET,
         sequence: int = 0,
         address: str = '',
     ) -> Packet:
-        """Return a datagram; claims fill the room that is left in it."""
-        told = {update.id for update in updates}
-        spread = self.gossip.take(members, UPDATES_PER_PACKET - len(updates))
-        extra = tuple(each for each in spread if each.id not in told)
+        """Return a datagram; gossip fills its remaining capacity."""
+        included = {update.id for update in updates}
+        gossip = self.gossip.take(
+            member_count, UPDATES_PER_PACKET - len(updates)
+        )
+        extra = tuple(each for each in gossip if each.id not in included)
         return Packet(
             version=WIRE_VERSION,
             act=act,
@@ -110,8 +112,8 @@
             facts=self.facts if act in {Act.PING, Act.ACK} else {},
         )
 
-    def _echo(self, claim: Update) -> Update:
-        """Return this instance's own claim in the form of another's."""
+    def _describe_as_claimed(self, claim: Update) -> Update:
+        """Return this instance's own claim with another claim's source."""
         return Update(
             self.me.id,
             self.state.value,
@@ -120,7 +122,7 @@
             claim.contact,
         )
 
-    def _yield_id(self) -> None:
+    def _mark_superseded(self) -> None:
         if not self.superseded:
             write(_LOGGER, fleet.SUPERSEDED, instance=self.me.id)
         self.superseded = True
--- a/guavagate/membership/_join.py
+++ b/guavagate/membership/_join.py
@@ -1,32 +1,32 @@
-"""Finding members: joining, comparing tables, healing after a partition."""
+"""Member discovery: joining, syncing tables and healing partitions."""
 
 import random
 from typing import Final
 
 from guavagate.membership._identity import Identity
 from guavagate.membership._packet import Act, Packet
-from guavagate.membership._probes import HELPERS, Send
+from guavagate.membership._probes import INDIRECT_PROBERS, Send
 from guavagate.membership._table import Table
 from guavagate.models import InstanceId
 
-CANDIDATE_SECONDS: Final = 2.0
-JOIN_SECONDS: Final = 0.5
-SYNC_SECONDS: Final = 5.0
+CANDIDATE_INTERVAL_SECONDS: Final = 2.0
+JOIN_INTERVAL_SECONDS: Final = 0.5
+SYNC_INTERVAL_SECONDS: Final = 5.0
 PAGE_SIZE: Final = 6
-# A process that has started tells all that it knows of, so many at each tick:
-# others hold that it still does what it did before. Eighty are told in 0.3 s,
-# with 100 bytes each; it is done once.
-ANNOUNCED_AT_ONCE: Final = 32
-# What it hears of later is no list of those that it was with before.
+# Instances that a new process announces itself to at each tick: until then they
+# assume that its predecessor still does its work. Announcing to eighty takes
+# 0.3 s, with 100 bytes each, once per process.
+ANNOUNCE_BATCH: Final = 32
+# Instances that become known later did not know the predecessor.
 ANNOUNCE_SECONDS: Final = 3.0
-_START: Final = InstanceId('')
+_FIRST_PAGE: Final = InstanceId('')
 
 
 class Joiner:
-    """Asks seeds, listed instances and dead members whether they live.
+    """Probes seeds, listed instances and dead members.
 
-    The platform's list only ever adds candidates here: what it names becomes
-    a member by answering, and what it omits stays one.
+    The platform's list only adds candidates: a listed instance becomes a
+    member by answering, and a member that the list omits stays a member.
     """
 
     def __init__(
@@ -39,113 +39,125 @@
         self._identity = identity
         self._table = table
         self._random = rng
-        self._known: dict[InstanceId, str] = {}
-        self._queue: list[InstanceId] = []
+        self._addresses: dict[InstanceId, str] = {}
+        self._candidates: list[InstanceId] = []
         self._candidate_at = now
-        self._sync_at = now + SYNC_SECONDS
-        self._cursor = _START
-        self._whole = False
+        self._sync_at = now + SYNC_INTERVAL_SECONDS
+        self._cursor = _FIRST_PAGE
+        self._has_full_table = False
         self._unannounced: list[InstanceId] = []
         self._announce_until = now + ANNOUNCE_SECONDS
 
-    def learn(self, addresses: dict[InstanceId, str]) -> None:
-        """Take candidates, replacing the addresses of known ones."""
+    def add_candidates(self, addresses: dict[InstanceId, str]) -> None:
+        """Add candidates and replace the addresses of known ones."""
         self._unannounced += [
-            each for each in addresses if each not in self._known
+            each for each in addresses if each not in self._addresses
         ]
-        self._known.update(addresses)
-        self._known.pop(self._identity.me.id, None)
+        self._addresses.update(addresses)
+        self._addresses.pop(self._identity.me.id, None)
 
-    def retain(self, wanted: set[InstanceId]) -> None:
-        """Forget candidates that are no longer named anywhere."""
-        for instance in self._known.keys() - wanted:
-            self._known.pop(instance)
+    def retain_candidates(self, retained: set[InstanceId]) -> None:
+        """Drop all candidates but the given ones."""
+        for instance in self._addresses.keys() - retained:
+            self._addresses.pop(instance)
 
     def on_tick(self, now: float) -> list[Send]:
-        """Try candidates and compare tables when it is time."""
+        """Probe candidates and sync tables when due."""
         sends = self._announce(now)
         if now >= self._candidate_at:
-            sends += self._try_candidates(now)
+            sends += self._probe_candidates(now)
         if now >= self._sync_at:
-            self._sync_at = now + SYNC_SECONDS
-            sends += self._compare()
+            self._sync_at = now + SYNC_INTERVAL_SECONDS
+            sends += self._start_sync()
         return sends
 
-    def page(self, packet: Packet) -> Packet:
-        """Return the members that follow an id, a few at a time."""
+    def build_page(self, packet: Packet) -> Packet:
+        """Return the page of members that follow the requested id."""
         ids = sorted(
             each for each in self._table.members if each > packet.target
         )
         updates = tuple(self._table.describe(each) for each in ids[:PAGE_SIZE])
-        # What follows an id is named by it: gossip in the same datagram
-        # must not be taken for the page's end.
-        cursor = updates[-1].id if updates else _START
-        return self._write(Act.PAGE, updates, cursor)
+        # The packet's target names the page's last member: the datagram's last
+        # update may be gossip that is not part of the page.
+        cursor = updates[-1].id if updates else _FIRST_PAGE
+        return self._build_packet(Act.PAGE, updates, cursor)
 
     def accept_page(self, address: str, packet: Packet) -> list[Send]:
-        """Ask for the next page while joining.
+        """Request the next page while joining.
 
-        Afterwards one page each time is enough to repair what gossip
-        missed, and costs the same at any size of the fleet.
+        Afterwards one page per sync is enough to repair what gossip missed,
+        and its cost does not depend on the size of the fleet.
         """
         self._cursor = packet.target
-        if self._cursor == _START:
-            self._whole = True
-        if self._whole:
+        if self._cursor == _FIRST_PAGE:
+            self._has_full_table = True
+        if self._has_full_table:
             return []
-        return [(address, self._write(Act.SYNC, (), self._cursor))]
+        return [(address, self._build_packet(Act.SYNC, (), self._cursor))]
 
     def _announce(self, now: float) -> list[Send]:
-        """Ping those that were not told yet that this process has started."""
+        """Ping instances that don't know yet that this process started."""
         if now >= self._announce_until:
             self._unannounced = []
-        chosen = self._unannounced[:ANNOUNCED_AT_ONCE]
-        self._unannounced = self._unannounced[ANNOUNCED_AT_ONCE:]
-        ping = self._identity.write_packet(
+        chosen = self._unannounced[:ANNOUNCE_BATCH]
+        self._unannounced = self._unannounced[ANNOUNCE_BATCH:]
+        ping = self._identity.build_packet(
             Act.PING, len(self._table.members), (self._identity.describe(),)
         )
         return [
-            (self._known[each], ping) for each in chosen if each in self._known
+            (self._addresses[each], ping)
+            for each in chosen
+            if each in self._addresses
         ]
 
-    def _try_candidates(self, now: float) -> list[Send]:
-        """Ping some that are known of but not members, or are dead.
+    def _probe_candidates(self, now: float) -> list[Send]:
+        """Ping some known instances that are not members or are dead.
 
-        Both sides of a healed partition hold the other side dead; without
-        this neither would ever speak to the other again.
+        After a partition each side considers the other side dead; without
+        these pings neither would contact the other again.
         """
         members = self._table.reachable()
         joined = bool(members)
-        wait = CANDIDATE_SECONDS if joined and self._whole else JOIN_SECONDS
+        wait = (
+            CANDIDATE_INTERVAL_SECONDS
+            if joined and self._has_full_table
+            else JOIN_INTERVAL_SECONDS
+        )
         self._candidate_at = now + wait
-        if not self._queue:
-            self._queue = self._list_candidates()
+        if not self._candidates:
+            self._candidates = self._list_candidates()
         sends: list[Send] = []
-        if joined and not self._whole:
-            # Others may have found it before it had anyone to ask, and a page
-            # may have been lost: it goes on where it is.
+        if joined and not self._has_full_table:
+            # Others may have contacted this process before it could request a
+            # page, or a page was lost: continue from the last cursor.
             chosen = self._random.choice(members)
-            packet = self._write(Act.SYNC, (), self._cursor)
+            packet = self._build_packet(Act.SYNC, (), self._cursor)
             sends.append((self._table.address(chosen), packet))
-        for _ in range(min(1 if joined else HELPERS, len(self._queue))):
-            sends.extend(self._try(self._queue.pop(), joined))
+        for _ in range(
+            min(1 if joined else INDIRECT_PROBERS, len(self._candidates))
+        ):
+            sends.extend(self._probe_candidate(self._candidates.pop(), joined))
         return sends
 
-    def _try(self, candidate: InstanceId, joined: bool) -> list[Send]:
+    def _probe_candidate(
+        self, candidate: InstanceId, joined: bool
+    ) -> list[Send]:
         if self._table.find(candidate) is not None:
             return []
-        address = self._known.get(candidate)
+        address = self._addresses.get(candidate)
         if address is None:
             address = self._table.address(candidate)
-        told = self._table.tell_accused(candidate)
-        ping = self._identity.write_packet(
+        claims = self._table.describe_accused(candidate)
+        ping = self._identity.build_packet(
             Act.PING,
             len(self._table.members),
-            (self._identity.describe(), *told),
+            (self._identity.describe(), *claims),
         )
         sends = [(address, ping)]
         if not joined:
-            sends.append((address, self._write(Act.SYNC, (), _START)))
+            sends.append(
+                (address, self._build_packet(Act.SYNC, (), _FIRST_PAGE))
+            )
         return sends
 
     def _list_candidates(self) -> list[InstanceId]:
@@ -156,21 +168,23 @@
         }
         chosen = sorted(
             each
-            for each in dead | self._known.keys()
+            for each in dead | self._addresses.keys()
             if self._table.find(each) is None
         )
         self._random.shuffle(chosen)
         return chosen
 
-    def _compare(self) -> list[Send]:
+    def _start_sync(self) -> list[Send]:
         members = self._table.reachable()
         if not members:
             return []
         chosen = self._random.choice(members)
-        packet = self._write(Act.SYNC, (), self._cursor)
+        packet = self._build_packet(Act.SYNC, (), self._cursor)
         return [(self._table.address(chosen), packet)]
 
-    def _write(self, act: Act, updates: tuple, target: InstanceId) -> Packet:
-        return self._identity.write_packet(
+    def _build_packet(
+        self, act: Act, updates: tuple, target: InstanceId
+    ) -> Packet:
+        return self._identity.build_packet(
             act, len(self._table.members), updates, target=target
         )
--- a/guavagate/membership/_members.py
+++ b/guavagate/membership/_members.py
@@ -1,4 +1,4 @@
-"""The task around the failure detector: one UDP socket and the clock."""
+"""Membership over UDP: runs the failure detector on a socket and a clock."""
 
 import logging
 import secrets
@@ -27,17 +27,17 @@
 _LOGGER: Final = logging.getLogger(__name__)
 
 TICK_SECONDS: Final = 0.1
-FACTS_BYTES: Final = 512
+MAX_FACTS_BYTES: Final = 512
 _DATAGRAM_BYTES: Final = 65_536
-_FAREWELLS: Final = 3
+_LEAVE_REPEATS: Final = 3
 
 
 class Membership:
-    """Who is alive; implements `runtime.Members` over UDP.
+    """Tracks which instances are alive; implements `runtime.Members`.
 
-    UDP on the port number of `peer_address`: probing a random member each
-    period over the bus would open a connection, with its handshake, to
-    every instance of the fleet.
+    It uses UDP on the port number of `peer_address`. Probing random members
+    over the bus would open a connection, with its handshake, to every
+    instance of the fleet.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
             describe(settings), boot, clock.now(), secrets.randbits(64)
         )
         self._peers = {peer.id: peer.peer_address for peer in settings.peers}
-        self._detector.joiner.learn(self._peers)
+        self._detector.joiner.add_candidates(self._peers)
         self._subscribers: list[Callable[[], None]] = []
         self._fact_subscribers: list[Callable[[InstanceId], None]] = []
         self._usable: list[PeerSettings] = []
@@ -71,7 +71,7 @@
         self._refresh()
 
     def start(self) -> None:
-        """Listen, probe and join."""
+        """Bind the socket and start to probe and join."""
         host, port = self._settings.peer_address.rsplit(':', 1)
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind((host, int(port)))
@@ -81,11 +81,11 @@
         ]
 
     def stop(self) -> None:
-        """Tell others that this instance has left, and close the socket."""
+        """Announce that this instance has left, and close the socket."""
         if self._socket is None:
             return
         gevent.killall(self._tasks)
-        for _ in range(_FAREWELLS):  # Datagrams may be lost.
+        for _ in range(_LEAVE_REPEATS):  # Datagrams may be lost.
             self._send(self._detector.leave(MemberState.DEAD))
         self._socket.close()
         self._socket = None
@@ -96,19 +96,19 @@
         self._refresh()
 
     def alive(self) -> list[PeerSettings]:
-        """Return all that may be given work, by id.
+        """Return all instances that may get work, ordered by id.
 
-        Includes this instance and suspected ones; not leaving ones.
+        Includes this instance and suspected instances, but no leaving ones.
         """
         return list(self._usable)
 
     def others(self) -> list[InstanceId]:
-        """Return the ids of all usable instances but this one."""
+        """Return the ids of all other usable instances."""
         me = self._settings.id
         return [each.id for each in self._usable if each.id != me]
 
     def get(self, instance: InstanceId) -> PeerSettings | None:
-        """Return an instance that may be asked (leaving ones too)."""
+        """Return an instance unless it is dead; it may be leaving."""
         if instance == self._settings.id:
             return self._detector.identity.me
         member = self._detector.table.find(instance)
@@ -117,7 +117,7 @@
         )
 
     def address(self, instance: InstanceId) -> str | None:
-        """Return where an instance listens for its peers; for the bus."""
+        """Return the address at which an instance listens for the bus."""
         member = self._detector.table.find(instance)
         if member is not None:
             return member.contact.peer_address
@@ -126,18 +126,18 @@
         return None
 
     def state(self, instance: InstanceId) -> MemberState | None:
-        """Return what is held of an instance, or nothing."""
+        """Return an instance's state, or None if it is unknown."""
         if instance == self._settings.id:
             return self._detector.identity.state
         member = self._detector.table.members.get(instance)
         return None if member is None else member.state
 
     def states(self) -> dict[InstanceId, MemberState]:
-        """Return what is held of every instance, dead ones too, by id."""
+        """Return the state of every instance by id, including dead ones."""
         members = self._detector.table.members
-        held = {each: member.state for each, member in members.items()}
-        held[self._settings.id] = self._detector.identity.state
-        return dict(sorted(held.items()))
+        states = {each: member.state for each, member in members.items()}
+        states[self._settings.id] = self._detector.identity.state
+        return dict(sorted(states.items()))
 
     def boot(self, instance: InstanceId) -> int | None:
         """Return a number that differs after each restart of an instance."""
@@ -147,70 +147,73 @@
         return None if member is None else member.contact.boot
 
     def isolated(self) -> bool:
-        """Return whether others are known of but none is heard.
+        """Return whether members are known but none sends anything.
 
-        No ground to refuse callers: the last instance that is left hears
-        nobody either.
+        This is no reason to refuse callers: the last instance that is left
+        receives nothing either.
         """
         return self._detector.isolated(self._clock.now())
 
     def superseded(self) -> bool:
-        """Return whether a later process carries this instance's id."""
+        """Return whether a later process has taken over this instance's id."""
         return self._detector.identity.superseded
 
     def subscribe(self, changed: Callable[[], None]) -> None:
-        """Call back, without blocking, after each change or restart."""
+        """Register a non-blocking callback for changes and restarts."""
         self._subscribers.append(changed)
 
     def set_fact(self, name: str, value: bytes) -> None:
-        """Have a small value carried in this instance's probes and acks.
+        """Publish a small value in this instance's probes and acks.
 
         Raises
         ------
         SettingsError
-            All facts together are larger than `FACTS_BYTES`.
+            All facts together are larger than `MAX_FACTS_BYTES`.
         """
         facts = {**self._detector.identity.facts, name: value}
         size = sum(len(each) + len(facts[each]) for each in facts)
-        if size > FACTS_BYTES:
+        if size > MAX_FACTS_BYTES:
             raise SettingsError(
                 f'facts of {size} bytes do not fit into a probe',
-                f'keep all facts under {FACTS_BYTES} bytes; send a digest',
+                f'keep all facts under {MAX_FACTS_BYTES} bytes; send a digest',
             )
         self._detector.identity.facts = facts
 
     def facts(self, instance: InstanceId) -> dict[str, bytes]:
-        """Return the facts last heard from an instance."""
+        """Return the facts last received from an instance."""
         if instance == self._settings.id:
             return dict(self._detector.identity.facts)
-        return dict(self._detector.heard_facts.get(instance, {}))
+        return dict(self._detector.peer_facts.get(instance, {}))
 
     def subscribe_facts(self, changed: Callable[[InstanceId], None]) -> None:
-        """Call back, without blocking, when an instance's facts change."""
+        """Register a non-blocking callback for changes of facts."""
         self._fact_subscribers.append(changed)
 
     def update_candidates(self, listed: Iterable[PeerSettings]) -> None:
-        """Take the platform's lagging list: candidates to probe, no more."""
+        """Update the candidates to probe from the platform's list.
+
+        The list lags, so it never adds or removes members by itself.
+        """
         addresses = {peer.id: peer.peer_address for peer in listed}
-        self._detector.joiner.retain({*addresses, *self._peers})
-        self._detector.joiner.learn({**self._peers, **addresses})
+        self._detector.joiner.retain_candidates({*addresses, *self._peers})
+        self._detector.joiner.add_candidates({**self._peers, **addresses})
 
     def _receive(self) -> None:
         assert self._socket is not None
         while True:
             datagram, (host, port) = self._socket.recvfrom(_DATAGRAM_BYTES)
-            self.traffic.note_received(len(datagram))
+            self.traffic.record_received(len(datagram))
             packet = decode_packet(datagram, self._credential)
             if packet is None:
                 continue
-            before = self._detector.heard_facts.get(packet.sender)
+            before = self._detector.peer_facts.get(packet.sender)
             self._send(
                 self._detector.on_message(
                     f'{host}:{port}', packet, self._clock.now()
                 )
             )
             self._refresh()
-            after = self._detector.heard_facts.get(packet.sender)
+            after = self._detector.peer_facts.get(packet.sender)
             if after != before:
                 for changed in self._fact_subscribers:
                     changed(packet.sender)
@@ -226,16 +229,16 @@
         for address, packet in sends:
             host, port = address.rsplit(':', 1)
             datagram = encode_packet(packet, self._credential)
-            self.traffic.note_sent(len(datagram))
+            self.traffic.record_sent(len(datagram))
             try:
                 self._socket and self._socket.sendto(
                     datagram, (host, int(port))
                 )
-            except OSError as error:  # As good as lost on the way.
-                _LOGGER.debug('no datagram to %s: %s', address, error)
+            except OSError as error:  # Like a datagram lost on the network.
+                _LOGGER.debug('Sending to %s failed: %s', address, error)
 
     def _refresh(self) -> None:
-        """Rebuild the list of usable instances when anything changed."""
+        """Rebuild the list of usable instances if anything changed."""
         table = self._detector.table
         if (table.changes, self._detector.identity.state) == self._fingerprint:
             return
--- a/guavagate/membership/_packet.py
+++ b/guavagate/membership/_packet.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership, authenticated by the cluster credential."""
+"""Membership datagrams, authenticated by the cluster credential."""
 
 import enum
 import functools
@@ -16,7 +16,7 @@
 
 
 class MemberState(enum.Enum):
-    """What an instance holds of another; later ones outrank earlier ones."""
+    """State of a member; a higher value outranks a lower one."""
 
     ALIVE = 1
     LEAVING = 2
@@ -25,7 +25,7 @@
 
 
 class Act(enum.IntEnum):
-    """What a datagram asks or tells."""
+    """Type of a datagram."""
 
     PING = 1
     ACK = 2
@@ -36,9 +36,9 @@
 
 
 class Contact(msgspec.Struct, frozen=True, array_like=True):
-    """Where a member is, and which process it is.
+    """A member's addresses and process.
 
-    `boot` differs between two processes that carry the same id in turn.
+    `boot` differs between successive processes with the same id.
     """
 
     availability_zone: ZoneId
@@ -49,7 +49,7 @@
 
 
 class Update(msgspec.Struct, frozen=True, array_like=True):
-    """One claim about a member; `by` is the instance that made it first."""
+    """A claim about a member; `by` is the instance that first made it."""
 
     id: InstanceId
     state: int
@@ -59,19 +59,19 @@
 
 
 class Packet(msgspec.Struct, frozen=True, array_like=True):
-    """One datagram; new fields go to the end, each with a default.
+    """One datagram; add new fields at the end, each with a default.
 
     Parameters
     ----------
     state, incarnation, boot
         The sender's own.
     target
-        The member asked about or answered for; in SYNC and PAGE the id
-        after which the page starts.
+        The member that a probe or its answer is about; in SYNC the id after
+        which the page starts, in PAGE the id of the page's last member.
     address
-        Where a helper finds the target.
+        The target's address, for an indirect probe.
     unknown
-        The sender does not know whom it writes to and asks for its contact.
+        The sender does not know the receiver and requests its contact.
     """
 
     version: int
@@ -99,7 +99,7 @@
 
 
 def decode_packet(datagram: bytes, credential: bytes) -> Packet | None:
-    """Return the packet, or nothing when it is not from our cluster."""
+    """Return the packet, or None if it is not from this cluster."""
     body = datagram[MAC_BYTES:]
     code = _authenticate(body, credential)
     if not hmac.compare_digest(code, datagram[:MAC_BYTES]):
@@ -111,7 +111,7 @@
 
 
 def describe_contact(peer: PeerSettings, boot: int) -> Contact:
-    """Return a peer's contact as it travels."""
+    """Return a peer's contact in its wire format."""
     return Contact(
         peer.availability_zone,
         peer.region,
--- a/guavagate/membership/_probes.py
+++ b/guavagate/membership/_probes.py
@@ -1,4 +1,4 @@
-"""Probing: one member a period, through others when it does not answer."""
+"""Direct probes of members, and indirect ones if a member doesn't answer."""
 
 import dataclasses
 import itertools
@@ -12,16 +12,16 @@
 
 Send = tuple[str, Packet]
 
-DIRECT_SECONDS: Final = 0.25
-INDIRECT_SECONDS: Final = 0.35
-HELPERS: Final = 3
+DIRECT_TIMEOUT_SECONDS: Final = 0.25
+INDIRECT_TIMEOUT_SECONDS: Final = 0.35
+INDIRECT_PROBERS: Final = 3
 _RELAY_LIMIT: Final = 256
-_NOBODY: Final = InstanceId('')
+_NO_TARGET: Final = InstanceId('')
 
 
 @dataclasses.dataclass(slots=True)
 class _Probe:
-    """One probe that has not been answered."""
+    """A probe without an answer."""
 
     target: InstanceId
     direct_until: float
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Relay:
-    """A probe made for another instance."""
+    """A probe made on behalf of another instance."""
 
     address: str
     sequence: int
@@ -39,7 +39,7 @@
 
 
 class Prober:
-    """Probes in flight, and those made for others."""
+    """Probes in flight, both own ones and those for other instances."""
 
     def __init__(
         self, identity: Identity, table: Table, rng: random.Random
@@ -55,8 +55,8 @@
     def start(self, now: float) -> list[Send]:
         """Probe the next member of the round.
 
-        A shuffled round, not a draw each time, so that no member goes
-        unprobed for long.
+        Rounds are shuffled instead of drawing a member each time, so that no
+        member goes unprobed for long.
         """
         while self._round:
             target = self._round.pop()
@@ -64,14 +64,14 @@
                 return [self._probe(target, now)]
         self._round = self._table.reachable()
         self._random.shuffle(self._round)
-        self._table.forget(now)
+        self._table.drop_expired(now)
         self._expire_relays(now)
         if not self._round:
             return []
         return [self._probe(self._round.pop(), now)]
 
     def check(self, now: float) -> tuple[list[Send], list[InstanceId]]:
-        """Return requests to helpers, and the members that failed."""
+        """Return requests for indirect probes, and the members that failed."""
         sends: list[Send] = []
         failed = []
         for number, probe in list(self._probes.items()):
@@ -80,66 +80,72 @@
                 failed.append(probe.target)
             elif now >= probe.direct_until and not probe.indirect:
                 probe.indirect = True
-                sends += self._ask_helpers(number, probe.target)
+                sends += self._request_indirect_probes(number, probe.target)
         return sends, failed
 
-    def hasten(self, target: InstanceId) -> None:
+    def probe_next(self, target: InstanceId) -> None:
         """Probe a member next."""
         self._round.append(target)
 
-    def forget(self) -> None:
-        """Drop the probes in flight; their answers prove nothing."""
+    def drop_pending(self) -> None:
+        """Drop the probes in flight; a missing answer proves nothing."""
         self._probes.clear()
 
     def accept_ack(self, packet: Packet) -> list[Send]:
-        """Note an answer; pass it on if the probe was made for another."""
+        """Record an answer; forward it if the probe was for another."""
         self._probes.pop(packet.sequence, None)
         relay = self._relays.pop(packet.sequence, None)
         if relay is None:
             return []
-        answer = self._write(
+        answer = self._build_packet(
             Act.ACK,
-            packet.updates[:HELPERS],
+            packet.updates[:INDIRECT_PROBERS],
             target=packet.sender,
             sequence=relay.sequence,
         )
         return [(relay.address, answer)]
 
     def relay(self, address: str, packet: Packet, now: float) -> list[Send]:
-        """Probe a member for another instance."""
+        """Probe a member on behalf of another instance."""
         if len(self._relays) >= _RELAY_LIMIT:
             self._expire_relays(now)
         if len(self._relays) >= _RELAY_LIMIT:
             return []
         number = next(self._sequence)
         self._relays[number] = _Relay(
-            address, packet.sequence, now + INDIRECT_SECONDS
+            address, packet.sequence, now + INDIRECT_TIMEOUT_SECONDS
         )
-        told = self._table.tell_accused(packet.target)
-        ping = self._write(Act.PING, told, sequence=number)
+        claims = self._table.describe_accused(packet.target)
+        ping = self._build_packet(Act.PING, claims, sequence=number)
         return [(packet.address, ping)]
 
     def _probe(self, target: InstanceId, now: float) -> Send:
         number = next(self._sequence)
-        direct = now + DIRECT_SECONDS
-        self._probes[number] = _Probe(target, direct, direct + INDIRECT_SECONDS)
-        told = self._table.tell_accused(target)
-        ping = self._write(Act.PING, told, sequence=number)
+        direct_until = now + DIRECT_TIMEOUT_SECONDS
+        self._probes[number] = _Probe(
+            target, direct_until, direct_until + INDIRECT_TIMEOUT_SECONDS
+        )
+        claims = self._table.describe_accused(target)
+        ping = self._build_packet(Act.PING, claims, sequence=number)
         return self._table.address(target), ping
 
-    def _ask_helpers(self, number: int, target: InstanceId) -> list[Send]:
+    def _request_indirect_probes(
+        self, number: int, target: InstanceId
+    ) -> list[Send]:
         member = self._table.find(target)
         if member is None:
             return []
         others = [each for each in self._table.reachable() if each != target]
-        request = self._write(
+        request = self._build_packet(
             Act.PING_REQUEST,
             target=target,
             sequence=number,
             address=member.contact.peer_address,
         )
-        helpers = self._random.sample(others, min(HELPERS, len(others)))
-        return [(self._table.address(each), request) for each in helpers]
+        probers = self._random.sample(
+            others, min(INDIRECT_PROBERS, len(others))
+        )
+        return [(self._table.address(each), request) for each in probers]
 
     def _expire_relays(self, now: float) -> None:
         self._relays = {
@@ -148,16 +154,16 @@
             if relay.until > now
         }
 
-    def _write(
+    def _build_packet(
         self,
         act: Act,
         updates: tuple[Update, ...] = (),
         *,
-        target: InstanceId = _NOBODY,
+        target: InstanceId = _NO_TARGET,
         sequence: int = 0,
         address: str = '',
     ) -> Packet:
-        return self._identity.write_packet(
+        return self._identity.build_packet(
             act,
             len(self._table.members),
             updates,
--- a/guavagate/membership/_static.py
+++ b/guavagate/membership/_static.py
@@ -1,4 +1,4 @@
-"""Membership without probes: the peers named in the settings."""
+"""Membership without probes, from the peers in the settings."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 
 
 def describe(settings: InstanceSettings) -> PeerSettings:
-    """Return an instance as its peers know it."""
+    """Return an instance's settings as its peers see them."""
     return PeerSettings(
         id=settings.id,
         availability_zone=settings.availability_zone,
@@ -18,7 +18,7 @@
 
 
 class StaticMembers:
-    """All configured peers, always usable; for tests of other parts."""
+    """Treats all configured peers as usable; for tests of other parts."""
 
     def __init__(self, settings: InstanceSettings) -> None:
         known = {peer.id: peer for peer in settings.peers}
@@ -26,17 +26,17 @@
         self._known = dict(sorted(known.items()))
 
     def alive(self) -> list[PeerSettings]:
-        """Return all instances by id."""
+        """Return all instances, ordered by id."""
         return list(self._known.values())
 
     def get(self, instance: InstanceId) -> PeerSettings | None:
-        """Return an instance, or nothing."""
+        """Return an instance, or None if it is unknown."""
         return self._known.get(instance)
 
     def address(self, instance: InstanceId) -> str | None:
-        """Return where the instance listens for its peers."""
+        """Return the address at which the instance listens for peers."""
         peer = self._known.get(instance)
         return None if peer is None else peer.peer_address
 
     def subscribe(self, changed: Callable[[], None]) -> None:
-        """Accept a callback; nothing here ever changes."""
+        """Ignore the callback: these members never change."""
--- a/guavagate/membership/_table.py
+++ b/guavagate/membership/_table.py
@@ -1,7 +1,7 @@
-"""What one instance holds of all members, and which claim wins.
+"""The member table of one instance, and the precedence of claims.
 
-A claim is ordered by incarnation, then by state. Only a member itself raises
-its incarnation, so a suspicion is overruled by the suspected one alone, and an
+Claims are ordered by incarnation, then by state. Only a member itself raises
+its incarnation, so only the suspected member can overrule a suspicion, and an
 old claim that arrives late changes nothing.
 """
 
@@ -11,8 +11,8 @@
 from guavagate.membership._packet import Contact, MemberState, Update
 from guavagate.models import InstanceId
 
-# A partition between regions lasts an hour now and then; a member that was
-# forgotten meanwhile would not be looked for when it ends.
+# Partitions between regions can last an hour. A member that is dropped from the
+# table meanwhile would not be probed when the partition ends.
 TOMBSTONE_SECONDS: Final = 7200.0
 
 CONFIRMATIONS: Final = 3
@@ -23,10 +23,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """What is held of one member.
+    """The known state of one member.
 
-    `serving` is whether it was usable before it was suspected: suspicion
-    alone takes no instance out of use, and puts no leaving one back.
+    `serving` tells whether it was usable before it was suspected: a suspicion
+    neither takes an instance out of use nor puts a leaving one back.
     """
 
     contact: Contact
@@ -37,15 +37,15 @@
     serving: bool = True
 
     def usable(self) -> bool:
-        """Return whether it may be given new work."""
+        """Return whether it may get new work."""
         return self.serving and self.state in _USABLE
 
     def confirmed(self) -> bool:
-        """Return whether enough could not reach it, each by itself."""
+        """Return whether enough instances independently accuse it."""
         return len(self.accusers) >= CONFIRMATIONS
 
     def reachable(self) -> bool:
-        """Return whether it may be asked at all: leaving ones may."""
+        """Return whether requests may go to it, as to a leaving one."""
         return self.state is not MemberState.DEAD
 
 
@@ -57,7 +57,7 @@
         self.changes = 0
 
     def apply(self, update: Update, now: float) -> bool:
-        """Take in a claim; return whether anything changed."""
+        """Apply a claim; return whether anything changed."""
         changed = self._apply(update, now)
         self.changes += changed
         return changed
@@ -68,11 +68,11 @@
         if known is None:
             return self._add(update, state, now)
         if state in ACCUSED:
-            return self._accuse(known, update, state, now)
-        return self._confirm(known, update, state, now)
+            return self._apply_accusation(known, update, state, now)
+        return self._apply_alive(known, update, state, now)
 
-    def bury(self, instance: InstanceId, now: float) -> Update:
-        """Mark a member dead; return the claim to spread."""
+    def mark_dead(self, instance: InstanceId, now: float) -> Update:
+        """Mark a member dead; return the claim to gossip."""
         member = self.members[instance]
         member.state = MemberState.DEAD
         member.since = now
@@ -80,7 +80,7 @@
         return self.describe(instance)
 
     def describe(self, instance: InstanceId) -> Update:
-        """Return what is held of a member, as a claim."""
+        """Return a member's known state as a claim."""
         member = self.members[instance]
         accuser = min(member.accusers, default=instance)
         return Update(
@@ -92,23 +92,23 @@
         )
 
     def find(self, instance: InstanceId) -> Member | None:
-        """Return a member that is not dead, or nothing."""
+        """Return a member, or None if it is dead or unknown."""
         member = self.members.get(instance)
         return member if member and member.reachable() else None
 
     def address(self, instance: InstanceId) -> str:
-        """Return where a member listens."""
+        """Return the address at which a member listens for peers."""
         return self.members[instance].contact.peer_address
 
-    def tell_accused(self, instance: InstanceId) -> tuple[Update, ...]:
-        """Return what a member that is held suspect or dead must know."""
+    def describe_accused(self, instance: InstanceId) -> tuple[Update, ...]:
+        """Return the claim that a suspected or dead member must refute."""
         member = self.members.get(instance)
         if member is None or member.state not in ACCUSED:
             return ()
         return (self.describe(instance),)
 
     def reachable(self) -> list[InstanceId]:
-        """Return all that are not dead."""
+        """Return all members that are not dead."""
         return [
             instance
             for instance, member in self.members.items()
@@ -116,15 +116,15 @@
         ]
 
     def suspects(self) -> list[InstanceId]:
-        """Return all that are suspected."""
+        """Return all suspected members."""
         return [
             instance
             for instance, member in self.members.items()
             if member.state is MemberState.SUSPECT
         ]
 
-    def forget(self, now: float) -> None:
-        """Drop the members that have long been dead."""
+    def drop_expired(self, now: float) -> None:
+        """Drop members that have been dead for `TOMBSTONE_SECONDS`."""
         limit = now - TOMBSTONE_SECONDS
         for instance, member in list(self.members.items()):
             if member.state is MemberState.DEAD and member.since < limit:
@@ -140,16 +140,16 @@
         self.members[update.id] = member
         return True
 
-    def _confirm(
+    def _apply_alive(
         self, known: Member, update: Update, state: MemberState, now: float
     ) -> bool:
         newer = update.incarnation > known.incarnation
         if not newer and state is MemberState.LEAVING:
-            return self._note_leaving(known, update)
+            return self._record_leaving(known, update)
         if not newer:
             return False
         if update.contact is None and known.state is MemberState.DEAD:
-            # A header says that it lives but not where; it is asked.
+            # A packet header gives no contact; the detector requests it.
             return False
         known.contact = update.contact or known.contact
         known.state = state
@@ -159,11 +159,11 @@
         known.serving = state is MemberState.ALIVE
         return True
 
-    def _note_leaving(self, known: Member, update: Update) -> bool:
-        """Take a member out of use that was suspected before it was heard.
+    def _record_leaving(self, known: Member, update: Update) -> bool:
+        """Take a leaving member out of use that is already suspected.
 
-        The suspicion of a leaving member may arrive before its own word;
-        it would else be given work again by those.
+        Its suspicion may arrive before its own claim that it leaves. Members
+        that received them in this order would otherwise still give it work.
         """
         if update.incarnation < known.incarnation or not known.serving:
             return False
@@ -172,7 +172,7 @@
             known.state = MemberState.LEAVING
         return True
 
-    def _accuse(
+    def _apply_accusation(
         self, known: Member, update: Update, state: MemberState, now: float
     ) -> bool:
         if update.incarnation < known.incarnation:
@@ -180,28 +180,28 @@
         if known.state is MemberState.DEAD:
             return False
         if state is MemberState.DEAD and update.by == update.id:
-            known.state = MemberState.DEAD  # It says itself that it left.
+            known.state = MemberState.DEAD  # The member itself announced it.
             known.since = now
             known.accusers = {update.by}
             return True
         if known.state is MemberState.SUSPECT:
-            return self._count_accuser(known, update, state, now)
+            return self._record_accuser(known, update, state, now)
         known.state = MemberState.SUSPECT
         known.incarnation = update.incarnation
         known.since = now
         known.accusers = {update.by}
         return True
 
-    def _count_accuser(
+    def _record_accuser(
         self, known: Member, update: Update, state: MemberState, now: float
     ) -> bool:
         known.incarnation = max(known.incarnation, update.incarnation)
-        new = update.by not in known.accusers
+        is_new = update.by not in known.accusers
         known.accusers.add(update.by)
         if state is MemberState.DEAD and known.confirmed():
-            # Others' time to refute has passed as well; waiting for our own
-            # would only keep it in use here for longest.
+            # The time to refute has passed at other members; waiting for this
+            # one's own limit would only keep the member in use for longer.
             known.state = MemberState.DEAD
             known.since = now
             return True
-        return new and len(known.accusers) <= CONFIRMATIONS
+        return is_new and len(known.accusers) <= CONFIRMATIONS
--- a/guavagate/membership/registry.py
+++ b/guavagate/membership/registry.py
@@ -1,4 +1,4 @@
-"""Where members find each other: each registers once in the store."""
+"""Member discovery through the store, in which each process registers once."""
 
 import logging
 from collections.abc import Callable
@@ -18,24 +18,24 @@
 
 MEMBERS: Final = 'members'
 
-RETRY_SECONDS: Final = 0.3
-# Instances that start together for the first time have registered by then, and
-# one list shows each all others.
-TOGETHER_SECONDS: Final = 0.7
-# Members hear of later ones from those. One of each availability zone lists
-# again at this pace, so that two parts that never met, or lost each other for
-# long, find together; were it all, 330 would list for the sake of three.
-AGAIN_SECONDS: Final = 30.0
-# All start together for the first time: until all have registered, each would
-# think itself alone.
-FIRST_SECONDS: Final = 2.0
-SETTLE_STEP: Final = 0.05
-# Some that are registered are gone for good; the others are heard of within
-# this time of each other.
-HEARD_SECONDS: Final = 0.5
-ALONE_SECONDS: Final = 1.5
-# Members are asked as soon as they are listed, and answer in milliseconds.
-ANSWER_SECONDS: Final = 0.3
+RETRY_INTERVAL_SECONDS: Final = 0.3
+# Delay before the first list call when the fleet starts for the first time. By
+# then all instances have registered, so one call returns all of them.
+FIRST_LIST_DELAY_SECONDS: Final = 0.7
+# Later members announce themselves. Only one member per availability zone lists
+# again, so that parts of a fleet that never met or were separated for long find
+# each other; with all members, 330 would list where three are enough.
+RELIST_INTERVAL_SECONDS: Final = 30.0
+# At the fleet's first start each instance would consider itself alone until all
+# have registered.
+FIRST_START_WAIT_SECONDS: Final = 2.0
+POLL_INTERVAL_SECONDS: Final = 0.05
+# Some registered instances no longer exist. The others become known within this
+# time of each other, so discovery is complete once nothing changes for as long.
+STABLE_SECONDS: Final = 0.5
+DISCOVERY_TIMEOUT_SECONDS: Final = 1.5
+# Members are probed as soon as they are listed, and answer in milliseconds.
+REPLY_WAIT_SECONDS: Final = 0.3
 _NEW: Final = Revision(0)
 
 
@@ -44,12 +44,12 @@
 
 
 class MemberRegistry:
-    """Registers this process and hands the registered ones to membership.
+    """Registers this process and passes registered ones to the membership.
 
     Attributes
     ----------
     first_start
-        Whether all start together for the first time, as far as is known.
+        Whether the whole fleet starts for the first time, as far as known.
     """
 
     def __init__(
@@ -72,66 +72,67 @@
         )
         self.first_start = first_start
         self._listed_at: float | None = None
-        self._others = 0
-        self._alive = 0
+        self._registered_others = 0
+        self._alive_count = 0
         self._changed_at = clock.now()
         self._unreadable = UnreadableObjects()
 
     def start(self) -> None:
-        """Register and list in a task."""
+        """Start the task that registers this process and lists others."""
         self._clock.spawn(self._run)
 
     def wait_for_discovery(
         self, is_enough: Callable[[], bool] = _is_never_enough
     ) -> None:
-        """Block until this process has heard who else is there.
+        """Block until this process has discovered the other members.
 
         Parameters
         ----------
         is_enough
-            Whether those that are heard of tell all that is to be known; asked
-            once those that run had the time to answer.
+            Returns whether the members known so far are enough to stop
+            waiting; called once running members had the time to answer.
         """
         if self.first_start:
-            self._clock.sleep(FIRST_SECONDS)
+            self._clock.sleep(FIRST_START_WAIT_SECONDS)
         while not self.is_discovery_complete():
-            if self._has_asked() and is_enough():
+            if self._had_time_for_replies() and is_enough():
                 return
-            self._clock.sleep(SETTLE_STEP)
+            self._clock.sleep(POLL_INTERVAL_SECONDS)
 
-    def _has_asked(self) -> bool:
-        """Return whether members that run had the time to answer."""
+    def _had_time_for_replies(self) -> bool:
+        """Return whether running members had the time to answer."""
         if self._listed_at is None:
             return False
-        asked = self._clock.now() - self._listed_at > ANSWER_SECONDS
-        return asked and len(self._members.alive()) > 1
+        waited = self._clock.now() - self._listed_at > REPLY_WAIT_SECONDS
+        return waited and len(self._members.alive()) > 1
 
     def is_discovery_complete(self) -> bool:
-        """Return whether this process has heard who else is there.
+        """Return whether this process has discovered the other members.
 
-        One that starts alone believes itself to be everybody; after an
-        outage of all, no other may answer, so the wait is bounded.
+        Without the wait, a new process would consider itself the only member.
+        After an outage of the whole fleet no other may answer, so the wait is
+        bounded.
         """
         if self._listed_at is None:
             return False
         now = self._clock.now()
         alive = len(self._members.alive())
-        if alive != self._alive:
-            self._alive, self._changed_at = alive, now
-        if now - self._listed_at > ALONE_SECONDS:
+        if alive != self._alive_count:
+            self._alive_count, self._changed_at = alive, now
+        if now - self._listed_at > DISCOVERY_TIMEOUT_SECONDS:
             return True
-        quiet = now - self._changed_at > HEARD_SECONDS
-        return alive > self._others or (alive > 1 and quiet)
+        stable = now - self._changed_at > STABLE_SECONDS
+        return alive > self._registered_others or (alive > 1 and stable)
 
     def _run(self) -> None:
-        self._persist(self._register)
+        self._retry_until_done(self._register)
         if self.first_start:
-            self._clock.sleep(TOGETHER_SECONDS)
-        self._persist(self._list)
+            self._clock.sleep(FIRST_LIST_DELAY_SECONDS)
+        self._retry_until_done(self._list)
         while True:
-            self._clock.sleep(AGAIN_SECONDS)
+            self._clock.sleep(RELIST_INTERVAL_SECONDS)
             if self._is_first_of_zone():
-                self._persist(self._list)
+                self._retry_until_done(self._list)
 
     def _is_first_of_zone(self) -> bool:
         zone = self._me.availability_zone
@@ -144,13 +145,13 @@
             default=self._me.id,
         )
 
-    def _persist(self, call: Callable[[], None]) -> None:
+    def _retry_until_done(self, call: Callable[[], None]) -> None:
         while True:
             try:
                 call()
             except StoreError as error:
-                _LOGGER.debug('the store was not reached: %s', error)
-                self._clock.sleep(RETRY_SECONDS)
+                _LOGGER.debug('Request to the store failed: %s', error)
+                self._clock.sleep(RETRY_INTERVAL_SECONDS)
             else:
                 return
 
@@ -175,6 +176,6 @@
         stored, _ = self._store.list_under(MEMBERS)
         peers = list(filter(None, map(self._decode, stored)))
         self._members.update_candidates(peers)
-        self._others = len(peers) - 1
+        self._registered_others = len(peers) - 1
         if self._listed_at is None:
             self._listed_at = self._clock.now()
--- a/guavagate/util/__init__.py
+++ b/guavagate/util/__init__.py
@@ -1,1 +1,1 @@
-"""Pure helpers."""
+"""Helpers that depend on no other part of the service."""
--- a/guavagate/util/units.py
+++ b/guavagate/util/units.py
@@ -1,4 +1,4 @@
-"""Durations with units, as settings write them."""
+"""Parsing of durations with units, as used in settings."""
 
 import re
 from typing import Final
@@ -15,7 +15,7 @@
     Raises
     ------
     SettingsError
-        The text is no number with a unit.
+        The text is not a number with a unit.
     """
     match = _DURATION.fullmatch(text.strip())
     if match is None:
--- a/guavagate/util/uptime.py
+++ b/guavagate/util/uptime.py
@@ -1,10 +1,11 @@
-"""Who of several instances takes a duty: one that has run for long.
-
-Load pattern: the holder of a duty is killed and starts again a second later.
-By rendezvous alone it would take the duty back at once, and what its stand-in
-has begun in between would be lost a second time; a machine added later would
-take over from one that works well. So those that started earlier go first, in
-steps that are coarse enough for all that start together to be alike.
+"""Ranking of instances for a duty, longest-running first.
+
+Failure pattern: the instance with a duty is killed and restarts a second later.
+By rendezvous hashing alone it would take the duty back at once, and the work
+that its standby has begun meanwhile would be lost as well. An instance that is
+added later would also take over from one that works well. So instances that
+started earlier rank first. Start times are grouped in buckets that are wide
+enough for instances that start together to rank equally.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,8 +14,8 @@
 from guavagate.models import InstanceId
 from guavagate.util.rendezvous import weigh
 
-# Milliseconds. Instances of one start differ by less than a second and by
-# their clocks; a restart comes later than that in nearly all cases.
+# Instances that start together differ by less than a second plus their clock
+# offsets; a restart is later than that in nearly all cases.
 START_BUCKET_MILLIS: Final = 8000
 
 BootOf = Callable[[InstanceId], int | None]
@@ -23,13 +24,13 @@
 def rank_by_uptime(
     key: str, instances: Iterable[InstanceId], boot_of: BootOf
 ) -> list[InstanceId]:
-    """Return instances by how long they run, then by weight for a key.
+    """Return instances ordered by uptime, then by weight for a key.
 
     Parameters
     ----------
     boot_of
-        Returns when an instance started, in milliseconds since 1970 by its
-        own clock, as all members know it.
+        Returns an instance's start in milliseconds since 1970 by its own
+        clock; all members know the same value.
     """
     return sorted(
         instances,
@@ -38,9 +39,9 @@
 
 
 def find_start_bucket(instance: InstanceId, boot_of: BootOf) -> int:
-    """Return the step in which an instance started; lower is older."""
+    """Return the bucket of an instance's start time; lower is earlier."""
     return (boot_of(instance) or 0) // START_BUCKET_MILLIS
 
 
 def ignore_boots(instance: InstanceId) -> int | None:
-    """Take all instances for equally old."""
+    """Return None, so that all instances rank as started together."""
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -338,9 +338,9 @@
         'tests/platform/test_wire.py',
     ),
     Safeguard(
-        'a restarted process asks for the whole table',
+        'a restarted process requests the complete table',
         'guavagate/membership/_join.py',
-        'if joined and not self._whole:',
+        'if joined and not self._has_full_table:',
         'if False:',
         'tests/membership/test_detector.py',
     ),
--- a/tests/membership/network.py
+++ b/tests/membership/network.py
@@ -1,4 +1,4 @@
-"""A network of detectors in virtual time, with faults for each direction."""
+"""A simulated network of detectors with faults in each direction."""
 
 import heapq
 import itertools
@@ -27,7 +27,7 @@
 
 
 class Network:
-    """Detectors joined by links that delay, lose and cut."""
+    """Detectors in virtual time; `delay` may delay or lose datagrams."""
 
     def __init__(self, names: Iterable[str], seed: int = 1) -> None:
         self.now = 1000.0
@@ -42,35 +42,37 @@
             self.start(name)
 
     def start(self, name: str, listed: Iterable[str] = ()) -> None:
-        """Start a process, after the one of the same name if any."""
+        """Start a process; it replaces a running one of the same name."""
         boot = int(self.now * 1000)
         detector = Detector(
             make_peer(name), boot, self.now, self.random.getrandbits(32)
         )
         known = sorted(self.detectors)[:3] + list(listed)
-        detector.joiner.learn({InstanceId(each): each for each in known})
-        fresh = name not in self.detectors
+        detector.joiner.add_candidates(
+            {InstanceId(each): each for each in known}
+        )
+        is_new = name not in self.detectors
         self.detectors[name] = detector
-        if fresh:
+        if is_new:
             self._push(self.random.random() * TICK, name, '', None)
 
     def kill(self, name: str) -> None:
-        """End a process without a word."""
+        """Crash a process: it announces nothing."""
         self.detectors.pop(name)
 
     def pause(self, name: str) -> None:
-        """Stop a process; its datagrams wait in the socket."""
+        """Pause a process; its datagrams wait in the socket."""
         self.paused[name] = []
 
-    def wake(self, name: str) -> None:
-        """Let a process run on; the socket kept the oldest datagrams."""
+    def resume(self, name: str) -> None:
+        """Resume a process; its socket buffered the oldest datagrams."""
         waiting = self.paused.pop(name)[:200]
         self.send(name, self.detectors[name].on_tick(self.now))
         for source, packet in waiting:
             self._receive(source, name, packet)
 
     def send(self, source: str, sends: list[Send]) -> None:
-        """Put datagrams on their way."""
+        """Send datagrams with the delay of their link."""
         for target, packet in sends:
             self.sent += 1
             delay = self.delay(source, target)
@@ -78,7 +80,7 @@
                 self._push(delay, target, source, packet)
 
     def run(self, seconds: float, done: Callable[[], bool] = bool) -> float:
-        """Let time pass until done; return the seconds that passed."""
+        """Advance the time until done; return the seconds that passed."""
         start = self.now
         while self._events and self._events[0][0] <= start + seconds:
             self.now, _, name, source, packet = heapq.heappop(self._events)
@@ -89,22 +91,22 @@
         return seconds
 
     def usable(self, viewer: str) -> set[str]:
-        """Return the others that one instance holds usable."""
+        """Return the members that one instance considers usable."""
         table = self.detectors[viewer].table
         return {
             each for each, member in table.members.items() if member.usable()
         }
 
     def agree(self) -> bool:
-        """Return whether each holds exactly the others usable."""
+        """Return whether each instance considers exactly the others usable."""
         return all(
             self.usable(name) == self.detectors.keys() - {name}
             for name in self.detectors
             if name not in self.paused
         )
 
-    def held(self, viewer: str, name: str) -> MemberState:
-        """Return what one instance holds of another."""
+    def state_of(self, viewer: str, name: str) -> MemberState:
+        """Return a member's state in one instance's view."""
         table = self.detectors[viewer].table
         return table.members[InstanceId(name)].state
 
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -1,4 +1,4 @@
-"""Tests of the failure detector in virtual time."""
+"""Tests of the failure detector on a simulated network."""
 
 import pytest
 
@@ -10,8 +10,8 @@
 SEEDS = range(5)
 
 
-def held(network: Network, state: MemberState) -> list[str]:
-    """Return who is held to be in a state by anyone."""
+def list_in_state(network: Network, state: MemberState) -> list[str]:
+    """Return each view in which a member is in the given state."""
     return [
         f'{instance} by {viewer}'
         for viewer, detector in network.detectors.items()
@@ -22,11 +22,11 @@
 
 @pytest.mark.parametrize('seed', SEEDS)
 def test_a_dead_instance_is_out_of_use_in_three_seconds(seed: int) -> None:
-    """One of nine stops without a word; then it is started again.
+    """One of nine instances crashes and is started again later.
 
     Callers' requests go to it until it is suspected, probed through others
-    and buried. Its successor under the same id is in use within a second
-    or two, as another process, at every instance.
+    and marked dead. Its successor under the same id must then be in use at
+    every instance, known as a new process.
     """
     network = make_network(9, seed)
     network.run(5)
@@ -41,31 +41,31 @@
 
 @pytest.mark.parametrize('seconds', [1, 10, 60])
 def test_a_paused_process_returns_cleanly(seconds: int) -> None:
-    """A process is stopped by the machine and wakes.
+    """The machine pauses a process and resumes it.
 
-    After one second it was never out of use. After longer it was, and when
-    it wakes its socket is full of old datagrams and its timers have run
-    out: it must neither take others for dead nor stay dead itself.
+    After one second it must still be in use. After a longer pause it is marked
+    dead; when it resumes, its socket is full of old datagrams and its timers
+    have expired. It must neither mark others dead nor stay dead itself.
     """
     network = make_network(9)
     network.run(5)
     network.pause('i004')
     network.run(seconds)
-    dead = network.held('i000', 'i004') is MemberState.DEAD
+    dead = network.state_of('i000', 'i004') is MemberState.DEAD
     assert dead == (seconds > 1)
-    network.wake('i004')
+    network.resume('i004')
     assert network.run(10, network.agree) <= 3.0
-    network.run(5, lambda: bool(held(network, MemberState.DEAD)))
-    assert not held(network, MemberState.DEAD)
+    network.run(5, lambda: bool(list_in_state(network, MemberState.DEAD)))
+    assert not list_in_state(network, MemberState.DEAD)
 
 
 @pytest.mark.parametrize('loss', ['one way', 'both ways', 'slow'])
-def test_one_bad_link_kills_nobody(loss: str) -> None:
-    """Two instances don't hear each other, or late; all others do.
+def test_one_bad_link_causes_no_suspicion(loss: str) -> None:
+    """The link between two instances loses or delays datagrams.
 
-    Each misses the other's answers, asks three others to probe, and gets
-    the answer through them: nobody is taken out of use or even suspected,
-    which would be spread to the whole fleet, again and again.
+    Each misses the other's answers, requests indirect probes from three
+    others and gets the answer through them. No instance may be suspected:
+    the suspicion would be gossiped to the whole fleet again and again.
     """
     network = make_network(9)
 
@@ -77,18 +77,18 @@
         return 0.001
 
     network.delay = delay
-    network.run(60, lambda: bool(held(network, MemberState.SUSPECT)))
-    assert not held(network, MemberState.SUSPECT)
+    network.run(60, lambda: bool(list_in_state(network, MemberState.SUSPECT)))
+    assert not list_in_state(network, MemberState.SUSPECT)
     assert network.agree()
 
 
-def test_an_instance_that_hears_nobody_kills_nobody() -> None:
-    """All that is sent to one instance is lost; what it sends arrives.
+def test_an_instance_that_receives_nothing_takes_none_out_of_use() -> None:
+    """One instance receives nothing, but its own datagrams arrive.
 
-    It takes everyone for dead after a while and says so to everyone. Were
-    its word taken, healthy instances would drop each other. They probe and
-    refute instead; only the one that can't be reached is out of use. When
-    the network is back, so is it.
+    After a while it considers all others dead and gossips this. If its claims
+    were trusted, healthy instances would drop each other. They probe and
+    refute instead, and only the unreachable instance is out of use. Once the
+    network recovers, it is in use again.
     """
     network = make_network(9)
     network.delay = lambda source, target: None if target == 'i001' else 0.001
@@ -99,29 +99,29 @@
 
     network.run(30, lambda: not healthy())
     assert healthy()
-    assert network.held('i000', 'i001') is MemberState.DEAD
+    assert network.state_of('i000', 'i001') is MemberState.DEAD
     network.delay = lambda source, target: 0.001
     assert network.run(30, network.agree) <= 10
 
 
-def test_a_claim_of_death_is_not_taken_on_trust() -> None:
-    """One instance says that a healthy one is dead; others ask it first."""
+def test_a_claim_that_a_member_is_dead_is_verified() -> None:
+    """One instance claims that a healthy one is dead; others probe it first."""
     network = make_network(9)
     claim = network.detectors['i000'].table.describe(InstanceId('i004'))
-    lie = Update(
+    false_claim = Update(
         claim.id, MemberState.DEAD.value, claim.incarnation, InstanceId('i001')
     )
-    network.detectors['i002'].take_claims((lie,), network.now)
+    network.detectors['i002'].apply_claims((false_claim,), network.now)
     assert network.agree()
     network.run(10, lambda: not network.agree())
     assert network.agree()
 
 
-def test_a_short_silence_is_not_everyones_death() -> None:
-    """For four seconds one instance hears nobody, as at a switch's restart.
+def test_a_short_loss_of_all_datagrams_marks_none_dead() -> None:
+    """One instance receives nothing for four seconds: a switch restarts.
 
-    Each probe of its own fails, so by its probes all others are dead at
-    once. Its view must not collapse to itself and back: every home and
+    All its probes fail, so by its probes all others are dead at once. Its
+    view must not shrink to itself and grow back: every queue owner and
     partition would move twice.
     """
     network = make_network(9)
@@ -130,50 +130,52 @@
     assert network.usable('i001') == network.detectors.keys() - {'i001'}
 
 
-def test_a_paused_accuser_asks_again() -> None:
-    """An instance is stopped while it suspects another, which is healthy.
+def test_a_paused_accuser_restarts_its_suspicion_timer() -> None:
+    """An instance is paused while it suspects a healthy one.
 
-    The refutation comes while it does not run. When it wakes, the time to
-    refute is over by its clock: it must not bury the healthy one.
+    The refutation arrives during the pause. When the accuser resumes, the time
+    to refute is over by its clock; it must not mark the healthy one dead.
     """
     network = make_network(9)
     network.pause('i005')
-    network.run(5, lambda: network.held('i004', 'i005') is MemberState.SUSPECT)
+    network.run(
+        5, lambda: network.state_of('i004', 'i005') is MemberState.SUSPECT
+    )
     network.pause('i004')
-    network.wake('i005')
+    network.resume('i005')
     network.run(30)
     network.send('i004', network.detectors['i004'].on_tick(network.now))
-    assert network.held('i004', 'i005') is not MemberState.DEAD
-    network.wake('i004')
+    assert network.state_of('i004', 'i005') is not MemberState.DEAD
+    network.resume('i004')
     assert network.run(10, network.agree) <= 3.0
 
 
-def test_a_suspect_is_told_at_once() -> None:
-    """Whoever hears of a suspicion probes the suspect, who refutes.
+def test_a_suspect_is_probed_at_once() -> None:
+    """An instance that learns of a suspicion probes the suspect, who refutes.
 
-    Otherwise it learns of it only by its turn in someone's round, when its
-    time to refute may be over.
+    Otherwise the suspect learns of it only at its turn in a probe round, when
+    its time to refute may be over.
     """
     network = make_network(9)
-    held = network.detectors['i000'].table.describe(InstanceId('i004'))
+    known = network.detectors['i000'].table.describe(InstanceId('i004'))
     claim = Update(
-        held.id, MemberState.SUSPECT.value, held.incarnation, held.by
+        known.id, MemberState.SUSPECT.value, known.incarnation, known.by
     )
-    hearer = network.detectors['i002']
-    hearer.take_claims((claim,), network.now)
-    sends = hearer.on_tick(network.now)
-    told = [packet.updates[0].id for each, packet in sends if each == 'i004']
-    assert told == ['i004']
+    receiver = network.detectors['i002']
+    receiver.apply_claims((claim,), network.now)
+    sends = receiver.on_tick(network.now)
+    claimed = [packet.updates[0].id for each, packet in sends if each == 'i004']
+    assert claimed == ['i004']
     network.send('i002', sends)
     network.run(0.5)
-    assert network.held('i002', 'i004') is MemberState.ALIVE
+    assert network.state_of('i002', 'i004') is MemberState.ALIVE
 
 
 def test_a_quick_restart_is_seen() -> None:
-    """A process is restarted before anyone misses it.
+    """A process restarts before any member notices its absence.
 
-    Its number alone would pass for a refutation, and others would go on
-    with its former address and hold that it still has its memory.
+    Its higher incarnation alone would look like a refutation. Others would
+    keep its former address and assume that it still has its state.
     """
     network = make_network(5)
     network.start('i002')
@@ -186,10 +188,11 @@
 
 @pytest.mark.parametrize('seed', SEEDS)
 def test_a_restart_is_known_to_all_at_once(seed: int) -> None:
-    """A process with duties is killed and starts again before it is missed.
+    """A process with duties restarts before any member notices its absence.
 
-    Others learn by its new boot that what it held is lost, and take its duties
-    over. Told to a few at a time, most of eighty hear of it after a second.
+    Its new boot tells the others that its state is lost, and they take over
+    its duties. If it announced itself to a few at a time, most of eighty
+    members would know only after a second.
     """
     network = make_network(80, seed)
     network.kill('i004')
@@ -200,36 +203,37 @@
 
     def is_known() -> bool:
         tables = [network.detectors[each].table for each in others]
-        held = [table.members[InstanceId('i004')] for table in tables]
-        return all(each.contact.boot == boot for each in held)
+        views = [table.members[InstanceId('i004')] for table in tables]
+        return all(each.contact.boot == boot for each in views)
 
     assert network.run(2, is_known) <= 0.5
 
 
 @pytest.mark.parametrize('seed', SEEDS)
-def test_a_restarted_process_that_is_asked_first_learns_of_all(
+def test_a_restarted_process_that_is_pinged_first_syncs_its_table(
     seed: int,
 ) -> None:
-    """Others ping it, and the store that lists the instances is away.
+    """Others ping a restarted process while the store is unavailable.
 
-    It then has a member and takes itself for joined. Heard of one by one, the
-    other eighty take seconds, and meanwhile it takes duties that others hold.
+    It then has a member and could consider itself joined. Without the sync it
+    would learn of the other eighty one by one, which takes seconds, and
+    meanwhile take duties that others have.
     """
     network = make_network(80, seed)
     network.kill('i004')
     network.run(0.5)
     network.start('i004')
-    network.detectors['i004'].joiner.retain(set())
+    network.detectors['i004'].joiner.retain_candidates(set())
     network.run(5, lambda: bool(network.usable('i004')))
     network.run(1.2)
     assert len(network.usable('i004')) >= 75
 
 
-def test_the_list_alone_neither_kills_nor_revives() -> None:
-    """The lagging list names a dead instance and omits a live one.
+def test_the_list_alone_neither_adds_nor_removes_members() -> None:
+    """The platform's list lags: it has a dead instance and omits a live one.
 
-    The dead one stays dead as it answers no probe; the live one stays in
-    use; one that only the list names joins by answering.
+    The dead one stays dead because it answers no probe, and the live one
+    stays in use. An instance that is only listed joins by answering.
     """
     network = make_network(5)
     listed = {InstanceId(each) for each in ('i000', 'i001', 'i004', 'ghost')}
@@ -237,40 +241,42 @@
     network.run(5, network.agree)
     network.start('i009', listed=['i000'])
     for detector in network.detectors.values():
-        detector.joiner.learn({each: each for each in listed})
-        detector.joiner.retain(listed)
+        detector.joiner.add_candidates({each: each for each in listed})
+        detector.joiner.retain_candidates(listed)
     network.run(20)
     assert network.agree()
 
 
-def test_a_zone_goes_at_once_while_another_instance_is_paused() -> None:
-    """Three of nine are gone and a fourth is stopped for two seconds.
+def test_a_zone_fails_while_another_instance_is_paused() -> None:
+    """Three of nine instances crash, and a fourth is paused meanwhile.
 
-    Helpers are among the dead, so some indirect probes fail too. The three
-    are out of use within four seconds; the paused one is back after it.
+    Some indirect probers are among the dead, so indirect probes fail too. The
+    three must still be out of use in time, and the paused one must return
+    to use once it resumes.
     """
     network = make_network(9)
     network.run(5)
     for name in ('i000', 'i003', 'i006'):
         network.kill(name)
     network.pause('i001')
-    assert network.run(10, lambda: _gone(network)) <= 3.5
-    network.wake('i001')
+    assert network.run(10, lambda: _is_zone_unused(network)) <= 3.5
+    network.resume('i001')
     assert network.run(10, network.agree) <= 4.0
 
 
-def _gone(network: Network) -> bool:
+def _is_zone_unused(network: Network) -> bool:
     return all(
         not network.usable(viewer) & {'i000', 'i003', 'i006'}
         for viewer in network.detectors.keys() - {'i001'}
     )
 
 
-def test_two_regions_find_each_other_again() -> None:
-    """Nothing passes between two halves for an hour; then it does.
+def test_two_regions_rejoin_after_a_partition() -> None:
+    """The network between two halves of the fleet fails and recovers.
 
-    Each half goes on alone, holding the other dead; as dead members are
-    still tried now and then, both are whole again without anyone's help.
+    Each half continues alone and considers the other dead. Because dead
+    members are still probed from time to time, the halves rejoin without
+    an operator.
     """
     network = make_network(6)
     left = {'i000', 'i001', 'i002'}
@@ -284,7 +290,7 @@
 
 
 def test_a_leaving_instance_gets_no_new_work() -> None:
-    """It says so, answers probes meanwhile, and goes with a farewell."""
+    """It announces that it leaves, still answers probes, then stops."""
     network = make_network(9)
     leaver: Detector = network.detectors['i004']
     network.send('i004', leaver.leave(MemberState.LEAVING))
@@ -296,31 +302,34 @@
 
     assert network.run(10, out_of_use) <= 1.5
     network.run(20)
-    assert network.held('i000', 'i004') is MemberState.LEAVING
+    assert network.state_of('i000', 'i004') is MemberState.LEAVING
     network.send('i004', leaver.leave(MemberState.DEAD))
     network.kill('i004')
     network.run(1.5)
-    assert network.held('i000', 'i004') is MemberState.DEAD
+    assert network.state_of('i000', 'i004') is MemberState.DEAD
 
 
 def test_a_leaving_instance_is_not_used_while_suspected() -> None:
-    """Its suspicion arrives before its own word that it leaves."""
+    """Its suspicion arrives before its own claim that it leaves."""
     network = make_network(5)
     network.detectors['i004'].leave(MemberState.LEAVING)
-    said = network.detectors['i004'].identity.describe()
+    leaving = network.detectors['i004'].identity.describe()
     suspicion = Update(
-        said.id, MemberState.SUSPECT.value, said.incarnation, InstanceId('x')
+        leaving.id,
+        MemberState.SUSPECT.value,
+        leaving.incarnation,
+        InstanceId('x'),
     )
-    hearer = network.detectors['i000']
-    hearer.take_claims((suspicion, said), network.now)
+    receiver = network.detectors['i000']
+    receiver.apply_claims((suspicion, leaving), network.now)
     assert 'i004' not in network.usable('i000')
 
 
-def test_the_replaced_process_gives_way() -> None:
+def test_a_replaced_process_stops_claiming_its_id() -> None:
     """A paused process is replaced under its id at another address.
 
-    When it wakes, both say that they are the instance. The later one is in
-    use; the earlier one falls silent instead of overruling it in turn.
+    When it resumes, both processes claim the id. The later one must stay in
+    use, and the earlier one must stop sending instead of overruling it.
     """
     network = make_network(5)
     network.pause('i002')
@@ -333,15 +342,15 @@
         network.send('i002', old.on_message(source, packet, network.now))
     network.send('i002', old.on_tick(network.now))
     claim = network.detectors['i000'].table.describe(InstanceId('i002'))
-    old.take_claims((claim,), network.now)
+    old.apply_claims((claim,), network.now)
     assert old.identity.superseded
     assert not old.on_tick(network.now + 1)
     network.run(10)
     assert network.agree()
 
 
-def test_the_cost_of_a_node_does_not_grow() -> None:
-    """At rest a node of 32 sends as many datagrams as one of 8."""
+def test_the_cost_per_instance_does_not_grow_with_the_fleet() -> None:
+    """In a stable fleet of 32 each sends as many datagrams as in one of 8."""
     rates = []
     for count in (8, 32):
         network = make_network(count)
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -68,7 +68,7 @@
 
 
 def test_instances_find_each_other_and_leave(start: Start) -> None:
-    """Three join by one seed, hear each other's facts, and one leaves."""
+    """Three join through one seed, exchange facts, and one leaves."""
     first = start('a', [])
     second = start('b', [first])
     third = start('c', [first])
@@ -87,7 +87,9 @@
     assert third.get(InstanceId('b')) is None
 
 
-def test_a_stranger_does_not_join(start: Start) -> None:
+def test_an_instance_without_the_credential_does_not_join(
+    start: Start,
+) -> None:
     """Datagrams without the cluster credential change nothing."""
     first = start('a', [])
     start('x', [first], b'other')
@@ -97,7 +99,7 @@
 
 
 def test_facts_are_bounded(start: Start) -> None:
-    """More than a probe can carry is refused with the remedy."""
+    """Facts that don't fit into a probe are rejected with a remedy."""
     first = start('a', [])
     with pytest.raises(SettingsError, match='send a digest'):
         first.set_fact('all', bytes(600))
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry through which members find each other, on fakes."""
+"""Tests of member discovery through the store, with fakes."""
 
 from typing import Any
 
@@ -11,22 +11,22 @@
 
 
 class _Members:
-    """A membership that takes everyone who is listed for alive."""
+    """A fake membership in which all listed instances are alive."""
 
     def __init__(self) -> None:
         self.peers: list[Any] = []
 
     def update_candidates(self, peers: list[Any]) -> None:
-        """Take in who is registered."""
+        """Store the listed instances."""
         self.peers = peers
 
     def alive(self) -> list[Any]:
-        """Return who was listed."""
+        """Return the listed instances."""
         return self.peers
 
 
 def _start(world: World, name: str) -> _Members:
-    """Register an instance that starts for the first time."""
+    """Start the registry of an instance at the fleet's first start."""
     members = _Members()
     MemberRegistry(
         world.store_of(name),
@@ -38,11 +38,11 @@
     return members
 
 
-def test_all_that_start_together_find_each_other_by_one_list() -> None:
-    """Six start within 0.3 s; each lists once, as the store has its price.
+def test_instances_that_start_together_list_once() -> None:
+    """Six instances start within 0.3 s; each lists once to save store calls.
 
-    Afterwards one of each availability zone lists now and then, so that two
-    parts of a fleet that lost each other for long find together.
+    Afterwards one per availability zone lists at intervals, so that two parts
+    of the fleet that were separated for long find each other.
     """
     world = World()
     for name in _NAMES:
@@ -54,14 +54,14 @@
     world.clock.advance(2)
     assert all(len(members.peers) == len(_NAMES) for members in found)
     assert world.store.calls['list'] == len(_NAMES)
-    world.clock.advance(module.AGAIN_SECONDS)
+    world.clock.advance(module.RELIST_INTERVAL_SECONDS)
     assert world.store.calls['list'] == len(_NAMES) + 3
 
 
-def test_one_that_has_heard_enough_waits_no_longer() -> None:
-    """Joins go on for seconds, and one instance needs to hear of few.
+def test_discovery_ends_once_enough_members_are_known() -> None:
+    """Instances keep joining for seconds, but a few known ones are enough.
 
-    It still waits until those that run had the time to answer.
+    The registry still waits until running members had the time to answer.
     """
     world = World()
     for name in _NAMES:
@@ -80,8 +80,8 @@
     )
     members.update_candidates = lambda peers: None  # type: ignore[method-assign]
     registry.start()
-    heard = [object(), object()]
-    members.peers = heard
+    peers = [object(), object()]
+    members.peers = peers
     world.clock.advance(0.2)
     waiting = world.clock.spawn(registry.wait_for_discovery, lambda: True)
     world.clock.advance(0.05)
--- a/tests/util/__init__.py
+++ b/tests/util/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of util."""
+"""Tests of the helpers in `guavagate.util`."""
