--- a/guavagate/assembly.py
+++ b/guavagate/assembly.py
@@ -13,7 +13,7 @@
 from guavagate.instance import Instance
 from guavagate.integrations.instance_list import InstanceListPoller
 from guavagate.integrations.object_api import ObjectApi
-from guavagate.integrations.object_api.transport import connect_http
+from guavagate.integrations.object_api.transport import make_http_transport
 from guavagate.ledger import make_ledger_states
 from guavagate.links import ZmqBus
 from guavagate.membership import Membership
@@ -50,7 +50,7 @@
             clock,
             credential,
         )
-        carry = connect_http(
+        carry = make_http_transport(
             settings.platform.object_api,
             _read_secret(settings.platform.credentials_file).decode(),
             clock,
--- a/guavagate/integrations/_errors.py
+++ b/guavagate/integrations/_errors.py
@@ -28,7 +28,7 @@
     error: ErrorBody = msgspec.field(default_factory=ErrorBody)
 
 
-def read_code(data: bytes) -> str:
+def read_error_code(data: bytes) -> str:
     """Return the code of an error body, or nothing."""
     try:
         return msgspec.json.decode(data, type=ErrorAnswer).error.code
@@ -42,7 +42,7 @@
     A bare 503 may come from something between us and an upstream that has
     started; only one that says why is known to be "not started".
     """
-    code = read_code(data)
+    code = read_error_code(data)
     if status == _UNAVAILABLE and code == LEAVING_CODE:
         return UpstreamLeavingError(f'{address} leaves', 'ask another upstream')
     if status == _UNAVAILABLE and code in NOT_STARTED_CODES:
@@ -55,7 +55,7 @@
     )
 
 
-def make_malformed(address: str, error: Exception) -> UpstreamError:
+def make_malformed_error(address: str, error: Exception) -> UpstreamError:
     """Return the error of an answer that can't be read."""
     return UpstreamError(
         f'{address} sent what is no answer ({error})',
--- a/guavagate/integrations/_http.py
+++ b/guavagate/integrations/_http.py
@@ -37,7 +37,9 @@
 class _Pool(ConnectionPool):
     """Connections to one address, with a bound on idle ones."""
 
-    def __init__(self, clock: Clock, keep: int, host: str, port: int) -> None:
+    def __init__(
+        self, clock: Clock, max_idle: int, host: str, port: int
+    ) -> None:
         super().__init__(
             host,
             port,
@@ -51,14 +53,14 @@
         # The library repeats up to `size` + 1 times; this switches it off.
         self.size = -1
         self._clock = clock
-        self._keep = keep
+        self._max_idle = max_idle
         self._idle_since: dict[socket.socket, float] = {}
         # Tasks that wait for a connection: nothing of theirs has been sent.
         self.connecting: set[gevent.Greenlet] = set()
 
     def return_socket(self, sock: socket.socket) -> None:
         """Keep the connection for reuse, or close it."""
-        if self._socket_queue.qsize() >= self._keep:
+        if self._socket_queue.qsize() >= self._max_idle:
             self.release_socket(sock)
             return
         self._idle_since[sock] = self._clock.now()
@@ -89,10 +91,10 @@
 class _Client(HTTPClient):
     """The library's client over our pool."""
 
-    def __init__(self, clock: Clock, address: str, keep: int) -> None:
+    def __init__(self, clock: Clock, address: str, max_idle: int) -> None:
         host, _, port = address.rpartition(':')
         super().__init__(host, int(port), disable_ipv6=True)
-        self.pool = _Pool(clock, keep, host, int(port))
+        self.pool = _Pool(clock, max_idle, host, int(port))
         self._connection_pool = self.pool
 
 
@@ -133,23 +135,26 @@
             Some of the request may have gone out.
         """
         client = self._client(address, reuse=reuse)
-        waiting = client.pool.connecting
+        connecting = client.pool.connecting
 
-        def late() -> UpstreamError:
-            silent = _silence(address, timeout)()
-            if gevent.getcurrent() not in waiting:
-                return silent
-            return UpstreamNotStartedError(silent.problem, silent.remedy)
+        def make_timeout_error() -> UpstreamError:
+            error = _make_timeout_error_factory(address, timeout)()
+            if gevent.getcurrent() not in connecting:
+                return error
+            return UpstreamNotStartedError(error.problem, error.remedy)
 
         try:
-            with _judge(address), self.clock.timeout(timeout, late):
+            with (
+                _translate_errors(address),
+                self.clock.timeout(timeout, make_timeout_error),
+            ):
                 return client.request(method, path, body, dict(headers or {}))
         finally:
-            waiting.discard(gevent.getcurrent())
+            connecting.discard(gevent.getcurrent())
 
     def read(self, address: str, answer: Response, timeout: float) -> bytes:
         """Read a whole body; a cut one raises `UpstreamError`."""
-        with _judge(address), self._within(address, timeout):
+        with _translate_errors(address), self._limit_time(address, timeout):
             return bytes(answer.read())
 
     def read_until(
@@ -161,10 +166,10 @@
         but the clock's.
         """
         try:
-            with self._within(address, timeout):
+            with self._limit_time(address, timeout):
                 return answer.readline(end)
         except (OSError, HTTPParseError) as error:
-            raise _broken(address, error) from error
+            raise _make_broken_error(address, error) from error
 
     def close(self) -> None:
         """Close the idle connections."""
@@ -182,14 +187,18 @@
             self._clients[address, reuse] = client
         return client
 
-    def _within(
+    def _limit_time(
         self, address: str, timeout: float
     ) -> contextlib.AbstractContextManager[None]:
         """Bound a wait for an upstream."""
-        return self.clock.timeout(timeout, _silence(address, timeout))
+        return self.clock.timeout(
+            timeout, _make_timeout_error_factory(address, timeout)
+        )
 
 
-def _silence(address: str, timeout: float) -> Callable[[], UpstreamError]:
+def _make_timeout_error_factory(
+    address: str, timeout: float
+) -> Callable[[], UpstreamError]:
     """Return what makes the error of a silent upstream."""
 
     def make() -> UpstreamError:
@@ -202,7 +211,7 @@
 
 
 @contextlib.contextmanager
-def _judge(address: str) -> Iterator[None]:
+def _translate_errors(address: str) -> Iterator[None]:
     """Turn transport errors into ours by whether bytes may have gone out."""
     try:
         yield
@@ -212,10 +221,10 @@
             'check that the upstream runs and its address in the settings',
         ) from error
     except (OSError, HTTPParseError) as error:
-        raise _broken(address, error) from error
+        raise _make_broken_error(address, error) from error
 
 
-def _broken(address: str, error: Exception) -> UpstreamError:
+def _make_broken_error(address: str, error: Exception) -> UpstreamError:
     """Return the error of an exchange that broke off."""
     return UpstreamError(
         f'{address} broke the exchange off ({error})',
--- a/guavagate/integrations/instance_list/_poller.py
+++ b/guavagate/integrations/instance_list/_poller.py
@@ -24,13 +24,13 @@
 
 # The list only finds instances that nobody has told of; at 330 instances
 # this is 11 reads a second of the platform's 2,000.
-POLL_SECONDS: Final = 30.0
+POLL_INTERVAL_SECONDS: Final = 30.0
 # Until the first list is read; doubled after each failure.
-FIRST_SECONDS: Final = 1.0
-_CALL_SECONDS: Final = 2.0
+FIRST_INTERVAL_SECONDS: Final = 1.0
+_CALL_TIMEOUT_SECONDS: Final = 2.0
 _OK: Final = 200
 
-TakeList = Callable[[Iterable[PeerSettings]], None]
+ListHandler = Callable[[Iterable[PeerSettings]], None]
 
 
 class InstanceListPoller:
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    take
+    handle_list
         Called with each list that was read, without blocking.
     """
 
@@ -46,12 +46,12 @@
         self,
         transport: Transport,
         clock: Clock,
-        take: TakeList,
+        handle_list: ListHandler,
         rng: random.Random | None = None,
     ) -> None:
         self._transport = transport
         self._clock = clock
-        self._take = take
+        self._handle_list = handle_list
         self._random = rng or random.Random()
         self._task: Task | None = None
 
@@ -66,7 +66,9 @@
 
     def poll(self) -> list[ListedInstance] | None:
         """Return the list, or nothing when the platform gives none."""
-        call = Call(method='GET', path='/v1/instances', timeout=_CALL_SECONDS)
+        call = Call(
+            method='GET', path='/v1/instances', timeout=_CALL_TIMEOUT_SECONDS
+        )
         try:
             answer = self._transport(call)
         except (NotSentError, NoAnswerError) as error:
@@ -77,24 +79,24 @@
         return _decode(answer.body)
 
     def _run(self) -> None:
-        wait = FIRST_SECONDS
+        interval = FIRST_INTERVAL_SECONDS
         while True:
             listed = self.poll()
-            wait = min(wait * 2, POLL_SECONDS)
+            interval = min(interval * 2, POLL_INTERVAL_SECONDS)
             if listed:
-                self._take(each.to_peer() for each in listed)
-                wait = POLL_SECONDS
-            self._clock.sleep(wait * self._random.uniform(0.75, 1.25))
+                self._handle_list(each.to_peer() for each in listed)
+                interval = POLL_INTERVAL_SECONDS
+            self._clock.sleep(interval * self._random.uniform(0.75, 1.25))
 
 
 def _decode(body: bytes) -> list[ListedInstance] | None:
     try:
-        raw = msgspec.json.decode(body, type=ListBody).instances
+        entries = msgspec.json.decode(body, type=ListBody).instances
     except msgspec.MsgspecError as error:
         _LOGGER.debug('the instance list can not be read: %s', error)
         return None
     listed = []
-    for entry in raw:
+    for entry in entries:
         try:
             listed.append(msgspec.json.decode(entry, type=ListedInstance))
         except msgspec.MsgspecError as error:
--- a/guavagate/integrations/model_engine/_client.py
+++ b/guavagate/integrations/model_engine/_client.py
@@ -10,11 +10,11 @@
 
 from guavagate.clock import Clock
 from guavagate.exceptions import UpstreamError, UpstreamNotStartedError
-from guavagate.integrations._errors import make_error, make_malformed
+from guavagate.integrations._errors import make_error, make_malformed_error
 from guavagate.integrations._http import Connections, Response
 from guavagate.integrations.model_engine import const
 from guavagate.integrations.model_engine._wire import (
-    StreamCheck,
+    StreamChecker,
     decode_event,
     encode_request,
 )
@@ -86,21 +86,21 @@
 
     def report(self, address: str, timeout: float) -> EngineReport:
         """Return the engine's report."""
-        return self._ask(
+        return self._request(
             address, 'GET', const.PATH_REPORT, b'', EngineReport, timeout
         )
 
     def order(self, address: str, order: EngineOrder, timeout: float) -> None:
         """Give an order; a refused one raises `UpstreamError`."""
         body = msgspec.json.encode(order)
-        self._ask(address, 'POST', const.PATH_ORDERS, body, dict, timeout)
+        self._request(address, 'POST', const.PATH_ORDERS, body, dict, timeout)
 
     def cache_events(
         self, address: str, since: int, timeout: float
     ) -> CacheEvents:
         """Return the cache events from a number on; numbers have gaps."""
         path = f'{const.PATH_CACHE_EVENTS}{since}'
-        return self._ask(address, 'GET', path, b'', CacheEvents, timeout)
+        return self._request(address, 'GET', path, b'', CacheEvents, timeout)
 
     def close(self) -> None:
         """Close the idle connections."""
@@ -120,12 +120,14 @@
         )
         try:
             if answer.status_code != 200:
-                self._refuse(address, answer, token_timeout)
-            yield from self._take(address, answer, generation, token_timeout)
+                self._raise_error(address, answer, token_timeout)
+            yield from self._read_pieces(
+                address, answer, generation, token_timeout
+            )
         finally:
             answer.release()
 
-    def _take(
+    def _read_pieces(
         self,
         address: str,
         answer: Response,
@@ -133,13 +135,13 @@
         token_timeout: float,
     ) -> Iterator[Piece]:
         """Yield the events that belong to the exchange."""
-        check = StreamCheck(address, generation)
+        checker = StreamChecker(address, generation)
         for event in self._read_events(address, answer, token_timeout):
             if event.id != generation.exchange:
-                check.take_stray()
-                self._drop(address, generation, event)
+                checker.record_stray()
+                self._record_stray(address, generation, event)
                 continue
-            piece = check.take(event)
+            piece = checker.read_piece(event)
             yield piece
             if piece.finish is not None:
                 self._drain(address, answer)
@@ -156,21 +158,21 @@
         while event := self._connections.read_until(
             const.EVENT_END, address, answer, token_timeout
         ):
-            if not event.startswith(const.DATA_MARK):
+            if not event.startswith(const.DATA_PREFIX):
                 continue
-            data = event[len(const.DATA_MARK) :].strip()
-            if data == const.DONE_MARK:
+            data = event[len(const.DATA_PREFIX) :].strip()
+            if data == const.DONE_MARKER:
                 return
             yield decode_event(address, data)
 
     def _drain(self, address: str, answer: Response) -> None:
         """Read the rest, so that the connection can be used again."""
         try:
-            self._connections.read(address, answer, const.DRAIN_SECONDS)
+            self._connections.read(address, answer, const.DRAIN_TIMEOUT_SECONDS)
         except UpstreamError as error:
             _LOGGER.debug('Connection not kept: %s', error)
 
-    def _drop(
+    def _record_stray(
         self, address: str, generation: Generation, event: StreamEvent
     ) -> None:
         """Count a piece of another exchange."""
@@ -182,14 +184,14 @@
             generation.exchange,
         )
 
-    def _refuse(
+    def _raise_error(
         self, address: str, answer: Response, timeout: float
     ) -> NoReturn:
         """Raise for an answer that is no stream."""
         data = self._connections.read(address, answer, timeout)
         raise make_error(address, answer.status_code, data)
 
-    def _ask(
+    def _request(
         self,
         address: str,
         method: str,
@@ -203,17 +205,19 @@
             address, method, path, body=body, timeout=timeout
         )
         if answer.status_code >= 300:
-            self._refuse(address, answer, timeout)
+            self._raise_error(address, answer, timeout)
         data = self._connections.read(address, answer, timeout)
         try:
             return msgspec.json.decode(data, type=kind)
         except msgspec.MsgspecError as error:
-            raise make_malformed(address, error) from error
+            raise make_malformed_error(address, error) from error
 
     def _cancel(self, address: str, exchange: str) -> None:
         """Tell the engine to stop an exchange; it may be gone already."""
         path = f'{const.PATH_CANCEL}{quote(exchange, safe="")}'
         try:
-            self._ask(address, 'POST', path, b'', dict, const.CANCEL_SECONDS)
+            self._request(
+                address, 'POST', path, b'', dict, const.CANCEL_TIMEOUT_SECONDS
+            )
         except UpstreamError as error:
             _LOGGER.debug('Exchange %s not cancelled: %s', exchange, error)
--- a/guavagate/integrations/model_engine/_wire.py
+++ b/guavagate/integrations/model_engine/_wire.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from guavagate.exceptions import UpstreamError
-from guavagate.integrations._errors import make_malformed
+from guavagate.integrations._errors import make_malformed_error
 from guavagate.integrations.model_engine.models import StreamEvent
 from guavagate.models import WeightVersion
 from guavagate.ports.engine import Generation, Piece
@@ -24,10 +24,10 @@
     try:
         return _EVENT.decode(data)
     except msgspec.MsgspecError as error:
-        raise make_malformed(address, error) from error
+        raise make_malformed_error(address, error) from error
 
 
-class StreamCheck:
+class StreamChecker:
     """Checks that a stream's pieces are whole and state their version.
 
     Parameters
@@ -44,11 +44,11 @@
         self._tokens = 0
         self._strays = 0
 
-    def take_stray(self) -> None:
+    def record_stray(self) -> None:
         """Note a piece of another exchange."""
         self._strays += 1
 
-    def take(self, event: StreamEvent) -> Piece:
+    def read_piece(self, event: StreamEvent) -> Piece:
         """Return the event's piece.
 
         Raises
--- a/guavagate/integrations/model_engine/const.py
+++ b/guavagate/integrations/model_engine/const.py
@@ -10,11 +10,11 @@
 
 # Engines send one data line for each event and end it by an empty line.
 EVENT_END: Final = b'\n\n'
-DATA_MARK: Final = b'data: '
-DONE_MARK: Final = b'[DONE]'
+DATA_PREFIX: Final = b'data: '
+DONE_MARKER: Final = b'[DONE]'
 
-CANCEL_SECONDS: Final = 2.0
-DRAIN_SECONDS: Final = 0.2
+CANCEL_TIMEOUT_SECONDS: Final = 2.0
+DRAIN_TIMEOUT_SECONDS: Final = 0.2
 
 # Engines name a cached prefix by a digest over whole blocks of the prompt.
-PREFIX_BLOCK: Final = 64
+PREFIX_BLOCK_CHARS: Final = 64
--- a/guavagate/integrations/model_engine/models.py
+++ b/guavagate/integrations/model_engine/models.py
@@ -3,7 +3,7 @@
 import msgspec
 import xxhash
 
-from guavagate.integrations.model_engine.const import PREFIX_BLOCK
+from guavagate.integrations.model_engine.const import PREFIX_BLOCK_CHARS
 
 
 class Choice(msgspec.Struct):
@@ -45,11 +45,11 @@
     events: list[CacheEvent]
 
 
-def prefix_ids(prompt: str) -> list[str]:
+def compute_prefix_ids(prompt: str) -> list[str]:
     """Return the ids of a prompt's prefixes, the shortest first."""
     ids = []
     digest = xxhash.xxh64()
-    for end in range(PREFIX_BLOCK, len(prompt) + 1, PREFIX_BLOCK):
-        digest.update(prompt[end - PREFIX_BLOCK : end].encode())
+    for end in range(PREFIX_BLOCK_CHARS, len(prompt) + 1, PREFIX_BLOCK_CHARS):
+        digest.update(prompt[end - PREFIX_BLOCK_CHARS : end].encode())
         ids.append(digest.hexdigest())
     return ids
--- a/guavagate/integrations/object_api/_timed.py
+++ b/guavagate/integrations/object_api/_call_metrics.py
@@ -10,7 +10,9 @@
 LONGEST_CALL_SECONDS: Final = 2.0
 
 
-def time_calls(carry: Transport, metrics: Metrics, clock: Clock) -> Transport:
+def measure_calls(
+    carry: Transport, metrics: Metrics, clock: Clock
+) -> Transport:
     """Return the same way to the store, with each call's time observed."""
 
     def carry_timed(call: Call) -> Answer:
--- a/guavagate/integrations/object_api/_circuit.py
+++ b/guavagate/integrations/object_api/_circuit_breaker.py
@@ -10,21 +10,23 @@
 import random
 from typing import Final
 
-FAILURES: Final = 5
-FIRST_SECONDS: Final = 0.5
-LONGEST_SECONDS: Final = 5.0
+FAILURE_THRESHOLD: Final = 5
+MIN_PROBE_INTERVAL_SECONDS: Final = 0.5
+MAX_PROBE_INTERVAL_SECONDS: Final = 5.0
 
 
-class Circuit:
+class CircuitBreaker:
     """Closed while calls succeed; time is an argument, seconds."""
 
     def __init__(
-        self, rng: random.Random, longest: float = LONGEST_SECONDS
+        self,
+        rng: random.Random,
+        max_interval: float = MAX_PROBE_INTERVAL_SECONDS,
     ) -> None:
-        self._longest = longest
+        self._max_interval = max_interval
         self._random = rng
         self._failures = 0
-        self._wait = FIRST_SECONDS
+        self._interval = MIN_PROBE_INTERVAL_SECONDS
         self._probe_at: float | None = None
 
     def is_open(self) -> bool:
@@ -38,24 +40,24 @@
         if now < self._probe_at:
             return self._probe_at - now
         # Others wait while this one probes.
-        self._probe_at = now + self._wait
+        self._probe_at = now + self._interval
         return 0
 
-    def succeed(self) -> bool:
+    def record_success(self) -> bool:
         """Note an answer; return whether this ends an outage."""
         ended = self.is_open()
         self._failures = 0
-        self._wait = FIRST_SECONDS
+        self._interval = MIN_PROBE_INTERVAL_SECONDS
         self._probe_at = None
         return ended
 
-    def fail(self, now: float) -> bool:
+    def record_failure(self, now: float) -> bool:
         """Note a failure; return whether this starts an outage."""
         self._failures += 1
-        if self._failures < FAILURES:
+        if self._failures < FAILURE_THRESHOLD:
             return False
         started = not self.is_open()
-        spread = self._random.uniform(0.5, 1)
-        self._probe_at = now + self._wait * spread
-        self._wait = min(self._wait * 2, self._longest)
+        jitter = self._random.uniform(0.5, 1)
+        self._probe_at = now + self._interval * jitter
+        self._interval = min(self._interval * 2, self._max_interval)
         return started
--- a/guavagate/integrations/object_api/_client.py
+++ b/guavagate/integrations/object_api/_client.py
@@ -15,8 +15,8 @@
     StoreUnavailableError,
 )
 from guavagate.integrations.object_api import const
-from guavagate.integrations.object_api._caller import Caller
-from guavagate.integrations.object_api._seen import Seen
+from guavagate.integrations.object_api._known_versions import KnownVersions
+from guavagate.integrations.object_api._retrying_client import RetryingClient
 from guavagate.integrations.object_api.models import (
     Answer,
     Call,
@@ -36,11 +36,11 @@
 _LOGGER: Final = logging.getLogger(__name__)
 
 _OK: Final = 200
-_MISSING: Final = 404
+_NOT_FOUND: Final = 404
 _CONFLICT: Final = 409
-_COMPACTED: Final = 410
+_GONE: Final = 410
 # A watch may answer a little after its time; then it counts as lost.
-_WATCH_GRACE: Final = 2.0
+_WATCH_GRACE_SECONDS: Final = 2.0
 
 _PRIORITIES: Final = (
     ('partitions/', Priority.RECORDS),
@@ -58,7 +58,7 @@
     Parameters
     ----------
     transport
-        Carries one call; `connect_http` makes one.
+        Carries one call; `make_http_transport` makes one.
     fleet_size
         How many instances share the platform's rate now.
     rng
@@ -72,40 +72,40 @@
         fleet_size: Callable[[], int],
         rng: random.Random | None = None,
     ) -> None:
-        self._caller = Caller(
+        self._client = RetryingClient(
             transport, clock, fleet_size, rng or random.Random()
         )
-        self._seen = Seen()
+        self._known_versions = KnownVersions()
 
     def is_down(self) -> bool:
         """Return whether calls are held back as the platform is down."""
-        return self._caller.is_down()
+        return self._client.is_down()
 
     def get(self, path: str) -> StoredObject | None:
         """Return the object, or nothing; never an older one than before."""
-        answer = self._read(_locate(path), classify(path))
-        if answer.status == _MISSING:
+        answer = self._read(_make_target(path), classify(path))
+        if answer.status == _NOT_FOUND:
             self._confirm_missing(path)
             return None
-        _expect(answer, _OK)
+        _require_status(answer, _OK)
         version = answer.version
-        if version is None or self._seen.is_old(path, version):
-            raise _refuse_old(path)
-        self._seen.note(path, version)
+        if version is None or self._known_versions.is_old(path, version):
+            raise _make_stale_error(path)
+        self._known_versions.record(path, version)
         return StoredObject(path, answer.body, version)
 
     def list_under(self, prefix: str) -> tuple[list[StoredObject], Revision]:
         """Return all objects under a prefix and the revision of the list."""
         query = urlencode({'prefix': prefix})
         answer = self._read(f'/v1/objects?{query}', classify(prefix))
-        _expect(answer, _OK)
+        _require_status(answer, _OK)
         body = _decode(answer, ListBody)
-        if self._seen.is_old_list(body.revision):
-            raise _refuse_old(prefix)
-        self._seen.note_revision(body.revision)
+        if self._known_versions.is_old_list(body.revision):
+            raise _make_stale_error(prefix)
+        self._known_versions.record_revision(body.revision)
         objects = []
         for each in body.objects:
-            self._seen.note(each.path, each.version)
+            self._known_versions.record(each.path, each.version)
             value = bytes(each.value)
             objects.append(StoredObject(each.path, value, each.version))
         return objects, body.revision
@@ -116,14 +116,14 @@
         """Write if the object's version is as expected (0: not there)."""
         answer = self._write('PUT', path, value, expected)
         version = _decode(answer, WrittenBody).version
-        self._seen.note(path, version)
+        self._known_versions.record(path, version)
         return version
 
     def delete(self, path: str, expected: Revision | None) -> None:
         """Delete under the same condition."""
         answer = self._write('DELETE', path, b'', expected)
         version = _decode(answer, WrittenBody).version
-        self._seen.note(path, version, present=False)
+        self._known_versions.record(path, version, present=False)
 
     def watch(
         self, prefix: str, since: Revision, timeout: float
@@ -133,20 +133,24 @@
             {'prefix': prefix, 'since': since, 'timeout': timeout}
         )
         answer = self._read(
-            f'/v1/watch?{query}', classify(prefix), timeout + _WATCH_GRACE
+            f'/v1/watch?{query}',
+            classify(prefix),
+            timeout + _WATCH_GRACE_SECONDS,
         )
-        if answer.status == _COMPACTED:
+        if answer.status == _GONE:
             raise WatchCompactedError(prefix)
-        _expect(answer, _OK)
+        _require_status(answer, _OK)
         body = _decode(answer, WatchBody)
         changes = [
             StoreChange(each.path, each.value, each.version)
             for each in body.changes
-            if not self._seen.is_old(each.path, each.version)
+            if not self._known_versions.is_old(each.path, each.version)
         ]
         for change in changes:
             present = change.value is not None
-            self._seen.note(change.path, change.version, present=present)
+            self._known_versions.record(
+                change.path, change.version, present=present
+            )
         return changes, Revision(max(body.revision, since))
 
     def _read(
@@ -157,7 +161,7 @@
     ) -> Answer:
         call = Call(method='GET', path=target, timeout=timeout)
         deadline = max(timeout, const.DEADLINE_SECONDS)
-        return self._caller.call(call, priority, deadline)
+        return self._client.call(call, priority, deadline)
 
     def _write(
         self, method: str, path: str, value: bytes, expected: Revision | None
@@ -167,37 +171,37 @@
             headers[const.HEADER_EXPECTED] = str(expected)
         call = Call(
             method=method,
-            path=_locate(path),
+            path=_make_target(path),
             body=value,
             headers=headers,
             timeout=const.CALL_SECONDS,
         )
-        answer = self._caller.call(call, classify(path), const.DEADLINE_SECONDS)
+        answer = self._client.call(call, classify(path), const.DEADLINE_SECONDS)
         if answer.status == _CONFLICT:
-            self._note_conflict(path, answer)
+            self._record_conflict(path, answer)
             raise StoreConflictError(
                 f'{path} has another version than {expected}',
                 'read it and decide again',
             )
-        _expect(answer, _OK)
+        _require_status(answer, _OK)
         return answer
 
-    def _note_conflict(self, path: str, answer: Answer) -> None:
+    def _record_conflict(self, path: str, answer: Answer) -> None:
         current = _decode(answer, WrittenBody).version
         if current:
-            self._seen.note(path, current)
+            self._known_versions.record(path, current)
 
     def _confirm_missing(self, path: str) -> None:
         """Believe that an object is gone only from a copy that is not old.
 
         An answer "not found" carries no revision; a list does.
         """
-        if not self._seen.knows(path):
+        if not self._known_versions.is_present(path):
             return
         found, revision = self.list_under(path)
         if any(each.path == path for each in found):
-            raise _refuse_old(path)
-        self._seen.note(path, revision, present=False)
+            raise _make_stale_error(path)
+        self._known_versions.record(path, revision, present=False)
 
 
 def classify(path: str) -> Priority:
@@ -208,11 +212,11 @@
     return Priority.STATUS
 
 
-def _locate(path: str) -> str:
+def _make_target(path: str) -> str:
     return f'/v1/objects/{quote(path)}'
 
 
-def _expect(answer: Answer, status: int) -> None:
+def _require_status(answer: Answer, status: int) -> None:
     if answer.status != status:
         raise StoreUnavailableError(
             f'the platform answered {answer.status}',
@@ -231,7 +235,7 @@
         ) from error
 
 
-def _refuse_old(path: str) -> StoreUnavailableError:
+def _make_stale_error(path: str) -> StoreUnavailableError:
     write(_LOGGER, fleet.STORE_STALE, path=path)
     return StoreUnavailableError(
         f'the platform answered for {path} from an old copy',
--- a/guavagate/integrations/object_api/_seen.py
+++ b/guavagate/integrations/object_api/_known_versions.py
@@ -11,15 +11,17 @@
 
 from guavagate.models import Revision
 
-_PATHS: Final = 20_000
-_NEVER: Final = (Revision(0), False)
+_MAX_PATHS: Final = 20_000
+_UNKNOWN: Final = (Revision(0), False)
 
 
-class Seen:
+class KnownVersions:
     """The newest version of each path, and of the whole store."""
 
     def __init__(self) -> None:
-        self._versions: LRUCache[str, tuple[Revision, bool]] = LRUCache(_PATHS)
+        self._versions: LRUCache[str, tuple[Revision, bool]] = LRUCache(
+            _MAX_PATHS
+        )
         self._newest = Revision(0)
 
     def is_old(self, path: str, version: Revision) -> bool:
@@ -30,21 +32,21 @@
         """Return whether a list is behind what was seen."""
         return revision < self._newest
 
-    def knows(self, path: str) -> bool:
+    def is_present(self, path: str) -> bool:
         """Return whether the object was seen, and not seen deleted."""
         return self._get(path)[1]
 
-    def note(
+    def record(
         self, path: str, version: Revision, *, present: bool = True
     ) -> None:
         """Remember an object's version, or that of its deletion."""
         if not self.is_old(path, version):
             self._versions[path] = (version, present)
-        self.note_revision(version)
+        self.record_revision(version)
 
-    def note_revision(self, revision: Revision) -> None:
+    def record_revision(self, revision: Revision) -> None:
         """Remember a revision of the store."""
         self._newest = max(self._newest, revision)
 
     def _get(self, path: str) -> tuple[Revision, bool]:
-        return self._versions.get(path, _NEVER)
+        return self._versions.get(path, _UNKNOWN)
--- a/guavagate/integrations/object_api/_peer_choice.py
+++ b/guavagate/integrations/object_api/_peer_selector.py
@@ -17,20 +17,20 @@
 AVOID_SECONDS: Final = 10.0
 
 
-class PeerChoice:
+class PeerSelector:
     """Remembers who answered and who did not."""
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         self._clock = clock
         self._random = rng
-        self._best: InstanceId | None = None
-        self._silent: dict[InstanceId, float] = {}
+        self._last_working: InstanceId | None = None
+        self._avoided_until: dict[InstanceId, float] = {}
 
-    def is_found(self) -> bool:
+    def has_working_peer(self) -> bool:
         """Return whether some peer is known to answer."""
-        return self._best is not None
+        return self._last_working is not None
 
-    def order(self, peers: Sequence[InstanceId]) -> list[InstanceId]:
+    def rank(self, peers: Sequence[InstanceId]) -> list[InstanceId]:
         """Return the peers to ask, the best first, the silent ones last."""
         now = self._clock.now()
         shuffled = list(peers)
@@ -38,18 +38,18 @@
         return sorted(
             shuffled,
             key=lambda peer: (
-                peer != self._best,
-                self._silent.get(peer, 0) > now,
+                peer != self._last_working,
+                self._avoided_until.get(peer, 0) > now,
             ),
         )
 
-    def note_answer(self, peer: InstanceId) -> None:
+    def record_answer(self, peer: InstanceId) -> None:
         """Note that a peer made a call."""
-        self._silent.pop(peer, None)
-        self._best = peer
+        self._avoided_until.pop(peer, None)
+        self._last_working = peer
 
-    def note_silence(self, peer: InstanceId) -> None:
+    def record_failure(self, peer: InstanceId) -> None:
         """Note that a peer gave no answer, or could not reach the store."""
-        self._silent[peer] = self._clock.now() + AVOID_SECONDS
-        if self._best == peer:
-            self._best = None
+        self._avoided_until[peer] = self._clock.now() + AVOID_SECONDS
+        if self._last_working == peer:
+            self._last_working = None
--- a/guavagate/integrations/object_api/_peers.py
+++ b/guavagate/integrations/object_api/_peers.py
@@ -23,15 +23,15 @@
 from guavagate.events import write
 from guavagate.exceptions import LinkError, LinkRefusedError
 from guavagate.helpers.waits import wait_for
-from guavagate.integrations.object_api._peer_choice import PeerChoice
-from guavagate.integrations.object_api._timed import LONGEST_CALL_SECONDS
+from guavagate.integrations.object_api._call_metrics import LONGEST_CALL_SECONDS
+from guavagate.integrations.object_api._peer_selector import PeerSelector
 from guavagate.integrations.object_api.models import (
     Answer,
     Call,
+    DirectRouteLostError,
     NoAnswerError,
     NotSentError,
     Transport,
-    WayLostError,
 )
 from guavagate.links import Bus, Message, expect
 from guavagate.models import InstanceId
@@ -42,24 +42,24 @@
 # tried. With the time limit of a try, what waits on a silent way is let go
 # after 0.7 s at most; TCP's own probes take 3 s, and a step of four seconds
 # whose results can not be listed for two is late.
-LOOK_SECONDS: Final = 0.2
-SILENT_SECONDS: Final = 0.25
+CHECK_INTERVAL_SECONDS: Final = 0.2
+STALLED_SECONDS: Final = 0.25
 # A try waits for five usual answers within these bounds: a store that answers
 # slowly is not lost, and what it carries out must not be given up for that.
-LEAST_LIMIT: Final = 0.25
-MOST_LIMIT: Final = 0.6
-USUAL_ANSWERS: Final = 5
-USUAL_SHARE: Final = 0.5
+MIN_PROBE_TIMEOUT_SECONDS: Final = 0.25
+MAX_PROBE_TIMEOUT_SECONDS: Final = 0.6
+PROBE_TIMEOUT_FACTOR: Final = 5
+LATENCY_SMOOTHING: Final = 0.5
 # While the way is lost; each try has its price.
-PROBE_SECONDS: Final = 0.5
+PROBE_INTERVAL_SECONDS: Final = 0.5
 # Where nothing urgent waits, calls go through peers meanwhile, and ninety
 # instances that try their ways twice a second cost more than that.
-CALM_PROBE_SECONDS: Final = 2.0
-GRACE_SECONDS: Final = 0.5
+IDLE_PROBE_INTERVAL_SECONDS: Final = 2.0
+PEER_GRACE_SECONDS: Final = 0.5
 # A peer that is sound answers within some milliseconds.
-SEARCH_SECONDS: Final = 0.2
-_SEARCHED_PEERS: Final = 4
-_TRIED_PEERS: Final = 2
+SEARCH_TIMEOUT_SECONDS: Final = 0.2
+_MAX_SEARCHED_PEERS: Final = 4
+_MAX_TRIED_PEERS: Final = 2
 
 
 class StoreCall(Message, frozen=True, kw_only=True):
@@ -76,14 +76,14 @@
     problem: str = ''
 
 
-class PeerRoute:
+class PeerFallback:
     """Carries calls directly, or through a peer while that fails.
 
     Parameters
     ----------
     probe_path
         A cheap read; what it finds does not matter.
-    is_needed
+    is_urgent
         Whether what waits here is urgent; without it the way is not tried
         while it works, as each try has its price.
     """
@@ -95,148 +95,161 @@
         clock: Clock,
         list_peers: Callable[[], list[InstanceId]],
         probe_path: str,
-        is_needed: Callable[[], bool],
+        is_urgent: Callable[[], bool],
         rng: random.Random | None = None,
     ) -> None:
         self._direct = direct
         self._bus = bus
         self._clock = clock
         self._list_peers = list_peers
-        self._probe = Call(method='GET', path=probe_path, timeout=MOST_LIMIT)
-        self._is_needed = is_needed
-        self._peers = PeerChoice(clock, rng or random.Random())
+        self._probe = Call(
+            method='GET', path=probe_path, timeout=MAX_PROBE_TIMEOUT_SECONDS
+        )
+        self._is_urgent = is_urgent
+        self._peers = PeerSelector(clock, rng or random.Random())
         self._searching: Event | None = None
-        self._is_lost = False
-        self._heard_at = clock.now()
-        self._usual = float(0)
-        self._tried_at = clock.now()
+        self._direct_route_lost = False
+        self._last_answer_at = clock.now()
+        self._usual_latency = float(0)
+        self._probed_at = clock.now()
         self._waiting: dict[AsyncResult, Task] = {}
         bus.register(StoreCall, self._serve)
 
     def start(self) -> None:
         """Watch over the direct way from now on."""
-        self._clock.spawn(self._watch_over)
+        self._clock.spawn(self._check_periodically)
 
     def carry(self, call: Call) -> Answer:
         """Make one call, by whichever way works."""
-        if self._is_lost:
+        if self._direct_route_lost:
             try:
-                return self._ask_peers(call)
+                return self._call_through_peers(call)
             except NotSentError as error:
                 _LOGGER.debug('no peer made the call: %s', error)
         try:
-            answer = self._go_directly(call)
+            answer = self._call_directly(call)
         except NotSentError as error:
-            self._note_failure(str(error))
-            return self._ask_peers(call)
+            self._record_failure(str(error))
+            return self._call_through_peers(call)
         except NoAnswerError as error:
-            self._note_failure(str(error))
+            self._record_failure(str(error))
             raise
         return answer
 
-    def _go_directly(self, call: Call) -> Answer:
+    def _call_directly(self, call: Call) -> Answer:
         """Make a call that is let go when the way is lost meanwhile."""
-        began = self._clock.now()
+        began_at = self._clock.now()
         result: AsyncResult = AsyncResult()
-        self._waiting[result] = self._clock.spawn(self._fill, result, call)
+        self._waiting[result] = self._clock.spawn(self._run_call, result, call)
         try:
             answer: Answer = result.get()
         finally:
             self._waiting.pop(result).kill(block=False)
-        self._note_answer(call, began)
+        self._record_answer(call, began_at)
         return answer
 
-    def _fill(self, result: AsyncResult, call: Call) -> None:
+    def _run_call(self, result: AsyncResult, call: Call) -> None:
         try:
             result.set(self._direct(call))
         except Exception as error:
             result.set_exception(error)
 
-    def _watch_over(self) -> None:
+    def _check_periodically(self) -> None:
         while True:
-            self._clock.sleep(LOOK_SECONDS)
-            if self._is_worth_a_try():
-                self._try_way()
+            self._clock.sleep(CHECK_INTERVAL_SECONDS)
+            if self._is_probe_due():
+                self._probe_direct_route()
 
-    def _is_worth_a_try(self) -> bool:
+    def _is_probe_due(self) -> bool:
         now = self._clock.now()
-        needed = self._is_needed()
-        if self._is_lost:
-            pause = PROBE_SECONDS if needed else CALM_PROBE_SECONDS
-            return now - self._tried_at >= pause
-        silent = now - self._heard_at >= SILENT_SECONDS
-        return needed and silent and bool(self._waiting)
-
-    def _try_way(self) -> None:
-        self._tried_at = self._clock.now()
-        limit = MOST_LIMIT
-        if not self._is_lost:
-            usual = self._usual * USUAL_ANSWERS
-            limit = min(max(usual, LEAST_LIMIT), MOST_LIMIT)
+        urgent = self._is_urgent()
+        if self._direct_route_lost:
+            interval = (
+                PROBE_INTERVAL_SECONDS
+                if urgent
+                else IDLE_PROBE_INTERVAL_SECONDS
+            )
+            return now - self._probed_at >= interval
+        stalled = now - self._last_answer_at >= STALLED_SECONDS
+        return urgent and stalled and bool(self._waiting)
+
+    def _probe_direct_route(self) -> None:
+        self._probed_at = self._clock.now()
+        limit = MAX_PROBE_TIMEOUT_SECONDS
+        if not self._direct_route_lost:
+            timeout = self._usual_latency * PROBE_TIMEOUT_FACTOR
+            limit = min(
+                max(timeout, MIN_PROBE_TIMEOUT_SECONDS),
+                MAX_PROBE_TIMEOUT_SECONDS,
+            )
         try:
-            with self._clock.timeout(limit, _make_silence):
+            with self._clock.timeout(limit, _make_timeout_error):
                 self._direct(self._probe)
         except (NotSentError, NoAnswerError) as error:
-            self._note_failure(str(error))
-            self._let_go(str(error))
+            self._record_failure(str(error))
+            self._fail_waiting_calls(str(error))
         else:
-            self._note_answer(self._probe, self._tried_at)
+            self._record_answer(self._probe, self._probed_at)
 
-    def _let_go(self, problem: str) -> None:
+    def _fail_waiting_calls(self, problem: str) -> None:
         """Have what waits on the lost way be asked again, through a peer.
 
         Only once the probe has failed: a single call that was refused may be
         one too many, and asking everything again would add to that.
         """
-        waiting = list(self._waiting) if self._is_lost else []
+        waiting = list(self._waiting) if self._direct_route_lost else []
         for result in waiting:
-            result.set_exception(WayLostError(problem))
+            result.set_exception(DirectRouteLostError(problem))
 
-    def _note_answer(self, call: Call, began: float) -> None:
-        self._heard_at = self._clock.now()
+    def _record_answer(self, call: Call, began_at: float) -> None:
+        self._last_answer_at = self._clock.now()
         if call.timeout <= LONGEST_CALL_SECONDS:
-            taken = self._heard_at - began
-            self._usual += (taken - self._usual) * USUAL_SHARE
-        if self._is_lost:
-            self._is_lost = False
+            latency = self._last_answer_at - began_at
+            self._usual_latency += (
+                latency - self._usual_latency
+            ) * LATENCY_SMOOTHING
+        if self._direct_route_lost:
+            self._direct_route_lost = False
             write(_LOGGER, events.STORE_DIRECT)
 
-    def _note_failure(self, problem: str) -> None:
-        if self._is_lost or not self._list_peers():
+    def _record_failure(self, problem: str) -> None:
+        if self._direct_route_lost or not self._list_peers():
             return
-        self._is_lost = True
+        self._direct_route_lost = True
         write(_LOGGER, events.STORE_THROUGH_PEER, problem=problem)
 
-    def _ask_peers(self, call: Call) -> Answer:
-        if not self._peers.is_found():
+    def _call_through_peers(self, call: Call) -> Answer:
+        if not self._peers.has_working_peer():
             self._find_peer()
         problem = 'there is no peer'
-        for peer in self._peers.order(self._list_peers())[:_TRIED_PEERS]:
+        for peer in self._peers.rank(self._list_peers())[:_MAX_TRIED_PEERS]:
             try:
-                answer, problem = self._ask(peer, call)
+                answer, problem = self._call_peer(peer, call)
             except LinkRefusedError as error:
-                self._peers.note_silence(peer)
+                self._peers.record_failure(peer)
                 problem = str(error)
                 continue
             if answer is not None:
                 return answer
         raise NotSentError(problem)
 
-    def _ask(self, peer: InstanceId, call: Call) -> tuple[Answer | None, str]:
+    def _call_peer(
+        self, peer: InstanceId, call: Call
+    ) -> tuple[Answer | None, str]:
         """Return a peer's answer, or why it has certainly not made the call."""
-        timeout = call.timeout + GRACE_SECONDS
+        timeout = call.timeout + PEER_GRACE_SECONDS
         message = StoreCall(call=call)
         try:
             reply = self._bus.request(peer, message, StoreAnswer, timeout)
         except LinkRefusedError:
             raise
         except LinkError as error:
-            self._peers.note_silence(peer)
+            self._peers.record_failure(peer)
             raise NoAnswerError(str(error)) from error
         if reply.answer is not None:
-            self._peers.note_answer(peer)
+            self._peers.record_answer(peer)
             return reply.answer, ''
-        self._peers.note_silence(peer)
+        self._peers.record_failure(peer)
         if reply.sent:
             raise NoAnswerError(reply.problem)
         return None, reply.problem
@@ -248,17 +261,17 @@
         """
         if self._searching is None:
             self._searching = Event()
-            peers = self._peers.order(self._list_peers())[:_SEARCHED_PEERS]
+            peers = self._peers.rank(self._list_peers())[:_MAX_SEARCHED_PEERS]
             for peer in peers:
-                self._clock.spawn(self._try_peer, peer, self._searching)
+                self._clock.spawn(self._probe_peer, peer, self._searching)
         search = self._searching
-        wait_for(self._clock, search, SEARCH_SECONDS)
+        wait_for(self._clock, search, SEARCH_TIMEOUT_SECONDS)
         if self._searching is search:
             self._searching = None
 
-    def _try_peer(self, peer: InstanceId, found: Event) -> None:
+    def _probe_peer(self, peer: InstanceId, found: Event) -> None:
         try:
-            answer, _ = self._ask(peer, self._probe)
+            answer, _ = self._call_peer(peer, self._probe)
         except (LinkRefusedError, NoAnswerError) as error:
             _LOGGER.debug('%s has no way to the store: %s', peer, error)
         else:
@@ -276,5 +289,5 @@
             return StoreAnswer(problem=str(error))
 
 
-def _make_silence() -> NoAnswerError:
+def _make_timeout_error() -> NoAnswerError:
     return NoAnswerError('the store is silent')
--- a/guavagate/integrations/object_api/_caller.py
+++ b/guavagate/integrations/object_api/_retrying_client.py
@@ -12,25 +12,28 @@
 from guavagate.events import fleet, write
 from guavagate.exceptions import StoreUnavailableError
 from guavagate.integrations.object_api import const
-from guavagate.integrations.object_api._budget import Budget
-from guavagate.integrations.object_api._circuit import LONGEST_SECONDS, Circuit
+from guavagate.integrations.object_api._circuit_breaker import (
+    MAX_PROBE_INTERVAL_SECONDS,
+    CircuitBreaker,
+)
+from guavagate.integrations.object_api._token_bucket import TokenBucket
 from guavagate.integrations.object_api.models import (
     Answer,
     Call,
+    DirectRouteLostError,
     NoAnswerError,
     NotSentError,
     Priority,
     Transport,
-    WayLostError,
 )
 
 _LOGGER: Final = logging.getLogger(__name__)
 
 _READ: Final = 'GET'
-_LIMITED: Final = 429
+_TOO_MANY_REQUESTS: Final = 429
 _SERVER_ERROR: Final = 500
-_FIRST_BACKOFF: Final = 0.05
-_LONGEST_BACKOFF: Final = 1.0
+_MIN_BACKOFF_SECONDS: Final = 0.05
+_MAX_BACKOFF_SECONDS: Final = 1.0
 
 
 class Rates(msgspec.Struct, frozen=True):
@@ -40,19 +43,19 @@
     store that gives no answers.
     """
 
-    reads: float = const.FLEET_READS
-    writes: float = const.FLEET_WRITES
-    longest_probe: float = LONGEST_SECONDS
+    reads: float = const.FLEET_READS_PER_SECOND
+    writes: float = const.FLEET_WRITES_PER_SECOND
+    longest_probe: float = MAX_PROBE_INTERVAL_SECONDS
 
 
-PRODUCT_RATES: Final = Rates()
-# Of the store's rates; the rest is for members that do not know of each other
-# yet.
+DEFAULT_RATES: Final = Rates()
+# Of the store's rates; the rest is for instances that do not know of each
+# other yet.
 RATE_SHARE: Final = 0.8
-PROBE_SECONDS: Final = 0.6
+MAX_PROBE_SECONDS: Final = 0.6
 
 
-class Caller:
+class RetryingClient:
     """One instance's calls to the platform.
 
     Parameters
@@ -67,18 +70,18 @@
         clock: Clock,
         fleet_size: Callable[[], int],
         rng: random.Random,
-        rates: Rates = PRODUCT_RATES,
+        rates: Rates = DEFAULT_RATES,
     ) -> None:
         self._transport = transport
         self._clock = clock
         self._fleet_size = fleet_size
         self._random = rng
         self._rates = rates
-        self._circuit = Circuit(rng, rates.longest_probe)
+        self._circuit = CircuitBreaker(rng, rates.longest_probe)
         now = clock.now()
-        size = self._size()
-        self._reads = Budget(rates.reads / size, now)
-        self._writes = Budget(rates.writes / size, now)
+        size = self._get_fleet_size()
+        self._reads = TokenBucket(rates.reads / size, now)
+        self._writes = TokenBucket(rates.writes / size, now)
 
     def is_down(self) -> bool:
         """Return whether calls are held back as the platform is down."""
@@ -97,11 +100,11 @@
             No answer in time; says whether a write may have taken effect.
         """
         until = self._clock.now() + deadline
-        backoff = _FIRST_BACKOFF
+        backoff = _MIN_BACKOFF_SECONDS
         while True:
-            self._wait_turn(call, priority, until)
-            answer, problem = self._try(call)
-            if answer is not None and answer.status != _LIMITED:
+            self._wait_for_admission(call, priority, until)
+            answer, problem = self._call_once(call)
+            if answer is not None and answer.status != _TOO_MANY_REQUESTS:
                 return answer
             wait = backoff * self._random.uniform(0.5, 1)
             if answer is not None:
@@ -110,12 +113,14 @@
             if not repeat or self._clock.now() + wait >= until:
                 raise problem
             self._clock.sleep(wait)
-            backoff = min(backoff * 2, _LONGEST_BACKOFF)
+            backoff = min(backoff * 2, _MAX_BACKOFF_SECONDS)
 
-    def _wait_turn(self, call: Call, priority: Priority, until: float) -> None:
+    def _wait_for_admission(
+        self, call: Call, priority: Priority, until: float
+    ) -> None:
         """Wait for the circuit and the rate; give up at the deadline."""
         if self._circuit.admit(self._clock.now()) > 0:
-            raise _held_back('the platform gives no answers')
+            raise _make_not_sent_error('the platform gives no answers')
         budget = self._reads if call.method == _READ else self._writes
         rates = self._rates
         rate = rates.reads if call.method == _READ else rates.writes
@@ -126,42 +131,50 @@
             if wait == 0:
                 return
             if now + wait >= until:
-                raise _held_back('the rate of calls is used up')
+                raise _make_not_sent_error('the rate of calls is used up')
             self._clock.sleep(wait)
 
-    def _size(self) -> int:
+    def _get_fleet_size(self) -> int:
         # One that knows of few others, as at its start, must not take the
         # whole rate for its own.
-        return max(self._fleet_size(), const.LEAST_FLEET)
+        return max(self._fleet_size(), const.MIN_FLEET_SIZE)
 
-    def _try(self, call: Call) -> tuple[Answer | None, StoreUnavailableError]:
+    def _call_once(
+        self, call: Call
+    ) -> tuple[Answer | None, StoreUnavailableError]:
         """Make the call once; return what came, or what it means."""
         try:
             answer = self._transport(call)
-        except WayLostError as error:
+        except DirectRouteLostError as error:
             # It says nothing of the platform, which a peer may well reach.
-            return None, _unavailable(str(error), may_be_written=True)
+            return None, _make_unavailable_error(
+                str(error), may_be_written=True
+            )
         except NotSentError as error:
-            self._fail()
-            return None, _unavailable(str(error), may_be_written=False)
+            self._record_failure()
+            return None, _make_unavailable_error(
+                str(error), may_be_written=False
+            )
         except NoAnswerError as error:
-            self._fail()
-            return None, _unavailable(str(error), may_be_written=True)
+            self._record_failure()
+            return None, _make_unavailable_error(
+                str(error), may_be_written=True
+            )
         if answer.status >= _SERVER_ERROR:
-            self._fail()
+            self._record_failure()
             problem = f'the platform answered {answer.status}'
-            return None, _unavailable(problem, may_be_written=True)
-        if self._circuit.succeed():
-            self._return_slowly()
-        return answer, _unavailable(
+            return None, _make_unavailable_error(problem, may_be_written=True)
+        if self._circuit.record_success():
+            self._resume_slowly()
+        return answer, _make_unavailable_error(
             'the platform refuses more calls', may_be_written=False
         )
 
-    def _fail(self) -> None:
-        if self._circuit.fail(self._clock.now()):
+    def _record_failure(self) -> None:
+        if self._circuit.record_failure(self._clock.now()):
             write(_LOGGER, fleet.STORE_DOWN)
 
-    def _return_slowly(self) -> None:
+    def _resume_slowly(self) -> None:
         """Start from an empty budget when an outage ends.
 
         What waited for hours would else come from all instances within the
@@ -173,7 +186,7 @@
             budget.empty(self._clock.now())
 
 
-def _unavailable(
+def _make_unavailable_error(
     problem: str, *, may_be_written: bool
 ) -> StoreUnavailableError:
     remedy = 'try again later'
@@ -182,26 +195,28 @@
     return StoreUnavailableError(problem, remedy, may_be_written=may_be_written)
 
 
-def _held_back(problem: str) -> StoreUnavailableError:
-    return _unavailable(problem, may_be_written=False)
+def _make_not_sent_error(problem: str) -> StoreUnavailableError:
+    return _make_unavailable_error(problem, may_be_written=False)
 
 
-def share_rates(
+def make_shared_client(
     carry: Transport,
     clock: Clock,
-    members: Callable[[], int],
+    count_members: Callable[[], int],
     *,
     reads: float,
     writes: float,
-) -> Caller:
+) -> RetryingClient:
     """Return a caller that keeps to its share of the store's rates.
 
     Parameters
     ----------
-    members
+    count_members
         Returns how many instances share them.
     reads, writes
         Calls a second that all of them may make together.
     """
-    rates = Rates(reads * RATE_SHARE, writes * RATE_SHARE, PROBE_SECONDS)
-    return Caller(carry, clock, members, secrets.SystemRandom(), rates)
+    rates = Rates(reads * RATE_SHARE, writes * RATE_SHARE, MAX_PROBE_SECONDS)
+    return RetryingClient(
+        carry, clock, count_members, secrets.SystemRandom(), rates
+    )
--- a/guavagate/integrations/object_api/_budget.py
+++ b/guavagate/integrations/object_api/_token_bucket.py
@@ -11,16 +11,16 @@
 from guavagate.integrations.object_api.models import Priority
 
 # The share of the bucket that must be left after a call is admitted.
-_RESERVED: Final[dict[Priority, float]] = {
+_RESERVED_SHARES: Final[dict[Priority, float]] = {
     Priority.RECORDS: 0,
     Priority.SETTINGS: 0.3,
     Priority.STATUS: 0.6,
 }
 _BURST_SECONDS: Final = 2.0
-_LEAST_BURST: Final = 10.0
+_MIN_BURST_CALLS: Final = 10.0
 
 
-class Budget:
+class TokenBucket:
     """A token bucket; time is an argument, seconds.
 
     Parameters
@@ -31,35 +31,35 @@
 
     def __init__(self, rate: float, now: float) -> None:
         self._rate = rate
-        self._tokens = self._burst()
-        self._at = now
+        self._tokens = self._get_capacity()
+        self._refilled_at = now
 
     def change_rate(self, rate: float, now: float) -> None:
         """Take another rate; what is left is kept within its burst."""
         if rate != self._rate:
-            self._fill(now)
+            self._refill(now)
             self._rate = rate
-            self._tokens = min(self._tokens, self._burst())
+            self._tokens = min(self._tokens, self._get_capacity())
 
     def take(self, priority: Priority, now: float) -> float:
         """Return 0 when admitted, else seconds until it may be."""
-        self._fill(now)
-        floor = _RESERVED[priority] * self._burst()
-        short = floor + 1 - self._tokens
-        if short <= 0:
+        self._refill(now)
+        floor = _RESERVED_SHARES[priority] * self._get_capacity()
+        missing = floor + 1 - self._tokens
+        if missing <= 0:
             self._tokens -= 1
             return 0
-        return short / self._rate
+        return missing / self._rate
 
     def empty(self, now: float) -> None:
         """Start from nothing, so that a return of the platform is slow."""
         self._tokens = 0
-        self._at = now
+        self._refilled_at = now
 
-    def _fill(self, now: float) -> None:
-        grown = self._tokens + (now - self._at) * self._rate
-        self._tokens = min(grown, self._burst())
-        self._at = now
+    def _refill(self, now: float) -> None:
+        refilled = self._tokens + (now - self._refilled_at) * self._rate
+        self._tokens = min(refilled, self._get_capacity())
+        self._refilled_at = now
 
-    def _burst(self) -> float:
-        return max(self._rate * _BURST_SECONDS, _LEAST_BURST)
+    def _get_capacity(self) -> float:
+        return max(self._rate * _BURST_SECONDS, _MIN_BURST_CALLS)
--- a/guavagate/integrations/object_api/models.py
+++ b/guavagate/integrations/object_api/models.py
@@ -38,7 +38,7 @@
     """The platform may have acted on the call."""
 
 
-class WayLostError(NoAnswerError):
+class DirectRouteLostError(NoAnswerError):
     """The way failed while the call waited; there may be another one."""
 
 
--- a/guavagate/integrations/object_api/over_pool.py
+++ b/guavagate/integrations/object_api/pool_transport.py
@@ -16,7 +16,7 @@
 _REFUSED: Final = frozenset((429, 503))
 
 
-def connect_store(address: str, pool: ConnectionPool) -> Transport:
+def make_pool_transport(address: str, pool: ConnectionPool) -> Transport:
     """Return what carries one call to the store.
 
     A refusal, 429 or 503, promises that nothing was done, as a connection
--- a/guavagate/integrations/object_api/transport.py
+++ b/guavagate/integrations/object_api/transport.py
@@ -19,7 +19,9 @@
 _HTTP_PORT: Final = 80
 
 
-def connect_http(base_url: str, credential: str, clock: Clock) -> Transport:
+def make_http_transport(
+    base_url: str, credential: str, clock: Clock
+) -> Transport:
     """Return what carries calls to the platform at a base URL."""
     parts = urlsplit(base_url)
     address = f'{parts.hostname}:{parts.port or _HTTP_PORT}'
--- a/guavagate/integrations/plain_service/_client.py
+++ b/guavagate/integrations/plain_service/_client.py
@@ -7,10 +7,10 @@
 from guavagate.clock import Clock
 from guavagate.const import HEADER_EXCHANGE, HEADER_IDEMPOTENCY_KEY
 from guavagate.exceptions import UpstreamError, UpstreamNotStartedError
-from guavagate.integrations._errors import make_error, make_malformed
+from guavagate.integrations._errors import make_error, make_malformed_error
 from guavagate.integrations._http import Connections, Response
 from guavagate.integrations.plain_service import const
-from guavagate.integrations.plain_service.models import pass_on
+from guavagate.integrations.plain_service.models import drop_hop_by_hop
 from guavagate.models import RequestId
 from guavagate.ports.plain_service import (
     ServiceAnswer,
@@ -55,7 +55,7 @@
         UpstreamError
             It may have run.
         """
-        until = self._clock.now() + timeout
+        deadline = self._clock.now() + timeout
         answer = self._connections.send(
             address,
             request.method,
@@ -65,14 +65,14 @@
             timeout=timeout,
             reuse=request.repeatable,
         )
-        left = max(until - self._clock.now(), 0)
-        body = self._connections.read(address, answer, left)
+        remaining = max(deadline - self._clock.now(), 0)
+        body = self._connections.read(address, answer, remaining)
         self._check_exchange(address, request.exchange, answer)
         if answer.status_code == 503:
             _raise_not_started(address, body)
         return ServiceAnswer(
             status=answer.status_code,
-            headers=pass_on(answer.items()),
+            headers=drop_hop_by_hop(answer.items()),
             body=body,
         )
 
@@ -87,7 +87,7 @@
         try:
             return msgspec.json.decode(data, type=ServiceReport)
         except msgspec.MsgspecError as error:
-            raise make_malformed(address, error) from error
+            raise make_malformed_error(address, error) from error
 
     def close(self) -> None:
         """Close the idle connections."""
@@ -116,9 +116,9 @@
 def _make_headers(request: ServiceRequest) -> dict[str, str]:
     """Return the headers to send; repeated ones become one list."""
     headers: dict[str, str] = {}
-    for name, value in pass_on(request.headers):
-        known = headers.get(name)
-        headers[name] = value if known is None else f'{known}, {value}'
+    for name, value in drop_hop_by_hop(request.headers):
+        existing = headers.get(name)
+        headers[name] = value if existing is None else f'{existing}, {value}'
     headers[HEADER_EXCHANGE] = request.exchange
     if request.key:
         headers[HEADER_IDEMPOTENCY_KEY] = request.key
--- a/guavagate/integrations/plain_service/models.py
+++ b/guavagate/integrations/plain_service/models.py
@@ -7,7 +7,7 @@
 HeaderPairs = tuple[tuple[str, str], ...]
 
 
-def pass_on(headers: Iterable[tuple[str, str]]) -> HeaderPairs:
+def drop_hop_by_hop(headers: Iterable[tuple[str, str]]) -> HeaderPairs:
     """Return the headers that do not belong to one connection alone."""
     pairs = list(headers)
     named = {
--- a/guavagate/integrations/scoring_service/_client.py
+++ b/guavagate/integrations/scoring_service/_client.py
@@ -4,7 +4,7 @@
 
 from guavagate.clock import Clock
 from guavagate.exceptions import UpstreamError
-from guavagate.integrations._errors import make_error, make_malformed
+from guavagate.integrations._errors import make_error, make_malformed_error
 from guavagate.integrations._http import Connections
 from guavagate.integrations.scoring_service import const
 from guavagate.integrations.scoring_service.models import (
@@ -58,7 +58,7 @@
         try:
             score = msgspec.json.decode(data, type=ScoreAnswer)
         except msgspec.MsgspecError as error:
-            raise make_malformed(address, error) from error
+            raise make_malformed_error(address, error) from error
         if score.sample_id != sample_id:
             raise UpstreamError(
                 f'{address} scored {score.sample_id} instead of {sample_id}',
--- a/guavagate/integrations/weight_store/_client.py
+++ b/guavagate/integrations/weight_store/_client.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from guavagate.clock import Clock
-from guavagate.integrations._errors import make_error, make_malformed
+from guavagate.integrations._errors import make_error, make_malformed_error
 from guavagate.integrations._http import Connections
 from guavagate.integrations.weight_store import const
 from guavagate.integrations.weight_store.models import WeightEntry
@@ -47,7 +47,7 @@
         try:
             entry = msgspec.json.decode(data, type=WeightEntry)
         except msgspec.MsgspecError as error:
-            raise make_malformed(address, error) from error
+            raise make_malformed_error(address, error) from error
         return WeightObject(
             run=run,
             version=version,
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -24,11 +24,11 @@
     ServerLimits,
 )
 from guavagate.integrations.object_api import (
-    PeerRoute,
-    share_rates,
-    time_calls,
+    PeerFallback,
+    make_shared_client,
+    measure_calls,
 )
-from guavagate.integrations.object_api.over_pool import connect_store
+from guavagate.integrations.object_api.pool_transport import make_pool_transport
 from guavagate.jobs import JobReader, JobStore, Ownership
 from guavagate.lifecycle import Lifecycle
 from guavagate.links import ZmqBus
@@ -168,11 +168,11 @@
         balanced = bool(self._settings.listen.front)
         self.lifecycle.stop(self._servers, balanced=balanced)
 
-    def _make_store_route(self) -> PeerRoute:
+    def _make_store_route(self) -> PeerFallback:
         table = self._settings.platform
-        return PeerRoute(
-            time_calls(
-                connect_store(table.address, ConnectionPool(self._clock)),
+        return PeerFallback(
+            measure_calls(
+                make_pool_transport(table.address, ConnectionPool(self._clock)),
                 self._metrics,
                 self._clock,
             ),
@@ -185,7 +185,7 @@
 
     def _make_store(self) -> PlatformStore:
         table = self._settings.platform
-        caller = share_rates(
+        caller = make_shared_client(
             self._store_route.carry,
             self._clock,
             lambda: len(self._members.alive()),
--- a/guavagate/platform/_store.py
+++ b/guavagate/platform/_store.py
@@ -11,7 +11,7 @@
 )
 from guavagate.helpers.lenient import decode_leniently
 from guavagate.helpers.unreadable import UnreadableObjects
-from guavagate.integrations.object_api import Caller, Priority
+from guavagate.integrations.object_api import Priority, RetryingClient
 from guavagate.integrations.object_api.models import (
     Answer,
     Call,
@@ -71,7 +71,7 @@
 class PlatformStore:
     """Stores objects under ``kind/name``; the value is the ``spec``."""
 
-    def __init__(self, caller: Caller) -> None:
+    def __init__(self, caller: RetryingClient) -> None:
         self._caller = caller
 
     def get(self, path: str) -> StoredObject | None:
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -297,8 +297,8 @@
     Safeguard(
         'a slow store is not taken for lost',
         'guavagate/integrations/object_api/_peers.py',
-        'USUAL_ANSWERS: Final = 5',
-        'USUAL_ANSWERS: Final = 0',
+        'PROBE_TIMEOUT_FACTOR: Final = 5',
+        'PROBE_TIMEOUT_FACTOR: Final = 0',
         'tests/integrations',
     ),
     Safeguard(
--- a/standins/engine/_cache.py
+++ b/standins/engine/_cache.py
@@ -4,7 +4,7 @@
 import time
 from collections import OrderedDict, deque
 
-from guavagate.integrations.model_engine import CacheEvent, prefix_ids
+from guavagate.integrations.model_engine import CacheEvent, compute_prefix_ids
 
 
 class PrefixCache:
@@ -31,7 +31,7 @@
 
     def use(self, prompt: str) -> float:
         """Return the share of the prompt that was cached, and cache it all."""
-        prefixes = prefix_ids(prompt)
+        prefixes = compute_prefix_ids(prompt)
         hits = [prefix in self._stored for prefix in prefixes]
         for prefix in prefixes:
             self._store(prefix)
--- a/tests/integrations/test_peers.py
+++ b/tests/integrations/test_peers.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from guavagate.integrations.object_api import PeerRoute
+from guavagate.integrations.object_api import PeerFallback
 from guavagate.integrations.object_api.models import (
     Answer,
     Call,
+    DirectRouteLostError,
     NoAnswerError,
     NotSentError,
-    WayLostError,
 )
 from guavagate.measure.fakes import World
 from guavagate.models import InstanceId
@@ -27,7 +27,7 @@
         self.cut: set[str] = set()
         self.calls: list[str] = []
         self.probes: list[str] = []
-        self.routes: dict[str, PeerRoute] = {}
+        self.routes: dict[str, PeerFallback] = {}
         self.needed = True
         self.slow = float(0)
         for name in 'abc':
@@ -52,7 +52,7 @@
             clock.sleep(5 if call.path == _WATCH.path else self.slow)
             return Answer(status=200)
 
-        self.routes[name] = PeerRoute(
+        self.routes[name] = PeerFallback(
             carry,
             self.world.bus(name),
             self.world.hosts[InstanceId(name)].clock,
@@ -126,7 +126,7 @@
     routes.cut.add('a')
     routes.world.clock.advance(0.8)
     assert task.ready()
-    assert isinstance(task.exception, WayLostError)
+    assert isinstance(task.exception, DirectRouteLostError)
     routes.calls.clear()
     assert routes.call('a', _WATCH).status == 200
     assert 'a' not in routes.calls
@@ -170,7 +170,7 @@
     for _ in range(40):
         try:
             routes.call('a')
-        except WayLostError:
+        except DirectRouteLostError:
             let_go += 1
         routes.world.clock.advance(0.1)
     assert let_go <= 1
--- a/tests/test_object_api.py
+++ b/tests/test_object_api.py
@@ -14,14 +14,14 @@
     ObjectApi,
     Priority,
 )
-from guavagate.integrations.object_api._budget import Budget
+from guavagate.integrations.object_api._token_bucket import TokenBucket
 from guavagate.integrations.object_api.models import (
     Answer,
     Call,
     NoAnswerError,
     Transport,
 )
-from guavagate.integrations.object_api.transport import connect_http
+from guavagate.integrations.object_api.transport import make_http_transport
 from guavagate.models import Revision
 from guavagate.ports.store import WatchCompactedError
 from standins import object_api
@@ -43,7 +43,9 @@
 @pytest.fixture(name='carry')
 def make_transport(server: Server) -> Transport:
     """Return what carries calls to the stand-in."""
-    return connect_http(f'http://{server.address}', CREDENTIAL, SystemClock())
+    return make_http_transport(
+        f'http://{server.address}', CREDENTIAL, SystemClock()
+    )
 
 
 @pytest.fixture(name='store')
@@ -223,7 +225,7 @@
 
 def test_partitions_go_before_settings_before_status() -> None:
     """When the rate is used up by status, takeovers still get through."""
-    budget = Budget(10, 0)
+    budget = TokenBucket(10, 0)
     admitted = dict.fromkeys(reversed(Priority), 0)
     for priority in admitted:
         while budget.take(priority, 0) == 0:
