--- a/guavagate/assembly.py
+++ b/guavagate/assembly.py
@@ -111,7 +111,7 @@
 
     def reload(self, path: str) -> None:
         """Tell that the file at a path is read at the start only."""
-        write(_LOGGER, events.SETTINGS_KEPT, path=path)
+        write(_LOGGER, events.SETTINGS_NEED_RESTART, path=path)
 
     def wait_asked(self) -> None:
         """Block until a planned stop is asked for."""
--- a/guavagate/callers/_completions.py
+++ b/guavagate/callers/_completions.py
@@ -29,7 +29,7 @@
 from guavagate.decisions import Work
 from guavagate.events import write
 from guavagate.events.edge import (
-    CALLER_GONE,
+    CALLER_DISCONNECTED,
     REQUEST_ANSWERED,
     REQUEST_REFUSED,
 )
@@ -346,7 +346,7 @@
         yield b'data: %b\n\n' % encode_refusal(refusal)
     finally:
         if progress.finish is None:
-            write(_LOGGER, CALLER_GONE, request=caller_request.id)
+            write(_LOGGER, CALLER_DISCONNECTED, request=caller_request.id)
         pieces.close()  # type: ignore[attr-defined]
 
 
--- a/guavagate/duties/_reporter.py
+++ b/guavagate/duties/_reporter.py
@@ -135,7 +135,12 @@
         end = int(closed_until // self._length)
         if self._next is None:
             self._next = end - CATCH_UP_WINDOWS
-            write(_LOGGER, events.REPORTER, reporter=self._me, first=self._next)
+            write(
+                _LOGGER,
+                events.REPORTER_STARTED,
+                reporter=self._me,
+                first=self._next,
+            )
         while self._next < end:
             self._close_window(self._next)
             self._delete_window(self._next - RETAINED_WINDOWS)
--- a/guavagate/events/duties.py
+++ b/guavagate/events/duties.py
@@ -5,7 +5,7 @@
 
 from guavagate.events._event import Event
 
-REPORTER: Final = Event(
+REPORTER_STARTED: Final = Event(
     9201, logging.INFO, 'Who reports usage has changed, as seen from here'
 )
 USAGE_CLOSED: Final = Event(
--- a/guavagate/events/edge.py
+++ b/guavagate/events/edge.py
@@ -12,11 +12,13 @@
 )
 REQUEST_REFUSED = Event(5011, logging.INFO, 'request refused')
 REQUEST_ANSWERED = Event(5012, logging.INFO, 'request answered')
-CALLER_GONE = Event(5013, logging.INFO, 'caller gone, upstream work cancelled')
-SETTINGS_READ = Event(
+CALLER_DISCONNECTED = Event(
+    5013, logging.INFO, 'caller gone, upstream work cancelled'
+)
+SETTINGS_RELOADED = Event(
     5040, logging.INFO, "The instance's own settings were read again"
 )
-SETTINGS_KEPT = Event(
+SETTINGS_NEED_RESTART = Event(
     5042,
     logging.WARNING,
     "The instance's own settings are read at its start only",
@@ -48,6 +50,6 @@
 )
 EDGE_LISTENING = Event(5020, logging.INFO, 'edge listens')
 STOP_PROGRESS = Event(5030, logging.INFO, 'planned stop')
-DRAIN_ASKED = Event(
+DRAIN_REQUESTED = Event(
     5031, logging.INFO, 'an operator has asked for a planned stop'
 )
--- a/guavagate/events/fleet.py
+++ b/guavagate/events/fleet.py
@@ -33,8 +33,8 @@
     'No other instance is heard',
     'check this instance, its network and the cluster credential',
 )
-HEARD_AGAIN: Final = Event(3008, logging.INFO, 'Other instances are heard')
-PAUSED: Final = Event(
+ISOLATION_ENDED: Final = Event(3008, logging.INFO, 'Other instances are heard')
+PROCESS_PAUSED: Final = Event(
     3009,
     logging.WARNING,
     'This process did not run for a while',
@@ -43,7 +43,7 @@
 MEMBER_LEFT: Final = Event(
     3010, logging.INFO, 'An instance has left after its planned stop'
 )
-LINK_SILENT: Final = Event(
+LINK_STALLED: Final = Event(
     3101,
     logging.WARNING,
     'A connection was silent while a new one worked; it is replaced',
--- a/guavagate/events/forwarding.py
+++ b/guavagate/events/forwarding.py
@@ -23,22 +23,22 @@
 ATTEMPT_FAILED: Final = Event(
     8011, logging.INFO, 'An attempt at an upstream failed'
 )
-GIVEN_UP: Final = Event(
+REQUEST_GIVEN_UP: Final = Event(
     8012,
     logging.WARNING,
     'A request was given up',
     'the reason names what was missing; look for the upstream in these logs',
 )
-CALLER_LEFT: Final = Event(
+CALLER_DISCONNECTED: Final = Event(
     8013, logging.INFO, 'The caller left before its answer'
 )
-MIRROR_LOST: Final = Event(
+MIRROR_STALE: Final = Event(
     8020,
     logging.WARNING,
     'A copy of the store is no longer kept up to date',
     'see operators/store-outage.md if this lasts',
 )
-MIRROR_BACK: Final = Event(
+MIRROR_RECOVERED: Final = Event(
     8021, logging.INFO, 'A copy of the store is up to date again'
 )
 UPSTREAM_RESTARTED: Final = Event(
@@ -59,10 +59,10 @@
 STORE_DIRECT: Final = Event(
     8026, logging.INFO, 'The way to the store works again'
 )
-FEED_DIRECT: Final = Event(
+FEED_FROM_STORE: Final = Event(
     8024, logging.INFO, 'This instance watches the store itself'
 )
-FEED_FOLLOWED: Final = Event(
+FEED_FROM_RELAYS: Final = Event(
     8025, logging.INFO, 'This instance follows the relays'
 )
-READY: Final = Event(8030, logging.INFO, 'Readiness has changed')
+READINESS_CHANGED: Final = Event(8030, logging.INFO, 'Readiness has changed')
--- a/guavagate/events/partitions.py
+++ b/guavagate/events/partitions.py
@@ -5,17 +5,17 @@
 
 from guavagate.events._event import Event
 
-TAKEN: Final = Event(
+TAKEN_OVER: Final = Event(
     2001,
     logging.INFO,
     'This instance decides for a partition from now on',
 )
-HANDED_OVER: Final = Event(
+RELEASED: Final = Event(
     2002,
     logging.INFO,
     'A partition was let go of, for another instance to take',
 )
-NOT_TAKEN: Final = Event(
+TAKEOVER_FAILED: Final = Event(
     2003,
     logging.WARNING,
     'A partition could not be taken over and will be tried again',
@@ -27,7 +27,7 @@
     'Another instance has gone on with a partition that was decided here',
     'none; if it repeats, find out why the instances lose sight of each other',
 )
-BLOB_LEFT: Final = Event(
+BLOB_NOT_DELETED: Final = Event(
     2005,
     logging.WARNING,
     'A part of a partition that is not needed any more stays in the store',
--- a/guavagate/events/routing.py
+++ b/guavagate/events/routing.py
@@ -19,7 +19,7 @@
 POOL_TAKEN_OVER: Final = Event(
     1010, logging.INFO, 'this instance is home to a pool'
 )
-POOL_GIVEN_UP: Final = Event(
+POOL_RELEASED: Final = Event(
     1011, logging.INFO, 'this instance is no longer home to a pool'
 )
 UPSTREAM_LEAVING: Final = Event(
--- a/guavagate/events/settings.py
+++ b/guavagate/events/settings.py
@@ -24,13 +24,13 @@
     'the store had lost accepted settings; they have been written back',
     'ask the platform why the object API went back to an old copy',
 )
-NOT_KNOWN: Final = Event(
+NOT_LOADED: Final = Event(
     4005,
     logging.WARNING,
     'the settings are not known yet; the instance is not ready',
     'start the object API or any instance that has the settings',
 )
-KNOWN: Final = Event(4006, logging.INFO, 'the settings are known')
+LOADED: Final = Event(4006, logging.INFO, 'the settings are known')
 RELAY_STARTED: Final = Event(
     4007,
     logging.INFO,
@@ -42,16 +42,16 @@
     "another instance holds the availability zone's watch of the settings",
 )
 CHANGED: Final = Event(4009, logging.INFO, 'a change of settings is accepted')
-BROKEN_RECORD: Final = Event(
+INVALID_RECORD: Final = Event(
     4010,
     logging.ERROR,
     'an object of the store is no settings record; it is passed over',
     'delete the object, then apply the settings with `guavagate settings`',
 )
-WATCH_WORKS: Final = Event(
+WATCH_RECOVERED: Final = Event(
     4011, logging.INFO, 'the settings can be read from the store again'
 )
-NOT_TAKEN: Final = Event(
+APPLY_FAILED: Final = Event(
     4012,
     logging.ERROR,
     'a part of this instance failed to take settings that are in force',
--- a/guavagate/explain/steps.py
+++ b/guavagate/explain/steps.py
@@ -282,10 +282,10 @@
     jobs.ACCEPTED.code: _read_accepted,
     jobs.OWNED.code: _read_owned,
     jobs.ITEM_STARTED.code: _read_started,
-    jobs.ITEM_BROKEN.code: _read_broken,
-    jobs.TEXT_WHOLE.code: _read_whole,
+    jobs.ITEM_INTERRUPTED.code: _read_broken,
+    jobs.TEXT_COMPLETE.code: _read_whole,
     jobs.REWARD_FAILED.code: _read_broken,
     jobs.ITEM_DONE.code: _read_done,
-    jobs.LISTED.code: _read_listed,
+    jobs.RESULTS_COMMITTED.code: _read_listed,
     jobs.ENDED.code: _read_ended,
 }
--- a/guavagate/feeds/_feed.py
+++ b/guavagate/feeds/_feed.py
@@ -287,7 +287,7 @@
             self._mirrors.append(mirror)
         for mirror in self._mirrors:
             mirror.start()
-        write(_LOGGER, events.FEED_DIRECT, relaying=relaying)
+        write(_LOGGER, events.FEED_FROM_STORE, relaying=relaying)
 
     def _prove_periodically(self) -> None:
         """Read the proof object periodically while watching the store."""
@@ -315,7 +315,7 @@
         self._mirrors = []
         self.relaying = False
         relays = self._follower.list_relays()
-        write(_LOGGER, events.FEED_FOLLOWED, relays=relays)
+        write(_LOGGER, events.FEED_FROM_RELAYS, relays=relays)
 
     def _apply_removal(self, prefix: str, name: str) -> None:
         self._table.remove(f'{prefix}/{name}')
--- a/guavagate/forwarding/_forward.py
+++ b/guavagate/forwarding/_forward.py
@@ -248,9 +248,9 @@
     """Log the outcome of a request."""
     event = events.FORWARDED
     if outcome.kind is OutcomeKind.CALLER_LEFT:
-        event = events.CALLER_LEFT
+        event = events.CALLER_DISCONNECTED
     elif outcome.kind is not OutcomeKind.ANSWER:
-        event = events.GIVEN_UP
+        event = events.REQUEST_GIVEN_UP
     attempt = outcome.attempt
     write(
         _LOGGER,
--- a/guavagate/front/_jobs.py
+++ b/guavagate/front/_jobs.py
@@ -94,7 +94,7 @@
         self, exchange: Exchange, job: Job, error: Exception
     ) -> None:
         if isinstance(error, MaybeWrittenError):
-            write(_LOGGER, events.UNSURE, job=job.id)
+            write(_LOGGER, events.ACCEPTANCE_UNKNOWN, job=job.id)
             send_text(exchange, 504, 'it may have been accepted; send it again')
             return
         write(_LOGGER, events.REFUSED, job=job.id, reason='no store')
--- a/guavagate/helpers/mirror.py
+++ b/guavagate/helpers/mirror.py
@@ -238,7 +238,7 @@
             self._lost_at = self._clock.now()
             write(
                 _LOGGER,
-                events.MIRROR_LOST,
+                events.MIRROR_STALE,
                 prefix=self._prefix,
                 problem=error.problem,
             )
@@ -251,7 +251,7 @@
         self._back_at = now
         write(
             _LOGGER,
-            events.MIRROR_BACK,
+            events.MIRROR_RECOVERED,
             prefix=self._prefix,
             seconds=round(now - lost_at, 1),
         )
--- a/guavagate/jobs/_committer.py
+++ b/guavagate/jobs/_committer.py
@@ -62,7 +62,7 @@
             except (NotWrittenError, MaybeWrittenError, StoreError) as error:
                 write(
                     _LOGGER,
-                    events.LIST_FAILED,
+                    events.COMMIT_FAILED,
                     job=work.job.id,
                     pending=len(work.pending),
                     problem=repr(error),
@@ -72,7 +72,7 @@
             work.apply_committed()
             write(
                 _LOGGER,
-                events.LISTED,
+                events.RESULTS_COMMITTED,
                 job=work.job.id,
                 added=len(added),
                 listed=len(work.log.committed),
--- a/guavagate/jobs/_dispatch.py
+++ b/guavagate/jobs/_dispatch.py
@@ -129,7 +129,7 @@
             last_event_at = max(progress.last_event_at for progress in runs)
             write(
                 _LOGGER,
-                events.SAMPLER_SILENT,
+                events.SAMPLER_STALLED,
                 sampler=name,
                 streams=len(runs),
                 seconds=round(now - last_event_at, 2),
@@ -157,7 +157,7 @@
             else:
                 break
         state.stalled = False
-        write(_LOGGER, events.SAMPLER_ANSWERS, sampler=upstream.id)
+        write(_LOGGER, events.SAMPLER_RECOVERED, sampler=upstream.id)
         self._states.notify()
 
     def _list_samplers(
@@ -203,7 +203,7 @@
         job = plan.work.job
         write(
             _LOGGER,
-            events.GROUP_BEHIND,
+            events.GROUP_DEFERRED,
             job=job.id,
             group=plan.group,
             model=job.model,
--- a/guavagate/jobs/_owner.py
+++ b/guavagate/jobs/_owner.py
@@ -141,7 +141,7 @@
     def start(self) -> None:
         """Take the service's jobs over."""
         if self._task is None:
-            write(_LOGGER, events.COORDINATES, service=self._service)
+            write(_LOGGER, events.COORDINATOR_STARTED, service=self._service)
             self._active_jobs.owning = True
             self._snapshots.load(self._service)
             self._started_at = self._clock.now()
@@ -158,7 +158,7 @@
         """Release the service's jobs to another instance."""
         if self._task is None:
             return
-        write(_LOGGER, events.STEPPED_DOWN, service=self._service)
+        write(_LOGGER, events.COORDINATOR_STOPPED, service=self._service)
         self._task.kill(block=False)
         self._task = None
         for task in self._background_tasks:
--- a/guavagate/jobs/_result_log.py
+++ b/guavagate/jobs/_result_log.py
@@ -77,7 +77,7 @@
             self._apply(adopted)
             write(
                 _LOGGER,
-                events.ADOPTED,
+                events.RESULTS_ADOPTED,
                 job=self._job,
                 writer=adopted.writer,
                 results=len(adopted.results),
--- a/guavagate/jobs/_rewards.py
+++ b/guavagate/jobs/_rewards.py
@@ -66,7 +66,7 @@
         progress.completed_at = self._clock.now()
         write(
             _LOGGER,
-            events.TEXT_WHOLE,
+            events.TEXT_COMPLETE,
             job=work.job.id,
             item=progress.item.id,
             reward=progress.item.reward.id,
@@ -131,7 +131,7 @@
             waited = self._clock.now() - progress.completed_at
         write(
             _LOGGER,
-            events.REWARD_GIVEN,
+            events.REWARD_RECEIVED,
             job=work.job.id,
             item=progress.item.id,
             reward=progress.item.reward.id,
--- a/guavagate/jobs/_runner.py
+++ b/guavagate/jobs/_runner.py
@@ -85,7 +85,7 @@
         if problem:
             write(
                 _LOGGER,
-                events.ITEM_BROKEN,
+                events.ITEM_INTERRUPTED,
                 job=work.job.id,
                 item=progress.item.id,
                 sampler=upstream.id,
--- a/guavagate/jobs/_snapshots.py
+++ b/guavagate/jobs/_snapshots.py
@@ -153,5 +153,5 @@
         Not logged where it occurs, as worker threads must not write log lines.
         """
         if self._problem and not self._problem_logged:
-            write(_LOGGER, events.TEXTS_NOT_KEPT, problem=self._problem)
+            write(_LOGGER, events.SNAPSHOT_FAILED, problem=self._problem)
         self._problem_logged = bool(self._problem)
--- a/guavagate/lifecycle.py
+++ b/guavagate/lifecycle.py
@@ -86,4 +86,10 @@
             self._clock.sleep(BALANCER_SECONDS)
         cut = sum(server.drain(until) for server in servers)
         self._members.stop()
-        write(_LOGGER, events.READY, ready=False, cut=cut, stopped=True)
+        write(
+            _LOGGER,
+            events.READINESS_CHANGED,
+            ready=False,
+            cut=cut,
+            stopped=True,
+        )
--- a/guavagate/links/_link.py
+++ b/guavagate/links/_link.py
@@ -209,7 +209,7 @@
             return
         write(
             _LOGGER,
-            fleet.LINK_SILENT,
+            fleet.LINK_STALLED,
             peer=self._peer,
             seconds=round(old.unanswered(), 1),
             waiting=len(self._waiting),
--- a/guavagate/membership/_detector.py
+++ b/guavagate/membership/_detector.py
@@ -253,7 +253,11 @@
         Answers arrived while it did not run. By the old timers it would
         declare every member dead at once.
         """
-        write(_LOGGER, fleet.PAUSED, seconds=round(now - self._last_tick_at, 1))
+        write(
+            _LOGGER,
+            fleet.PROCESS_PAUSED,
+            seconds=round(now - self._last_tick_at, 1),
+        )
         self._prober.drop_pending()
         self._last_message_at = now
         for member in self.table.members.values():
--- a/guavagate/membership/_members.py
+++ b/guavagate/membership/_members.py
@@ -258,6 +258,6 @@
     def _log_isolation(self) -> None:
         isolated = self.isolated()
         if isolated != self._isolated:
-            event = fleet.ISOLATED if isolated else fleet.HEARD_AGAIN
+            event = fleet.ISOLATED if isolated else fleet.ISOLATION_ENDED
             write(_LOGGER, event, instance=self._settings.id)
         self._isolated = isolated
--- a/guavagate/operators/_collect.py
+++ b/guavagate/operators/_collect.py
@@ -8,7 +8,7 @@
 from gevent.pool import Pool
 
 from guavagate.events import write
-from guavagate.events.edge import DRAIN_ASKED
+from guavagate.events.edge import DRAIN_REQUESTED
 from guavagate.exceptions import LinkError
 from guavagate.links import Message, expect
 from guavagate.metrics import Series, SeriesKeeper
@@ -114,7 +114,7 @@
         )
 
     def _begin_drain(self, who: str, through: InstanceId) -> None:
-        write(_LOGGER, DRAIN_ASKED, who=who, through=through)
+        write(_LOGGER, DRAIN_REQUESTED, who=who, through=through)
         self._reports.start_drain()
 
     def _ask(self, peer: InstanceId, matter: Matter) -> ReportAnswer | str:
--- a/guavagate/partitions/_blobs.py
+++ b/guavagate/partitions/_blobs.py
@@ -128,4 +128,9 @@
             try:
                 self._store.delete(path, None)
             except StoreError as error:
-                write(_LOGGER, events.BLOB_LEFT, path=path, problem=str(error))
+                write(
+                    _LOGGER,
+                    events.BLOB_NOT_DELETED,
+                    path=path,
+                    problem=str(error),
+                )
--- a/guavagate/partitions/_hosting.py
+++ b/guavagate/partitions/_hosting.py
@@ -242,7 +242,7 @@
             self._back_off(partition)
             write(
                 _LOGGER,
-                events.NOT_TAKEN,
+                events.TAKEOVER_FAILED,
                 partition=partition,
                 problem=str(error),
             )
@@ -263,7 +263,9 @@
 
     def _record_taken(self, partition: PartitionId, primary: Primary) -> None:
         reason = 'first live instance by rendezvous hashing'
-        write(_LOGGER, events.TAKEN, partition=partition, epoch=primary.epoch)
+        write(
+            _LOGGER, events.TAKEN_OVER, partition=partition, epoch=primary.epoch
+        )
         self.context.decide(
             f'partition/{partition}', 'holder', self.context.me, reason, None
         )
@@ -305,7 +307,7 @@
         owner = self.find_owner(partition)
         write(
             _LOGGER,
-            events.HANDED_OVER,
+            events.RELEASED,
             partition=partition,
             epoch=primary.epoch,
             next=owner,
--- a/guavagate/permits/_queue_owner.py
+++ b/guavagate/permits/_queue_owner.py
@@ -22,7 +22,7 @@
 )
 from guavagate.events import write
 from guavagate.events.routing import (
-    POOL_GIVEN_UP,
+    POOL_RELEASED,
     POOL_TAKEN_OVER,
     UPSTREAM_LEAVING,
     UPSTREAM_SERVING,
@@ -330,7 +330,7 @@
         owned = self._owned.pop(key)
         for queued in owned.queued.values():
             queued.answer.set(PermitReply(not_home=True))
-        write(_LOGGER, POOL_GIVEN_UP, pool=key)
+        write(_LOGGER, POOL_RELEASED, pool=key)
 
     def _set_members(self, owned: OwnedPool, spec: PoolSpec) -> None:
         owned.spec = spec
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -296,7 +296,7 @@
         except SettingsError as error:
             write(_LOGGER, edge_events.SETTINGS_UNREADABLE, problem=str(error))
         else:
-            write(_LOGGER, edge_events.SETTINGS_READ)
+            write(_LOGGER, edge_events.SETTINGS_RELOADED)
 
     def _is_ready(self) -> bool:
         return self._routes.configuration is not None and self._feed.loaded
--- a/guavagate/rollouts/_coordinator.py
+++ b/guavagate/rollouts/_coordinator.py
@@ -63,7 +63,7 @@
             return
         self.newest[model] = version
         self.published_at[model] = self._clock.now()
-        write(_LOGGER, events.VERSION_NAMED, model=model, version=version)
+        write(_LOGGER, events.VERSION_PUBLISHED, model=model, version=version)
         self.on_change()
 
 
@@ -169,7 +169,7 @@
             }
             write(
                 _LOGGER,
-                events.ASSIGNED,
+                events.SAMPLERS_ASSIGNED,
                 service=self._service,
                 samplers=sorted_models,
             )
@@ -227,7 +227,9 @@
             usable, demands
         ).items():
             borrowed[sampler] = model
-            write(_LOGGER, events.HELPS, sampler=sampler, model=model)
+            write(
+                _LOGGER, events.SAMPLER_BORROWED, sampler=sampler, model=model
+            )
 
     def _execute_order(
         self, upstream: Upstream, model: str, version: WeightVersion
@@ -259,7 +261,7 @@
         state.loading = False
         write(
             _LOGGER,
-            events.LOADED,
+            events.VERSION_LOADED,
             sampler=upstream.id,
             versions=state.versions,
             seconds=round(self._clock.now() - began, 2),
@@ -291,7 +293,7 @@
             self._states.record_version(upstream.id, model, version)
         write(
             _LOGGER,
-            events.ORDERED,
+            events.ORDER_SENT,
             sampler=upstream.id,
             model=model,
             version=version,
--- a/guavagate/rollouts/_lease.py
+++ b/guavagate/rollouts/_lease.py
@@ -219,7 +219,7 @@
         self._announce(record)
         write(
             _LOGGER,
-            events.LEASE_TAKEN,
+            events.LEASE_ACQUIRED,
             path=self._path,
             generation=generation,
             former=None if previous is None else previous.holder,
--- a/guavagate/runs/_worker.py
+++ b/guavagate/runs/_worker.py
@@ -8,8 +8,8 @@
 from guavagate.decisions import Kind, Work
 from guavagate.events import write
 from guavagate.events.runs import (
-    SAMPLE_ENTERED,
     SAMPLE_FAILED,
+    SAMPLE_RECORDED,
     SAMPLE_STARTED,
 )
 from guavagate.exceptions import GuavagateError, RefusalError
@@ -181,7 +181,7 @@
         verdict = self._record_with_retries(request, lineage, sample)
         write(
             _LOGGER,
-            SAMPLE_ENTERED,
+            SAMPLE_RECORDED,
             sample=request.sample_id,
             run=request.run,
             versions=sample.versions,
--- a/guavagate/settings/_force.py
+++ b/guavagate/settings/_force.py
@@ -177,7 +177,7 @@
     def _run(self) -> None:
         self._learn()
         self._known = True
-        write(LOGGER, events.KNOWN, teams=len(self.table.records()))
+        write(LOGGER, events.LOADED, teams=len(self.table.records()))
         for record in self.table.records():
             self._pass_on_change(record.team)
         exchange = self._clock.spawn(self._exchange.run, self._send_digest)
@@ -255,7 +255,7 @@
     try:
         changed(team)
     except Exception as error:
-        write(LOGGER, events.NOT_TAKEN, team=team, error=repr(error))
+        write(LOGGER, events.APPLY_FAILED, team=team, error=repr(error))
         LOGGER.debug('not taken', exc_info=error)
 
 
--- a/guavagate/settings/_relay.py
+++ b/guavagate/settings/_relay.py
@@ -136,7 +136,7 @@
     def _note_answer(self) -> None:
         self._heard()
         if self._failing:
-            write(_LOGGER, events.WATCH_WORKS)
+            write(_LOGGER, events.WATCH_RECOVERED)
         self._failing = False
 
     def _take(self, stored: Stored | None) -> None:
@@ -164,5 +164,5 @@
         return Stored(decode_record(found.value, found.path), found.version)
     except StoreError as error:
         # One team's broken object must not hold up the other teams.
-        write(_LOGGER, events.BROKEN_RECORD, path=found.path, error=str(error))
+        write(_LOGGER, events.INVALID_RECORD, path=found.path, error=str(error))
         return None
--- a/guavagate/settings/_start.py
+++ b/guavagate/settings/_start.py
@@ -55,7 +55,7 @@
         if any(answers):
             return
         if rounds % _LOG_EVERY == 0:
-            write(LOGGER, events.NOT_KNOWN, asked=['object API', *asked])
+            write(LOGGER, events.NOT_LOADED, asked=['object API', *asked])
         rounds += 1
         sources.clock.sleep(_PAUSE)
 
--- a/guavagate/weights/_rollout.py
+++ b/guavagate/weights/_rollout.py
@@ -23,9 +23,9 @@
 from guavagate.events import write
 from guavagate.events.runs import (
     ORDER_WITHHELD,
+    SWAP_CONFIRMED,
     SWAP_FAILED,
     SWAP_ORDERED,
-    SWAP_SEEN,
 )
 from guavagate.exceptions import PartitionError, UpstreamError
 from guavagate.models import (
@@ -173,7 +173,7 @@
         if before is not None and before.version != report.version:
             write(
                 _LOGGER,
-                SWAP_SEEN,
+                SWAP_CONFIRMED,
                 sampler=sampler.id,
                 version=report.version,
                 before=before.version,
--- a/tests/jobs/test_snapshots.py
+++ b/tests/jobs/test_snapshots.py
@@ -125,7 +125,7 @@
     logged = [
         each
         for each in caplog.records
-        if events.TEXTS_NOT_KEPT.text in each.getMessage()
+        if events.SNAPSHOT_FAILED.text in each.getMessage()
     ]
     assert len(logged) == 1
 
