--- a/guavagate/http1/__init__.py
+++ b/guavagate/http1/__init__.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 that passes messages on unchanged, over h11 and gevent sockets.
+"""HTTP/1.1 server and client for forwarding, over h11 and gevent sockets.
 
-The pages of `guavagate.web` serve our own API with falcon; a forwarder needs
-what a framework hides: the raw target, header names as they came, where an
-answer's bytes end, and the moment at which the other side leaves.
+`guavagate.web` serves this project's own API with falcon. Forwarding needs
+what a web framework hides: the raw request target, the original header names,
+where the bytes of a response end, and when the peer disconnects.
 """
 
 from guavagate.http1._caller_connection import (
--- a/guavagate/http1/_caller_connection.py
+++ b/guavagate/http1/_caller_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller, read ahead so that its close is noticed."""
+"""A caller's connection, read ahead of time to detect disconnects."""
 
 import contextlib
 import select
@@ -13,17 +13,17 @@
 from guavagate.clock import Clock, Task
 
 _READ_BYTES: Final = 65_536
-# What may lie unread before a caller has to wait with the rest.
+# Most bytes buffered ahead of the request being served; reading then pauses.
 _READ_AHEAD_BYTES: Final = 262_144
-# A caller that has just connected is about to send its request, a round trip
-# later; a stop does not close on it before.
+# A caller that has just connected sends its request a round trip later, so a
+# stopping server keeps the connection open for this long.
 FIRST_REQUEST_GRACE_SECONDS: Final = 0.3
-# The patched one lets other tasks run in the middle of a look.
+# The patched `poll` would let other tasks run during the check.
 _poll: Final = monkey.get_original('select', 'poll')
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send and how long it may take; bytes and seconds."""
+    """Limits on requests of callers, in bytes and seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 33_554_432
@@ -32,15 +32,15 @@
 
 
 class SlowBodyError(Exception):
-    """The body stopped coming."""
+    """No more of the request body arrived within the idle timeout."""
 
 
 class CallerDisconnectedError(Exception):
-    """The caller has closed its connection."""
+    """The caller closed its connection."""
 
 
 class CallerConnection:
-    """One connection of a caller."""
+    """A caller's connection and its HTTP/1.1 state."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self._reader: Task = clock.spawn(self._read)
 
     def next_event(self) -> object:
-        """Return the next part of a request; waits for bytes."""
+        """Return the next h11 event; blocks until it has arrived."""
         while True:
             event = self.http.next_event()
             if event is not h11.NEED_DATA:
@@ -76,16 +76,16 @@
             self._data_arrived.wait()
 
     def next_body_event(self) -> object:
-        """Return the next part of a body, within the idle time."""
+        """Return the next event of a body, within the idle timeout."""
         idle = self._limits.idle_timeout
         with self.clock.timeout(idle, SlowBodyError):
             return self.next_event()
 
     def discard_body(self) -> bool:
-        """Drop what is here of a body; return whether that was the rest.
+        """Discard the received part of a body; return whether it is complete.
 
-        A request may be answered before its body was read. With a part of it
-        still to come the connection can not carry another request.
+        A handler may respond before it has read the body. While part of the
+        body is outstanding, the connection cannot carry another request.
         """
         with contextlib.suppress(h11.RemoteProtocolError):
             while self.http.their_state is h11.SEND_BODY:
@@ -94,14 +94,14 @@
         return self.http.their_state is h11.DONE
 
     def wait_for_data(self) -> None:
-        """Block until something of a request is here, or the caller left."""
+        """Block until data of a request arrives or the caller disconnects."""
         while not self.disconnected.is_set() and not self.http.trailing_data[0]:
             self._data_arrived.clear()
             self._read_resumed.set()
             self._data_arrived.wait()
 
     def write(self, event: h11.Event) -> None:
-        """Send a part of an answer."""
+        """Send an event of the response."""
         data = self.http.send(event)
         if not data:
             return
@@ -112,46 +112,46 @@
             raise CallerDisconnectedError from error
 
     def reject(self, status: int, problem: str) -> None:
-        """Answer what is no whole request; nothing of it has run."""
+        """Respond to an incomplete or invalid request; none of it has run."""
         if self.http.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
-        text = f'{problem}\n'.encode()
+        content = f'{problem}\n'.encode()
         headers = [
-            (b'Content-Length', str(len(text)).encode()),
+            (b'Content-Length', str(len(content)).encode()),
             (b'Connection', b'close'),
         ]
         self.write(h11.Response(status_code=status, headers=headers))
-        self.write(h11.Data(data=text))
+        self.write(h11.Data(data=content))
         self.write(h11.EndOfMessage())
 
     def is_idle(self) -> bool:
-        """Return whether nothing of a request is here or on its way in."""
+        """Return whether no data of a request is buffered or expected."""
         if self.http.trailing_data[0] or self.clock.now() < self._grace_ends_at:
             return False
-        waiting = _poll()
-        waiting.register(self._sock.fileno(), select.POLLIN)
-        return not waiting.poll(0)
+        poller = _poll()
+        poller.register(self._sock.fileno(), select.POLLIN)
+        return not poller.poll(0)
 
     def close_idle(self) -> None:
-        """End an idle connection, and the task that waits on it."""
+        """Close an idle connection and wake the task that waits on it."""
         self.close()
         self._record_disconnect()
 
     def reset(self) -> None:
-        """Close without a proper end."""
+        """Shut down both directions at once, even within a response."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
 
     def close(self) -> None:
-        """End the connection and its reader."""
+        """Close the connection and end its reader task."""
         self._reader.kill()
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
         self._sock.close()
 
     def _read(self) -> None:
-        """Read ahead, so that a caller's close is seen while work goes on."""
+        """Read ahead, so that a disconnect is seen while a request runs."""
         while True:
             if len(self.http.trailing_data[0]) > _READ_AHEAD_BYTES:
                 self._read_resumed.clear()
--- a/guavagate/http1/_client.py
+++ b/guavagate/http1/_client.py
@@ -1,4 +1,4 @@
-"""Requests to upstreams over kept connections, each answer matched by id."""
+"""HTTP client with pooled connections to upstreams."""
 
 import contextlib
 import select
@@ -19,21 +19,22 @@
 from guavagate.http1._sockets import set_socket_options
 
 CONNECT_SECONDS: Final = 1.0
-# Without a Keep-Alive header, how long an idle connection is trusted.
+# Idle timeout assumed where a response has no Keep-Alive header.
 IDLE_SECONDS: Final = 10.0
-# An upstream closes an idle connection at its own timeout; a request that
-# crosses the close is lost, so it is given up a little before. What may not
-# be repeated gets a connection of its own.
+# Share of the idle timeout for which a connection is reused. An upstream closes
+# idle connections at its own timeout, and a request that crosses the close is
+# lost. Requests that must not be repeated get a new connection.
 IDLE_LIMIT_SHARE: Final = 0.9
 _READ_BYTES: Final = 65_536
 SWEEP_INTERVAL_SECONDS: Final = 5.0
 _MAX_IDLE_CONNECTIONS: Final = 32
-# The patched one lets other tasks run, which change the list being looked at.
+# The patched `poll` would let other tasks run and change the list of idle
+# connections while it is scanned.
 _poll: Final = monkey.get_original('select', 'poll')
 
 
 class Connection:
-    """One connection to an upstream, serving one request at a time."""
+    """A connection to an upstream that carries one request at a time."""
 
     def __init__(self, sock: socket.socket, clock: Clock) -> None:
         self.sock = sock
@@ -44,28 +45,28 @@
         self.idle_limit = IDLE_SECONDS
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether the other side still keeps it, as far as is known."""
+        """Return whether the idle time is within the upstream's timeout."""
         return now - self.idle_since <= self.idle_limit * IDLE_LIMIT_SHARE
 
     def is_usable(self, now: float) -> bool:
-        """Return whether an idle connection may carry one more request.
+        """Return whether an idle connection may carry another request.
 
-        Bytes that wait here belong to no request: a second or late answer,
-        or the other side's close.
+        Readable data belongs to no request: it is a second or late response,
+        or the upstream's close.
         """
         if not self.is_fresh(now):
             return False
-        waiting = _poll()
-        waiting.register(self.sock.fileno(), select.POLLIN)
-        return not waiting.poll(0)
+        poller = _poll()
+        poller.register(self.sock.fileno(), select.POLLIN)
+        return not poller.poll(0)
 
     def close(self) -> None:
-        """Close; the upstream drops what it was working on."""
+        """Close the connection; the upstream abandons a running request."""
         self.sock.close()
 
 
 class Answer:
-    """An upstream's answer, read as it comes."""
+    """An upstream's response, read as it arrives."""
 
     def __init__(
         self, pool: 'ConnectionPool', address: str, connection: Connection
@@ -78,22 +79,22 @@
         self.complete = False
 
     def get_header(self, name: bytes) -> str:
-        """Return a header's value by its name in lower case."""
+        """Return the value of a header; the name is in lower case."""
         return find_header(self.headers, name)
 
     def read_head(self) -> None:
-        """Wait for the final status and headers."""
+        """Read the final status and headers, past interim responses."""
         while True:
             event = self._next_event()
             if isinstance(event, h11.Response):
                 break
             if not isinstance(event, h11.InformationalResponse):
-                raise self._make_error(f'sent {event!r} for an answer')
+                raise self._make_error(f'sent {event!r} instead of a response')
         self.status = event.status_code
         self.headers = list(event.headers.raw_items())
 
     def chunks(self) -> Iterator[bytes]:
-        """Yield the body; a cut one ends with `UpstreamError`."""
+        """Yield the body; an incomplete one raises `UpstreamError`."""
         while not self.complete:
             event = self._next_event()
             if isinstance(event, h11.Data):
@@ -101,15 +102,17 @@
             elif isinstance(event, h11.EndOfMessage):
                 self.complete = True
             else:
-                raise self._make_error('closed in the middle of its answer')
+                raise self._make_error(
+                    'closed the connection within its response'
+                )
         self._release()
 
     def read(self) -> bytes:
-        """Return the whole body."""
+        """Return the complete body."""
         return b''.join(self.chunks())
 
     def close(self) -> None:
-        """End the exchange; an unfinished one is cut."""
+        """Close the connection unless it is back in the pool."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
@@ -117,7 +120,7 @@
     def _next_event(self) -> object:
         connection = self._connection
         if connection is None:
-            raise self._make_error('was left by us')
+            raise self._make_error('the connection was closed on this side')
         try:
             while True:
                 event = connection.http.next_event()
@@ -143,7 +146,7 @@
 
 
 class ConnectionPool:
-    """All connections of one process to its upstreams, by address."""
+    """A process's connections to upstreams, by address."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -159,22 +162,22 @@
         timeout: float | None,
         reuse: bool = True,
     ) -> Answer:
-        """Send one request, once, and wait for its answer's head.
+        """Send a request once and wait for the headers of its response.
 
         Parameters
         ----------
         timeout
-            Seconds until the head must be there; none waits as long as the
-            connection lives.
+            Seconds until the headers must have arrived; `None` waits until
+            the connection ends.
         reuse
-            Whether a kept connection may carry it.
+            Whether the request may use an idle connection of the pool.
 
         Raises
         ------
         UpstreamNotStartedError
-            No connection was made; nothing was sent.
+            No connection was established; nothing was sent.
         UpstreamError
-            Some of the request may have gone out.
+            Part of the request may have been sent.
         """
         connection = self._acquire(address) if reuse else None
         if connection is None:
@@ -192,7 +195,7 @@
     def release(
         self, address: str, connection: Connection, answer: Answer
     ) -> None:
-        """Keep a connection whose answer has ended, if it may be used."""
+        """Put a connection back in the pool if it can carry a request."""
         http = connection.http
         done = http.our_state is h11.DONE and http.their_state is h11.DONE
         idle = self._idle.setdefault(address, deque())
@@ -209,17 +212,17 @@
         idle.append(connection)
 
     def has_idle_connection(self, address: str) -> bool:
-        """Return whether an idle connection to an address is kept."""
+        """Return whether the pool has an idle connection to an address."""
         idle = self._idle.get(address)
         return bool(idle and idle[-1].is_fresh(self._clock.now()))
 
     def close_idle(self, address: str) -> None:
-        """Close the idle connections to an address no longer in use."""
+        """Close the idle connections to an address."""
         for connection in self._idle.pop(address, ()):
             connection.close()
 
     def start_sweeping(self) -> None:
-        """Close unusable idle connections now and then."""
+        """Start a task that periodically closes unusable connections."""
         self._clock.spawn(self._sweep_periodically)
 
     def _sweep_periodically(self) -> None:
@@ -228,15 +231,15 @@
             self.sweep()
 
     def sweep(self) -> None:
-        """Close idle connections that would not be used any more."""
+        """Close idle connections that can carry no further request."""
         now = self._clock.now()
         for address, idle in list(self._idle.items()):
-            kept = deque(each for each in idle if each.is_usable(now))
+            usable = deque(each for each in idle if each.is_usable(now))
             for connection in idle:
-                if connection not in kept:
+                if connection not in usable:
                     connection.close()
-            self._idle[address] = kept
-            if not kept:
+            self._idle[address] = usable
+            if not usable:
                 self._idle.pop(address)
 
     def _acquire(self, address: str) -> Connection | None:
@@ -279,7 +282,7 @@
 
 
 def _write(connection: Connection, request: Request, body: bytes) -> None:
-    """Send a request; an answer that comes before all is sent counts."""
+    """Send a request; the upstream may respond before all is sent."""
     http = connection.http
     headers = list(request.headers)
     if body or request.method not in {'GET', 'HEAD', 'DELETE'}:
@@ -298,11 +301,11 @@
         ]
     except h11.LocalProtocolError as error:
         raise UpstreamNotStartedError(
-            f'the request can not be sent on ({error})',
+            f'the request cannot be forwarded ({error})',
             'send a request that is valid HTTP/1.1',
         ) from error
-    # An upstream may answer and close while a long body is still on its way;
-    # then this write fails and the answer waits to be read.
+    # An upstream may respond and close while a long body is being sent. The
+    # write then fails, but the response can still be read.
     with contextlib.suppress(OSError):
         connection.sock.sendall(b''.join(part for part in parts if part))
 
--- a/guavagate/http1/_exchange.py
+++ b/guavagate/http1/_exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller, and the answer to it."""
+"""A request of a caller and the response to it."""
 
 from collections.abc import Callable
 from typing import Final
@@ -20,11 +20,11 @@
 
 
 class BodyTooLargeError(Exception):
-    """The body is over the limit."""
+    """The request body exceeds the limit."""
 
 
 class Exchange:
-    """One request of a caller, and the answer to it."""
+    """A request of a caller and the response to it."""
 
     def __init__(self, connection: CallerConnection, request: Request) -> None:
         self._connection = connection
@@ -35,34 +35,34 @@
         self.arrived_at = connection.clock.now()
 
     def get_header(self, name: bytes) -> str:
-        """Return a request header by its name in lower case."""
+        """Return the value of a header; the name is in lower case."""
         return find_header(self.request.headers, name)
 
     def get_header_values(self, name: bytes) -> list[str]:
-        """Return all values of a request header by its name in lower case."""
+        """Return all values of a header; the name is in lower case."""
         return [
             content.decode('latin-1')
-            for held, content in self.request.headers
-            if held.lower() == name
+            for key, content in self.request.headers
+            if key.lower() == name
         ]
 
     def on_disconnect(self, call: Callable[[], None] | None) -> None:
-        """Call back, without blocking, when the caller leaves."""
+        """Set what to call, without blocking, when the caller disconnects."""
         self._connection.on_disconnect = call
         if call is not None and self.disconnected.is_set():
             call()
 
     def read_body(self, limit: int) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
         Raises
         ------
         BodyTooLargeError
-            It is over the limit; the rest is not read.
+            The body exceeds the limit; the rest is not read.
         CallerDisconnectedError
-            The caller left before all of it was here.
+            The caller disconnected before the body was complete.
         SlowBodyError
-            Nothing more came for the idle time.
+            No more of it arrived within the idle timeout.
         """
         parts: list[bytes] = []
         size = 0
@@ -78,7 +78,7 @@
             parts.append(bytes(event.data))
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         length = (b'Content-Length', str(len(body)).encode())
         self.start(status, [*headers, length])
         if body:
@@ -86,7 +86,7 @@
         self.end()
 
     def start(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer."""
+        """Send the status and headers of the response."""
         keep = (
             self._connection.discard_body()
             and not self._connection.is_closing()
@@ -102,16 +102,16 @@
         )
 
     def send(self, part: bytes) -> None:
-        """Send a part of the body."""
+        """Send a part of the response body."""
         self._connection.write(h11.Data(data=part))
 
     def end(self) -> None:
-        """End the answer as complete."""
+        """Mark the response as complete."""
         self._connection.write(h11.EndOfMessage())
         self.ended = True
 
     def abort(self) -> None:
-        """Cut the connection: the answer must not look complete."""
+        """Close the connection, so that the response looks incomplete."""
         self._connection.reset()
 
 
--- a/guavagate/http1/_messages.py
+++ b/guavagate/http1/_messages.py
@@ -1,4 +1,4 @@
-"""Heads of messages, and the headers that concern one connection only."""
+"""Request heads and headers, and the removal of hop-by-hop headers."""
 
 from collections.abc import Iterable
 from typing import Final, TypeAlias
@@ -7,7 +7,8 @@
 
 Headers: TypeAlias = list[tuple[bytes, bytes]]
 
-# RFC 9110, 7.6.1; and what frames the body, which each side frames anew.
+# RFC 9110, 7.6.1, and the body's length and expectation, which each
+# connection sets anew.
 _HOP_BY_HOP: Final = frozenset(
     (
         b'connection',
@@ -27,7 +28,7 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """A request's head; the target is as it was sent."""
+    """A request's head; the target is unchanged."""
 
     method: str
     target: str
@@ -35,7 +36,7 @@
 
 
 def find_header(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> str:
-    """Return the first value of a header, or an empty text.
+    """Return the first value of a header, or an empty string.
 
     Parameters
     ----------
@@ -49,13 +50,13 @@
 
 
 def drop_hop_by_hop(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return the headers that go on to the next connection."""
-    kept = list(headers)
+    """Return the end-to-end headers, which are to be forwarded."""
+    pairs = list(headers)
     named = {
         name.strip().lower()
-        for key, value in kept
+        for key, value in pairs
         if key.lower() == _CONNECTION
         for name in value.split(b',')
     }
     dropped = _HOP_BY_HOP | named
-    return [each for each in kept if each[0].lower() not in dropped]
+    return [each for each in pairs if each[0].lower() not in dropped]
--- a/guavagate/http1/_server.py
+++ b/guavagate/http1/_server.py
@@ -1,4 +1,4 @@
-"""Listens for callers, and serves one request at a time on each connection."""
+"""HTTP server that handles one request at a time on each connection."""
 
 import logging
 from collections.abc import Callable
@@ -25,16 +25,16 @@
 
 
 class _SlowHeadError(Exception):
-    """The head of a request did not come in time."""
+    """The head of a request did not arrive in time."""
 
 
 class HttpServer:
-    """Listens, and gives each request to a handler in the connection's task.
+    """Passes each request to a handler in the connection's task.
 
     Parameters
     ----------
     limits
-        Returns the limits in force; asked for each connection.
+        Returns the limits in force; called for each connection and request.
     """
 
     def __init__(
@@ -63,34 +63,35 @@
         self.closing = False
 
     def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self._server.start()
 
     def announce_stop(self) -> None:
-        """Ask callers, with each answer, to close their connections."""
+        """Send `Connection: close` with each response from now on."""
         self.closing = True
 
     def drain(self, until: float) -> int:
-        """Stop: end idle connections, wait for what is held.
+        """Stop listening, close idle connections and wait for requests.
 
         Parameters
         ----------
         until
-            When the wait ends, in seconds of the clock; servers of one
-            process share it, or their waits would add up past its end.
+            When the wait ends, in seconds of the clock. The servers of a
+            process share it: separate waits could add up to more than the
+            time the process has to stop.
 
         Returns
         -------
         int
-            How many requests were still held then.
+            How many requests were still running then.
         """
         self.announce_stop()
         self._refuse_new_connections()
         while self._clock.now() < until:
-            # What was accepted last comes into the counts meanwhile.
+            # Connections accepted last are counted meanwhile.
             self._clock.sleep(_DRAIN_CHECK_SECONDS)
-            # One with bytes that wait is about to send a request, or has:
-            # closed now, the request would be lost between two processes.
+            # A connection with unread data carries a request, which would be
+            # lost if it were closed now.
             for connection in list(self._idle):
                 if connection.is_idle():
                     connection.close_idle()
@@ -103,14 +104,15 @@
         self._server.close()
 
     def _refuse_new_connections(self) -> None:
-        """Take the connections that wait, then have new ones refused.
+        """Accept the pending connections, then refuse new ones.
 
-        The system goes on accepting for a socket that listens. Whoever
-        connects then waits for nobody, and is reset when the process ends:
-        its request looks cut. One that is refused knows that nothing was sent.
+        The kernel accepts connections for a listening socket even when the
+        process no longer does. They would be reset when the process ends, as
+        if a request had been interrupted. A caller whose connection is refused
+        knows that nothing was sent.
         """
-        for waiting in iter(self._server.do_read, None):
-            self._server.do_handle(*waiting)
+        for pending in iter(self._server.do_read, None):
+            self._server.do_handle(*pending)
         self._server.close()
 
     def _is_closing(self) -> bool:
@@ -125,12 +127,12 @@
             while self._serve_one(connection):
                 connection.http.start_next_cycle()
         except (CallerDisconnectedError, h11.LocalProtocolError) as error:
-            _LOGGER.debug('a connection ended: %r', error)
+            _LOGGER.debug('Connection closed: %r', error)
         finally:
             connection.close()
 
     def _serve_one(self, connection: CallerConnection) -> bool:
-        """Serve one request; return whether the connection may be kept."""
+        """Serve one request; return whether the connection stays open."""
         head = self._wait_head(connection)
         if head is None:
             return False
@@ -155,7 +157,7 @@
         except CallerDisconnectedError:
             raise
         except Exception:
-            _LOGGER.exception('a request failed unexpectedly')
+            _LOGGER.exception('Request handler failed unexpectedly')
             if exchange.started:
                 exchange.abort()
                 raise CallerDisconnectedError from None
@@ -164,7 +166,7 @@
             exchange.abort()
 
     def _wait_head(self, connection: CallerConnection) -> h11.Request | None:
-        """Return the next request's head, or nothing when there is none."""
+        """Return the head of the next request, or `None` without one."""
         limits = self._limits()
         self._idle.add(connection)
         try:
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -304,15 +304,15 @@
     Safeguard(
         'bytes on an idle connection end it',
         'guavagate/http1/_client.py',
-        '        return not waiting.poll(0)\n',
+        '        return not poller.poll(0)\n',
         '        return True\n',
         'tests/http1/test_pool.py',
     ),
     Safeguard(
         'a stop takes the connections that wait',
         'guavagate/http1/_server.py',
-        '            self._server.do_handle(*waiting)\n',
-        '            waiting[0].close()\n',
+        '            self._server.do_handle(*pending)\n',
+        '            pending[0].close()\n',
         'tests/http1/test_stop.py',
     ),
     Safeguard(
--- a/tests/http1/__init__.py
+++ b/tests/http1/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of http1."""
+"""Tests of HTTP/1.1 server and client."""
--- a/tests/http1/callers.py
+++ b/tests/http1/server_bench.py
@@ -1,4 +1,4 @@
-"""A server of ours, and a raw connection of a caller to it."""
+"""An HTTP server under test and a raw connection to it."""
 
 import gevent
 from gevent import socket
@@ -7,8 +7,8 @@
 from guavagate.http1 import Exchange, HttpServer, ServerLimits
 
 
-class Caller:
-    """A server of ours and a raw connection to it."""
+class ServerBench:
+    """An HTTP server and a raw connection to it."""
 
     def __init__(
         self, handle: object, limits: ServerLimits | None = None
@@ -24,18 +24,18 @@
         self.address = ('127.0.0.1', port)
         self.sock = socket.create_connection(self.address)
 
-    def finish(self) -> int:
-        """Stop the server as planned, within two seconds."""
+    def drain(self) -> int:
+        """Stop the server gracefully, within two seconds."""
         return self.server.drain(SystemClock().now() + 2)
 
-    def ask(self, request: bytes) -> bytes:
-        """Send bytes and return what comes first."""
+    def send(self, request: bytes) -> bytes:
+        """Send bytes and return the first data received."""
         self.sock.sendall(request)
         with gevent.Timeout(2, TimeoutError):
             return self.sock.recv(65_536)
 
 
 def echo(exchange: Exchange) -> None:
-    """Answer with the body and the target."""
+    """Respond with the body and the target."""
     body = exchange.read_body(10)
     exchange.respond(200, [], body + exchange.request.target.encode())
--- a/tests/http1/test_exchange.py
+++ b/tests/http1/test_exchange.py
@@ -1,4 +1,4 @@
-"""Requests of callers over real sockets: in order, refused, left."""
+"""Tests of requests over real sockets: order, rejections, disconnects."""
 
 import gevent
 
@@ -8,24 +8,24 @@
     ServerLimits,
     SlowBodyError,
 )
-from tests.http1.callers import Caller, echo
+from tests.http1.server_bench import ServerBench, echo
 
 
-def test_chunks_and_pipelined_requests_are_answered_in_order() -> None:
-    """A chunked body, then two requests sent at once."""
-    caller = Caller(echo)
+def test_chunked_and_pipelined_requests_are_answered_in_order() -> None:
+    """A request has a chunked body; two more are sent at once."""
+    bench = ServerBench(echo)
     chunked = b'POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n'
-    answer = caller.ask(b'%s\r\n2\r\nhi\r\n0\r\n\r\n' % chunked)
+    answer = bench.send(b'%s\r\n2\r\nhi\r\n0\r\n\r\n' % chunked)
     assert answer.endswith(b'hi/a')
     both = b'GET /b HTTP/1.1\r\nHost: x\r\n\r\n' * 2
-    caller.sock.sendall(both)
+    bench.sock.sendall(both)
     gevent.sleep(0.1)
-    assert caller.sock.recv(65_536).count(b'/b') == 2
+    assert bench.sock.recv(65_536).count(b'/b') == 2
 
 
-def test_what_is_no_request_gets_a_clear_refusal() -> None:
-    """Garbage and an oversized body."""
-    assert b' 400 ' in Caller(echo).ask(b'garbage\r\n\r\n')
+def test_invalid_requests_get_a_clear_status() -> None:
+    """One request is no HTTP, the other has an oversized body."""
+    assert b' 400 ' in ServerBench(echo).send(b'garbage\r\n\r\n')
 
     def refuse(exchange: Exchange) -> None:
         try:
@@ -34,11 +34,11 @@
             exchange.respond(413, [], b'')
 
     large = b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n123456789'
-    assert b' 413 ' in Caller(refuse).ask(large)
+    assert b' 413 ' in ServerBench(refuse).send(large)
 
 
-def test_a_caller_that_leaves_is_noticed_while_work_goes_on() -> None:
-    """The upstream has to be left within half a second of it."""
+def test_a_disconnect_is_noticed_while_a_request_runs() -> None:
+    """The request to the upstream must be cancelled within half a second."""
     seen: list[str] = []
 
     def work(exchange: Exchange) -> None:
@@ -47,28 +47,28 @@
         gevent.sleep(0.3)
         exchange.respond(200, [], b'')
 
-    caller = Caller(work)
-    caller.sock.sendall(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
+    bench = ServerBench(work)
+    bench.sock.sendall(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
     gevent.sleep(0.05)
-    caller.sock.close()
+    bench.sock.close()
     gevent.sleep(0.1)
     assert seen == ['gone']
 
 
-def test_a_failed_handler_does_not_leave_the_caller_waiting() -> None:
-    """An unexpected error is answered as one, and logged."""
+def test_a_handler_that_raises_gives_bad_gateway() -> None:
+    """Without a response the caller would wait until its time limit."""
 
     def fail(_: Exchange) -> None:
         raise ValueError('boom')
 
-    answer = Caller(fail).ask(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
+    answer = ServerBench(fail).send(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
     assert b' 502 ' in answer
 
 
-def test_a_head_or_body_that_stops_coming_is_refused() -> None:
-    """A caller sends half a request and waits; it must not hold a task.
+def test_a_stalled_head_or_body_is_rejected() -> None:
+    """A caller sends half a request and must not occupy a task for long.
 
-    408 promises that nothing has run.
+    Status 408 states that nothing has run.
     """
 
     def work(exchange: Exchange) -> None:
@@ -78,38 +78,38 @@
             exchange.respond(408, [], b'')
 
     limits = ServerLimits(header_timeout=0.1, idle_timeout=0.2)
-    caller = Caller(work, limits)
-    assert b' 408 ' in caller.ask(b'GET / HTTP/1.1\r\nHo')
-    caller = Caller(work, limits)
+    bench = ServerBench(work, limits)
+    assert b' 408 ' in bench.send(b'GET / HTTP/1.1\r\nHo')
+    bench = ServerBench(work, limits)
     head = b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n12'
-    assert b' 408 ' in caller.ask(head)
-    idle = Caller(work, limits)
+    assert b' 408 ' in bench.send(head)
+    idle = ServerBench(work, limits)
     with gevent.Timeout(2, TimeoutError):
         assert idle.sock.recv(10) == b''
 
 
-def _refuse_unread(exchange: Exchange) -> None:
+def _respond_unread(exchange: Exchange) -> None:
     exchange.respond(503, [], b'')
 
 
-def test_a_refusal_before_the_body_was_read_keeps_the_connection() -> None:
-    """An instance without a configuration refuses at the head already.
+def test_a_response_before_the_body_is_read_keeps_the_connection() -> None:
+    """An instance without a configuration responds before it reads the body.
 
-    The caller keeps the connection, as nothing told it not to; closed now, it
-    would lose its next request.
+    Without `Connection: close` the caller reuses the connection, so closing
+    it would lose the next request.
     """
-    caller = Caller(_refuse_unread)
+    bench = ServerBench(_respond_unread)
     request = b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi'
     for _ in range(2):
-        answer = caller.ask(request)
+        answer = bench.send(request)
         assert b' 503 ' in answer
         assert b'connection: close' not in answer.lower()
 
 
-def test_a_refusal_says_so_when_it_closes_on_a_body_that_still_comes() -> None:
-    """The rest of a body is not waited for, so the connection has to end."""
-    caller = Caller(_refuse_unread)
+def test_a_response_to_an_incomplete_body_announces_the_close() -> None:
+    """The server does not wait for the rest, so the connection must end."""
+    bench = ServerBench(_respond_unread)
     head = b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n'
-    answer = caller.ask(head)
+    answer = bench.send(head)
     assert b' 503 ' in answer
     assert b'connection: close' in answer.lower()
--- a/tests/http1/test_pool.py
+++ b/tests/http1/test_pool.py
@@ -1,4 +1,4 @@
-"""Answers of upstreams over real sockets: whole, cut, crossed, late."""
+"""Tests of responses over real sockets: complete, cut, mismatched, late."""
 
 from collections.abc import Iterator
 
@@ -15,13 +15,13 @@
 )
 
 _OK_ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
-_CUT_CHUNKS = (
+_INCOMPLETE_CHUNKS = (
     b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n'
 )
 
 
 class _Upstream:
-    """Answers each request with the next of some raw answers."""
+    """Sends the next of some raw responses to each request."""
 
     def __init__(self) -> None:
         self.answers: list[bytes] = []
@@ -47,93 +47,93 @@
 
 @pytest.fixture
 def upstream() -> Iterator[_Upstream]:
-    """Run an upstream of raw answers."""
-    held = _Upstream()
-    yield held
-    held.server.stop()
+    """Run an upstream that sends raw responses."""
+    running = _Upstream()
+    yield running
+    running.server.stop()
 
 
 @pytest.fixture
 def pool() -> ConnectionPool:
-    """Return a pool of connections."""
+    """Return a connection pool."""
     return ConnectionPool(SystemClock())
 
 
-def _ask(pool: ConnectionPool, upstream: _Upstream) -> bytes:
+def _send(pool: ConnectionPool, upstream: _Upstream) -> bytes:
     request = Request('GET', '/a%2Fb?c=%20', [(b'Host', b'x')])
     return pool.send(upstream.address, request, timeout=2).read()
 
 
-def test_a_connection_is_kept_and_the_target_unchanged(
+def test_a_connection_is_reused_and_the_target_unchanged(
     pool: ConnectionPool, upstream: _Upstream
 ) -> None:
-    """Escapes in the target reach the upstream as the caller sent them."""
+    """Percent-encoding in the target reaches the upstream unchanged."""
     upstream.answers = [_OK_ANSWER] * 2
-    assert _ask(pool, upstream) == b'ok'
-    assert _ask(pool, upstream) == b'ok'
+    assert _send(pool, upstream) == b'ok'
+    assert _send(pool, upstream) == b'ok'
     assert upstream.connections == 1
     assert upstream.requests[0].startswith(b'GET /a%2Fb?c=%20 HTTP/1.1\r\n')
 
 
-def test_bytes_after_an_answer_end_the_connection(
+def test_a_connection_with_surplus_data_is_not_reused(
     pool: ConnectionPool, upstream: _Upstream
 ) -> None:
-    """A second answer follows the first; it belongs to no request.
+    """A second response follows the first and belongs to no request.
 
-    On a kept connection it would be read as the answer to the next request.
+    A reused connection would deliver it as the response to the next request.
     """
     answer = _OK_ANSWER
     upstream.answers = [answer * 2, answer]
-    assert _ask(pool, upstream) == b'ok'
-    assert _ask(pool, upstream) == b'ok'
+    assert _send(pool, upstream) == b'ok'
+    assert _send(pool, upstream) == b'ok'
     assert upstream.connections == 2
 
 
-def test_late_bytes_on_an_idle_connection_end_it(
+def test_an_idle_connection_with_late_data_is_unusable(
     pool: ConnectionPool, upstream: _Upstream
 ) -> None:
-    """The second answer arrives while the connection is idle."""
+    """A second response arrives while the connection is idle."""
     answer = _OK_ANSWER
     upstream.answers = [answer, answer]
-    assert _ask(pool, upstream) == b'ok'
-    kept = pool._idle[upstream.address][0]
-    assert kept.is_usable(SystemClock().now())
+    assert _send(pool, upstream) == b'ok'
+    idle = pool._idle[upstream.address][0]
+    assert idle.is_usable(SystemClock().now())
     upstream.answers.append(answer)
-    kept.sock.sendall(b'GET / HTTP/1.1\r\n\r\n')
+    idle.sock.sendall(b'GET / HTTP/1.1\r\n\r\n')
     gevent.sleep(0.05)
-    assert not kept.is_usable(SystemClock().now())
+    assert not idle.is_usable(SystemClock().now())
 
 
 @pytest.mark.parametrize(
     'answer',
     [
         b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok',
-        _CUT_CHUNKS,
+        _INCOMPLETE_CHUNKS,
         b'nonsense\r\n\r\n',
         b'',
     ],
 )
-def test_a_cut_or_spoilt_answer_is_no_answer(
+def test_an_incomplete_or_malformed_response_raises(
     pool: ConnectionPool, upstream: _Upstream, answer: bytes
 ) -> None:
-    """The upstream breaks off or sends what is no HTTP."""
+    """The upstream closes early or sends something other than HTTP."""
     upstream.answers = [answer]
     upstream.close_after = True
     with pytest.raises(UpstreamError):
-        _ask(pool, upstream)
+        _send(pool, upstream)
 
 
-def test_an_answer_without_a_length_ends_with_its_connection(
+def test_a_response_without_a_length_ends_with_its_connection(
     pool: ConnectionPool, upstream: _Upstream
 ) -> None:
-    """Such an answer is whole when the connection is closed properly."""
+    """It is complete when the upstream closes the connection cleanly."""
     upstream.answers = [b'HTTP/1.1 200 OK\r\n\r\nok']
     upstream.close_after = True
-    assert _ask(pool, upstream) == b'ok'
+    assert _send(pool, upstream) == b'ok'
 
 
-def test_a_refused_connection_has_run_nothing(pool: ConnectionPool) -> None:
-    """Nobody listens; the request can go elsewhere, whatever its kind."""
+def test_a_refused_connection_raises_unreachable(pool: ConnectionPool) -> None:
+    """No server listens, so any request may be sent to another upstream."""
     taken = socket.socket()
     taken.bind(('127.0.0.1', 0))
     address = f'127.0.0.1:{taken.getsockname()[1]}'
--- a/tests/http1/test_stop.py
+++ b/tests/http1/test_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops over real sockets: no request is cut."""
+"""Tests that a planned stop interrupts no request."""
 
 import socket as stdlib
 from typing import Final
@@ -8,102 +8,102 @@
 from gevent import monkey, socket
 
 from guavagate.http1 import Exchange
-from tests.http1.callers import Caller, echo
+from tests.http1.server_bench import ServerBench, echo
 
 _blocking_socket: Final = monkey.get_original('socket', 'socket')
 
 
-def _connect_unseen(caller: Caller) -> stdlib.socket:
-    """Connect without giving the server's tasks a turn to accept."""
-    address = caller.address
+def _connect_unaccepted(bench: ServerBench) -> stdlib.socket:
+    """Connect without letting the server's tasks accept."""
+    address = bench.address
     sock = _blocking_socket(stdlib.AF_INET, stdlib.SOCK_STREAM)
     sock.connect(address)
     sock.settimeout(2)
     return sock
 
 
-def test_a_stop_ends_idle_connections_and_waits_for_answers() -> None:
-    """One request is being worked on, another connection is idle."""
+def test_a_stop_closes_idle_connections_and_waits_for_requests() -> None:
+    """One connection has a running request, another is idle."""
 
     def work(exchange: Exchange) -> None:
         exchange.read_body(0)
         gevent.sleep(0.2)
         exchange.respond(200, [], b'done')
 
-    caller = Caller(work)
-    port = caller.server._server.server_port
+    bench = ServerBench(work)
+    port = bench.server._server.server_port
     idle = socket.create_connection(('127.0.0.1', port))
-    caller.sock.sendall(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
+    bench.sock.sendall(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
     gevent.sleep(0.05)
-    assert caller.finish() == 0
-    answer = caller.sock.recv(65_536)
+    assert bench.drain() == 0
+    answer = bench.sock.recv(65_536)
     assert answer.endswith(b'done')
     assert b'connection: close' in answer.lower()
     assert idle.recv(10) == b''
 
 
-def test_a_request_that_arrives_as_the_stop_begins_is_answered() -> None:
-    """It lies unread on a kept connection when idle ones are closed.
+def test_an_unread_request_is_answered_when_the_stop_begins() -> None:
+    """The request is unread when the server closes idle connections.
 
-    Closed at that moment, it would be lost though this process was there to
-    answer it.
+    Closing its connection too would lose a request that can be answered.
     """
-    caller = Caller(echo)
-    caller.ask(b'GET /a HTTP/1.1\r\nHost: x\r\n\r\n')
-    caller.sock.sendall(b'GET /b HTTP/1.1\r\nHost: x\r\n\r\n')
-    assert caller.finish() == 0
+    bench = ServerBench(echo)
+    bench.send(b'GET /a HTTP/1.1\r\nHost: x\r\n\r\n')
+    bench.sock.sendall(b'GET /b HTTP/1.1\r\nHost: x\r\n\r\n')
+    assert bench.drain() == 0
     with gevent.Timeout(2, TimeoutError):
-        assert caller.sock.recv(65_536).endswith(b'/b')
+        assert bench.sock.recv(65_536).endswith(b'/b')
 
 
-def test_a_connection_not_accepted_yet_is_served_as_the_stop_begins() -> None:
-    """The system has accepted it for us, and its request is on the way.
+def test_a_connection_not_yet_accepted_is_served_when_the_stop_begins() -> None:
+    """The kernel has accepted the connection, the server has not.
 
-    A stop that looks at accepted connections only leaves it waiting, and the
-    end of the process resets it: the caller sees a request cut.
+    A stop that ignores it leaves it waiting until the end of the process
+    resets it, which interrupts its request.
     """
-    caller = Caller(echo)
-    waiting = _connect_unseen(caller)
+    bench = ServerBench(echo)
+    waiting = _connect_unaccepted(bench)
     waiting.sendall(b'GET /b HTTP/1.1\r\nHost: x\r\n\r\n')
-    assert caller.finish() == 0
+    assert bench.drain() == 0
     assert waiting.recv(65_536).endswith(b'/b')
 
 
-def test_a_caller_that_has_just_connected_may_send_its_request() -> None:
-    """It connects as the stop begins; its request is a round trip behind."""
-    caller = Caller(echo)
-    fresh = socket.create_connection(caller.sock.getpeername())
-    ending = gevent.spawn(caller.finish)
+def test_a_new_connection_has_time_to_send_its_request() -> None:
+    """Its request arrives a round trip after the stop has begun."""
+    bench = ServerBench(echo)
+    fresh = socket.create_connection(bench.sock.getpeername())
+    draining = gevent.spawn(bench.drain)
     gevent.sleep(0.1)
     fresh.sendall(b'GET /b HTTP/1.1\r\nHost: x\r\n\r\n')
-    assert ending.get(timeout=2) == 0
+    assert draining.get(timeout=2) == 0
     assert fresh.recv(65_536).endswith(b'/b')
 
 
-def test_a_connection_made_during_the_stop_is_refused_at_once() -> None:
-    """The process waits for an answer that it holds; a new caller comes.
+def test_a_connection_during_the_stop_is_refused_at_once() -> None:
+    """A caller connects while the process waits for a running request.
 
-    Kept waiting, it would lose its time and be reset at the process's end;
-    refused, it knows that nothing was sent and asks another instance.
+    An accepted connection would wait and be reset at the end of the process.
+    A refused one shows that nothing was sent, and the caller can use another
+    instance.
     """
 
     def work(exchange: Exchange) -> None:
         gevent.sleep(0.3)
         exchange.respond(200, [], b'done')
 
-    caller = Caller(work)
-    caller.sock.sendall(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
+    bench = ServerBench(work)
+    bench.sock.sendall(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
     gevent.sleep(0.05)
-    ending = gevent.spawn(caller.finish)
+    draining = gevent.spawn(bench.drain)
     gevent.sleep(0.05)
     with pytest.raises(ConnectionRefusedError):
-        _connect_unseen(caller)
-    assert ending.get(timeout=2) == 0
+        _connect_unaccepted(bench)
+    assert draining.get(timeout=2) == 0
 
 
-def test_answers_ask_to_close_once_a_stop_is_announced() -> None:
-    """Kept connections end with an answer, before they are cut idle."""
-    caller = Caller(echo)
-    caller.server.announce_stop()
-    answer = caller.ask(b'GET /a HTTP/1.1\r\nHost: x\r\n\r\n')
+def test_responses_announce_the_close_once_a_stop_is_announced() -> None:
+    """Connections end after a response, before the server closes them."""
+    bench = ServerBench(echo)
+    bench.server.announce_stop()
+    answer = bench.send(b'GET /a HTTP/1.1\r\nHost: x\r\n\r\n')
     assert b'connection: close' in answer.lower()
