--- a/guavagate/assembly.py
+++ b/guavagate/assembly.py
@@ -91,7 +91,7 @@
             self._partitions.list_owned,
         )
         self._instance.readiness.add('stop', self._why_stopping)
-        self._runtime.metrics.before_reading(self._count_traffic)
+        self._runtime.metrics.add_refresher(self._count_traffic)
         self._instance.readiness.add('id', self._why_superseded)
         self._asked = Event()
 
--- a/guavagate/events/__init__.py
+++ b/guavagate/events/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered log events; docs/events.md is generated from this catalogue.
+"""Numbered log events; docs/events.md is generated from these.
 
 Each area has its own module and range of numbers: 1000 routing and placement,
 2000 partitions and ledger, 3000 fleet, 4000 settings, 5000 callers' edge,
@@ -6,6 +6,6 @@
 9000 jobs and orders to samplers, 9200 calls to the platform for all.
 """
 
-from guavagate.events._event import Event, catalogue, watch_events, write
+from guavagate.events._event import Event, list_events, watch_events, write
 
-__all__ = ('Event', 'catalogue', 'watch_events', 'write')
+__all__ = ('Event', 'list_events', 'watch_events', 'write')
--- a/guavagate/events/_event.py
+++ b/guavagate/events/_event.py
@@ -28,8 +28,8 @@
     remedy: str = ''
 
     def __post_init__(self) -> None:
-        """Enter the event into the catalogue."""
-        other = _CATALOGUE.setdefault(self.number, self)
+        """Register the event under its number."""
+        other = _EVENTS.setdefault(self.number, self)
         if other is not self and other != self:
             raise ValueError(f'event number {self.number} is used twice')
 
@@ -39,13 +39,13 @@
         return f'GG{self.number}'
 
 
-_CATALOGUE: dict[int, Event] = {}
+_EVENTS: dict[int, Event] = {}
 _WATCHERS: list[Callable[[str], None]] = []
 
 
-def catalogue() -> list[Event]:
+def list_events() -> list[Event]:
     """Return all events imported so far, by number."""
-    return [_CATALOGUE[number] for number in sorted(_CATALOGUE)]
+    return [_EVENTS[number] for number in sorted(_EVENTS)]
 
 
 def watch_events(told: Callable[[str], None]) -> None:
--- a/guavagate/helpers/reference.py
+++ b/guavagate/helpers/reference.py
@@ -119,7 +119,7 @@
 def _list_events(start: int) -> list[str]:
     found = [
         event
-        for event in events.catalogue()
+        for event in events.list_events()
         if start <= event.number < start + _AREA
     ]
     lines = ['| event | level | text | what to do |', '|---|---|---|---|']
--- a/guavagate/instance.py
+++ b/guavagate/instance.py
@@ -12,7 +12,7 @@
 from guavagate.integrations.model_engine import HttpModelEngine
 from guavagate.integrations.plain_service import HttpPlainService
 from guavagate.ledger import Ledger
-from guavagate.metrics import make_request_watch
+from guavagate.metrics import make_request_observer
 from guavagate.permits import (
     PermitClient,
     PoolChooser,
@@ -68,7 +68,7 @@
         self.readiness = Readiness()
         self.app = self._make_app()
         self.active = ActiveRequests(
-            self.app, make_request_watch(runtime.clock, runtime.metrics)
+            self.app, make_request_observer(runtime.clock, runtime.metrics)
         )
         self.server: WSGIServer = make_server(
             self.active, runtime.settings.http_address
--- a/guavagate/jobs/_dispatch.py
+++ b/guavagate/jobs/_dispatch.py
@@ -192,7 +192,7 @@
         }
         for key, plan in deferred.items():
             if key not in self._deferred:
-                self._metrics.count(names.GROUPS_BEHIND)
+                self._metrics.count(names.GROUPS_DEFERRED)
                 self._log_deferred_group(plan, planned, now)
         waiting = {(each.work.job.id, each.group) for each in planned.groups}
         self._deferred = (self._deferred & waiting) | deferred.keys()
--- a/guavagate/metrics/__init__.py
+++ b/guavagate/metrics/__init__.py
@@ -1,9 +1,9 @@
-"""Metrics of one instance; docs/metrics.md is generated from the catalogue."""
+"""Metrics of one instance; docs/metrics.md is generated from names.py."""
 
 from guavagate.metrics._metric import Metric, MetricKind, list_metrics
 from guavagate.metrics._registry import Metrics
-from guavagate.metrics._requests import ENV_TEAM, make_request_watch
-from guavagate.metrics._series import Point, Series, SeriesKeeper
+from guavagate.metrics._requests import ENV_TEAM, make_request_observer
+from guavagate.metrics._series import Point, Series, SeriesRecorder
 
 __all__ = (
     'ENV_TEAM',
@@ -12,7 +12,7 @@
     'Metrics',
     'Point',
     'Series',
-    'SeriesKeeper',
+    'SeriesRecorder',
     'list_metrics',
-    'make_request_watch',
+    'make_request_observer',
 )
--- a/guavagate/metrics/_registry.py
+++ b/guavagate/metrics/_registry.py
@@ -66,7 +66,7 @@
         if collector is not None:
             collector.values.clear()
 
-    def before_reading(self, refresh: Callable[[], None]) -> None:
+    def add_refresher(self, refresh: Callable[[], None]) -> None:
         """Call back, without blocking, before the values are read."""
         self._refreshers.append(refresh)
 
--- a/guavagate/metrics/_requests.py
+++ b/guavagate/metrics/_requests.py
@@ -13,7 +13,7 @@
 End = Callable[[str], None]
 
 
-def make_request_watch(
+def make_request_observer(
     clock: Clock, metrics: Metrics
 ) -> Callable[[dict[str, Any]], End]:
     """Return what is called at a request's start; what it returns, at its end.
--- a/guavagate/metrics/_series.py
+++ b/guavagate/metrics/_series.py
@@ -29,7 +29,7 @@
     points: tuple[Point, ...]
 
 
-class SeriesKeeper:
+class SeriesRecorder:
     """Reads the plotted metrics every few seconds."""
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
--- a/guavagate/metrics/names.py
+++ b/guavagate/metrics/names.py
@@ -38,7 +38,7 @@
     text='Requests denied or refused for their key, by reason',
     labels=('reason',),
 )
-PROOF_SECONDS: Final = Metric(
+PROOF_AGE_SECONDS: Final = Metric(
     name='guavagate_configuration_proof_seconds',
     kind=MetricKind.GAUGE,
     text='How long ago the configuration here was surely the newest',
@@ -108,7 +108,7 @@
     kind=MetricKind.HISTOGRAM,
     text="Time of an item's last run at a sampler",
 )
-GROUPS_BEHIND: Final = Metric(
+GROUPS_DEFERRED: Final = Metric(
     name='guavagate_groups_behind_total',
     kind=MetricKind.COUNTER,
     text='Groups of jobs that went behind others as they can not be in time',
--- a/guavagate/operations.py
+++ b/guavagate/operations.py
@@ -2,10 +2,10 @@
 
 from guavagate.explain import Explainer, RecentDecisions
 from guavagate.instance import Instance
-from guavagate.metrics import SeriesKeeper, names
+from guavagate.metrics import SeriesRecorder, names
 from guavagate.operators import (
-    Collector,
-    Operators,
+    OperatorServices,
+    ReportCollector,
     add_metrics_route,
     add_routes,
 )
@@ -30,20 +30,20 @@
         self._runtime = runtime
         self._teams = teams
         self._reports = LiveReports(runtime, instance, hosted, list_owned)
-        self._series = SeriesKeeper(runtime.clock, runtime.metrics)
+        self._series = SeriesRecorder(runtime.clock, runtime.metrics)
         explainer = Explainer(
             runtime.settings.id, runtime.bus, runtime.members, recent
         )
-        runtime.metrics.before_reading(self._refresh)
+        runtime.metrics.add_refresher(self._refresh)
         instance.readiness.add('settings', self._why_settings)
         add_metrics_route(instance.app, runtime.metrics)
         add_routes(
             instance.app,
-            Operators(
+            OperatorServices(
                 authenticator=instance.authenticator,
                 teams=teams,
                 explainer=explainer,
-                collector=Collector(runtime, self._reports, self._series),
+                collector=ReportCollector(runtime, self._reports, self._series),
             ),
         )
 
--- a/guavagate/operators/__init__.py
+++ b/guavagate/operators/__init__.py
@@ -1,8 +1,8 @@
 """Operators' HTTP: settings under paths, status, explain, drain, health."""
 
 from guavagate.operators._answers import ErrorBody, ErrorDetail
-from guavagate.operators._base import Operators
-from guavagate.operators._collect import Collector
+from guavagate.operators._base import OperatorServices
+from guavagate.operators._collect import ReportCollector
 from guavagate.operators._exposition import add_metrics_route
 from guavagate.operators._fleet import (
     DeploymentReport,
@@ -33,7 +33,6 @@
 )
 
 __all__ = (
-    'Collector',
     'DeploymentReport',
     'DeploymentsBody',
     'DiffBody',
@@ -44,8 +43,9 @@
     'InstanceReport',
     'InstancesBody',
     'LocalReports',
-    'Operators',
+    'OperatorServices',
     'PartitionReport',
+    'ReportCollector',
     'RunReport',
     'RunsBody',
     'SamplerReport',
--- a/guavagate/operators/_answers.py
+++ b/guavagate/operators/_answers.py
@@ -56,7 +56,7 @@
     response.data = msgspec.json.encode(body)
 
 
-def answer_error(
+def write_error(
     request: falcon.Request,
     response: falcon.Response,
     error: GuavagateError,
--- a/guavagate/operators/_base.py
+++ b/guavagate/operators/_base.py
@@ -9,8 +9,8 @@
 from guavagate.auth import Authenticator, Identity
 from guavagate.exceptions import GuavagateError
 from guavagate.explain import Explainer
-from guavagate.operators._answers import answer_error
-from guavagate.operators._collect import Collector
+from guavagate.operators._answers import write_error
+from guavagate.operators._collect import ReportCollector
 from guavagate.settings import Role, TeamsInForce
 
 _Params = ParamSpec('_Params')
@@ -18,13 +18,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Operators:
+class OperatorServices:
     """The parts that the operators' routes answer from."""
 
     authenticator: Authenticator
     teams: TeamsInForce
     explainer: Explainer
-    collector: Collector
+    collector: ReportCollector
 
     def identify(self, request: falcon.Request) -> Identity:
         """Return the operator who asks.
@@ -44,7 +44,7 @@
 ]
 
 
-def answers_errors(
+def handle_errors(
     responder: '_Responder[_Resource, _Params]',
 ) -> '_Responder[_Resource, _Params]':
     """Answer guavagate's errors in the operators' form.
@@ -63,7 +63,7 @@
         try:
             responder(resource, request, response, *args, **params)
         except GuavagateError as error:
-            answer_error(request, response, error, params)
+            write_error(request, response, error, params)
 
     respond.__doc__ = responder.__doc__
     return respond
--- a/guavagate/operators/_collect.py
+++ b/guavagate/operators/_collect.py
@@ -11,7 +11,7 @@
 from guavagate.events.edge import DRAIN_REQUESTED
 from guavagate.exceptions import LinkError
 from guavagate.links import Message, expect
-from guavagate.metrics import Series, SeriesKeeper
+from guavagate.metrics import Series, SeriesRecorder
 from guavagate.models import InstanceId
 from guavagate.operators._reports import (
     InstanceReport,
@@ -29,7 +29,7 @@
 _Answer = TypeVar('_Answer', bound=Message)
 
 
-class Matter(enum.Enum):
+class ReportKind(enum.Enum):
     """What is asked for."""
 
     INSTANCE = 'instance'
@@ -63,18 +63,18 @@
     """The planned stop has begun."""
 
 
-class Collected(msgspec.Struct, frozen=True, kw_only=True):
+class CollectedReports(msgspec.Struct, frozen=True, kw_only=True):
     """All answers, and why others are missing."""
 
     answers: dict[InstanceId, ReportAnswer]
     missing: dict[InstanceId, str]
 
 
-class Collector:
+class ReportCollector:
     """Answers peers' questions, and asks them all."""
 
     def __init__(
-        self, runtime: Runtime, reports: LocalReports, series: SeriesKeeper
+        self, runtime: Runtime, reports: LocalReports, series: SeriesRecorder
     ) -> None:
         self._runtime = runtime
         self._reports = reports
@@ -82,7 +82,7 @@
         runtime.bus.register(ReportAsk, self._handle_ask)
         runtime.bus.register(DrainAsk, self._handle_drain)
 
-    def collect(self, matter: Matter) -> Collected:
+    def collect(self, matter: ReportKind) -> CollectedReports:
         """Return every instance's report; the missing ones are named."""
         me = self._runtime.settings.id
         peers = [
@@ -96,7 +96,7 @@
                 answers[peer] = answer
             else:
                 missing[peer] = answer
-        return Collected(answers=answers, missing=missing)
+        return CollectedReports(answers=answers, missing=missing)
 
     def drain(self, instance: InstanceId, who: str) -> None:
         """Have an instance begin a planned stop.
@@ -117,7 +117,7 @@
         write(_LOGGER, DRAIN_REQUESTED, who=who, through=through)
         self._reports.start_drain()
 
-    def _ask(self, peer: InstanceId, matter: Matter) -> ReportAnswer | str:
+    def _ask(self, peer: InstanceId, matter: ReportKind) -> ReportAnswer | str:
         try:
             return self._runtime.bus.request(
                 peer, ReportAsk(matter=matter.value), ReportAnswer, _TIMEOUT
@@ -125,17 +125,17 @@
         except LinkError as error:
             return error.problem
 
-    def _answer(self, matter: Matter) -> ReportAnswer:
-        if matter is Matter.INSTANCE:
+    def _answer(self, matter: ReportKind) -> ReportAnswer:
+        if matter is ReportKind.INSTANCE:
             return ReportAnswer(instance=self._reports.describe_instance())
-        if matter is Matter.SAMPLERS:
+        if matter is ReportKind.SAMPLERS:
             return ReportAnswer(samplers=tuple(self._reports.list_samplers()))
-        if matter is Matter.RUNS:
+        if matter is ReportKind.RUNS:
             return ReportAnswer(runs=tuple(self._reports.list_runs()))
         return ReportAnswer(series=tuple(self._series.list_series()))
 
     def _handle_ask(self, sender: InstanceId, message: Message) -> ReportAnswer:
-        return self._answer(Matter(expect(message, ReportAsk).matter))
+        return self._answer(ReportKind(expect(message, ReportAsk).matter))
 
     def _handle_drain(self, sender: InstanceId, message: Message) -> DrainBegun:
         self._begin_drain(expect(message, DrainAsk).who, sender)
--- a/guavagate/operators/_fleet.py
+++ b/guavagate/operators/_fleet.py
@@ -9,8 +9,8 @@
 from guavagate.metrics import Series
 from guavagate.models import DeploymentId, InstanceId, TeamId, ZoneId
 from guavagate.operators._answers import write_json
-from guavagate.operators._base import Operators, answers_errors
-from guavagate.operators._collect import Collected, Matter
+from guavagate.operators._base import OperatorServices, handle_errors
+from guavagate.operators._collect import CollectedReports, ReportKind
 from guavagate.operators._reports import (
     InstanceReport,
     RunReport,
@@ -19,7 +19,7 @@
 
 
 class _Resource:
-    def __init__(self, parts: Operators) -> None:
+    def __init__(self, parts: OperatorServices) -> None:
         self._parts = parts
 
 
@@ -80,13 +80,13 @@
 class InstancesResource(_Resource):
     """All instances with their views, roles, load and repairs."""
 
-    @answers_errors
+    @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
         """List them."""
         self._parts.identify(request)
-        found = self._parts.collector.collect(Matter.INSTANCE)
+        found = self._parts.collector.collect(ReportKind.INSTANCE)
         reports = [
             answer.instance
             for answer in found.answers.values()
@@ -108,13 +108,13 @@
 class SamplersResource(_Resource):
     """All samplers of the operator's teams."""
 
-    @answers_errors
+    @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
         """List them."""
         identity = self._parts.identify(request)
-        found = self._parts.collector.collect(Matter.SAMPLERS)
+        found = self._parts.collector.collect(ReportKind.SAMPLERS)
         samplers = _list_samplers(found)
         write_json(
             response,
@@ -132,13 +132,13 @@
 class DeploymentsResource(_Resource):
     """All deployments of the operator's teams."""
 
-    @answers_errors
+    @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
         """List them with the sums over their samplers."""
         identity = self._parts.identify(request)
-        found = self._parts.collector.collect(Matter.SAMPLERS)
+        found = self._parts.collector.collect(ReportKind.SAMPLERS)
         samplers = _list_samplers(found)
         deployments = [
             _sum_up(team.team, deployment.id, samplers)
@@ -157,13 +157,13 @@
 class RunsResource(_Resource):
     """All runs of the operator's teams."""
 
-    @answers_errors
+    @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
         """List them."""
         identity = self._parts.identify(request)
-        found = self._parts.collector.collect(Matter.RUNS)
+        found = self._parts.collector.collect(ReportKind.RUNS)
         runs = sorted(
             (run for answer in found.answers.values() for run in answer.runs),
             key=lambda run: (run.team, run.run),
@@ -182,13 +182,13 @@
 class SeriesResource(_Resource):
     """The last minutes of all instances, for `guavagate report`."""
 
-    @answers_errors
+    @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
         """Return them."""
         self._parts.identify(request).require_fleet_operator()
-        found = self._parts.collector.collect(Matter.SERIES)
+        found = self._parts.collector.collect(ReportKind.SERIES)
         instances = {
             instance: answer.series
             for instance, answer in found.answers.items()
@@ -201,7 +201,7 @@
 class DrainResource(_Resource):
     """Planned stops."""
 
-    @answers_errors
+    @handle_errors
     def on_post(
         self,
         request: falcon.Request,
@@ -219,7 +219,7 @@
 class ExplainResource(_Resource):
     """The decisions about an id."""
 
-    @answers_errors
+    @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response, **names: Any
     ) -> None:
@@ -240,7 +240,7 @@
         write_json(response, explanation)
 
 
-def _list_samplers(found: Collected) -> list[SamplerReport]:
+def _list_samplers(found: CollectedReports) -> list[SamplerReport]:
     return sorted(
         (one for answer in found.answers.values() for one in answer.samplers),
         key=lambda report: (report.team, report.deployment, report.sampler),
--- a/guavagate/operators/_routes.py
+++ b/guavagate/operators/_routes.py
@@ -5,12 +5,12 @@
 import falcon
 
 from guavagate.operators import _fleet, _settings
-from guavagate.operators._base import Operators
+from guavagate.operators._base import OperatorServices
 
 PREFIX: Final = '/v1/operators'
 
 
-def add_routes(app: falcon.App, parts: Operators) -> None:
+def add_routes(app: falcon.App, parts: OperatorServices) -> None:
     """Add every operators' route; all ask for an operator's bearer token."""
     team = '/settings/{team}'
     routes = {
--- a/guavagate/operators/_settings.py
+++ b/guavagate/operators/_settings.py
@@ -8,7 +8,7 @@
 from guavagate.exceptions import RefusalError
 from guavagate.models import Revision, TeamId
 from guavagate.operators._answers import diff_texts, write_json
-from guavagate.operators._base import Operators, answers_errors
+from guavagate.operators._base import OperatorServices, handle_errors
 from guavagate.settings import (
     Change,
     InstanceStatus,
@@ -89,10 +89,10 @@
 class TeamsResource:
     """The teams whose settings the operator may see."""
 
-    def __init__(self, parts: Operators) -> None:
+    def __init__(self, parts: OperatorServices) -> None:
         self._parts = parts
 
-    @answers_errors
+    @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
@@ -109,7 +109,7 @@
 
 
 class _TeamResource:
-    def __init__(self, parts: Operators) -> None:
+    def __init__(self, parts: OperatorServices) -> None:
         self._parts = parts
 
     def _enter(self, request: falcon.Request, team: str) -> tuple[TeamId, str]:
@@ -139,7 +139,7 @@
 class TeamResource(_TeamResource):
     """A team's settings."""
 
-    @answers_errors
+    @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
@@ -148,7 +148,7 @@
         record = self._past(known, request.get_param_as_int('revision'))
         write_json(response, _show(record))
 
-    @answers_errors
+    @handle_errors
     def on_put(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
@@ -171,7 +171,7 @@
 class CheckResource(_TeamResource):
     """Checks a text without applying it."""
 
-    @answers_errors
+    @handle_errors
     def on_post(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
@@ -196,7 +196,7 @@
 class DiffResource(_TeamResource):
     """Compares two revisions."""
 
-    @answers_errors
+    @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
@@ -224,7 +224,7 @@
 class HistoryResource(_TeamResource):
     """Who changed the settings, when and why."""
 
-    @answers_errors
+    @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
@@ -238,7 +238,7 @@
 class RollbackResource(_TeamResource):
     """Puts an earlier revision's text in force, as a new revision."""
 
-    @answers_errors
+    @handle_errors
     def on_post(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
@@ -262,7 +262,7 @@
 class StatusResource(_TeamResource):
     """The revision in force on each instance."""
 
-    @answers_errors
+    @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -136,7 +136,7 @@
             self._hand_over,
             settings.bounds.grace_s,
         )
-        self._metrics.before_reading(self._refresh_gauges)
+        self._metrics.add_refresher(self._refresh_gauges)
         self._servers = self._make_servers(job_store, reader)
 
         self.ask_to_stop = self.lifecycle.ask_to_stop
@@ -303,7 +303,7 @@
 
     def _refresh_gauges(self) -> None:
         age = min(self._feed.proof.age(), NO_PROOF_SECONDS)
-        self._metrics.set_gauge(names.PROOF_SECONDS, age)
+        self._metrics.set_gauge(names.PROOF_AGE_SECONDS, age)
         self._metrics.set_gauge(names.MEMBERS, len(self._members.alive()))
 
     def _put_config(self, stored: StoredObject) -> None:
--- a/tests/operators_bench.py
+++ b/tests/operators_bench.py
@@ -9,7 +9,7 @@
 from guavagate.auth import Authenticator, hash_token
 from guavagate.explain import Explainer, RecentDecisions
 from guavagate.measure.settings import SettingsFleet
-from guavagate.metrics import Metrics, SeriesKeeper, names
+from guavagate.metrics import Metrics, SeriesRecorder, names
 from guavagate.models import (
     CallerId,
     DeploymentId,
@@ -20,9 +20,9 @@
     ZoneId,
 )
 from guavagate.operators import (
-    Collector,
     InstanceReport,
-    Operators,
+    OperatorServices,
+    ReportCollector,
     RunReport,
     SamplerReport,
     add_metrics_route,
@@ -168,20 +168,20 @@
             decisions=recent,
             metrics=Metrics({'instance': name}),
         )
-        series = SeriesKeeper(clock, runtime.metrics)
+        series = SeriesRecorder(clock, runtime.metrics)
         runtime.metrics.set_gauge(names.MEMBERS, 3)
         series.start()
         app = falcon.App()
         add_metrics_route(app, runtime.metrics)
         add_routes(
             app,
-            Operators(
+            OperatorServices(
                 authenticator=Authenticator(settings, teams),
                 teams=teams,
                 explainer=Explainer(
                     settings.id, runtime.bus, runtime.members, recent
                 ),
-                collector=Collector(runtime, self.reports[name], series),
+                collector=ReportCollector(runtime, self.reports[name], series),
             ),
         )
         return app
