--- a/guavagate/links/__init__.py
+++ b/guavagate/links/__init__.py
@@ -1,8 +1,8 @@
-"""Messages between instances: the seam that tests replace.
+"""Typed messages between instances; tests replace this interface.
 
 A component registers a handler for each message kind and sends requests or
-one-way messages by instance id. `guavagate.links` never retries by itself:
-whoever asked knows whether asking again is safe.
+one-way messages by instance id. `guavagate.links` does not retry failed
+requests: only the component that sent one knows whether a retry is safe.
 """
 
 from guavagate.links._bus import Bus, Handler, Message, expect
--- a/guavagate/links/_bus.py
+++ b/guavagate/links/_bus.py
@@ -11,8 +11,8 @@
 class Message(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """Base of all messages between instances.
 
-    Fields are only ever added, with a default, so that an old and a new
-    release understand each other; msgspec ignores unknown ones.
+    Only add fields, each with a default, so that an old and a new release
+    understand each other; msgspec ignores unknown fields.
     """
 
 
@@ -33,15 +33,15 @@
 class Bus(Protocol):
     """Sends typed messages to instances.
 
-    A kind is known on the wire by its class name; the reply's type is given
-    by the one who asks.
+    A message kind is identified on the wire by its class name; the requesting
+    side gives the type of the reply.
     """
 
     def register(self, kind: type[Message], handler: Handler) -> None:
-        """Call the handler, in a task of its own, for each such message.
+        """Register the handler that runs, in a new task, for each message.
 
-        What the handler returns is the reply; a `GuavagateError` it raises
-        reaches the asker as the same kind of error.
+        The handler's return value is the reply. A `GuavagateError` that it
+        raises reaches the requesting side as the same class of error.
         """
 
     def request(
@@ -51,15 +51,15 @@
         reply: type[Reply],
         timeout: float,
     ) -> Reply:
-        """Ask a peer and wait for its reply.
+        """Send a request to a peer and wait for its reply.
 
         Raises
         ------
         LinkRefusedError
-            The message was certainly not handled (no link, queue full).
+            The peer did not handle the message (no link, queue full).
         LinkError
             No reply in time; the peer may have handled the message.
         """
 
     def send(self, peer: InstanceId, message: Message) -> None:
-        """Send one way; nothing says whether it arrived."""
+        """Send a one-way message without confirmation of its arrival."""
--- a/guavagate/links/_connection.py
+++ b/guavagate/links/_connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection to a peer, and when it was last heard."""
+"""One TCP connection to a peer, with heartbeats."""
 
 from collections.abc import Callable
 
@@ -21,14 +21,14 @@
 
 
 class Connection:
-    """A connected DEALER.
+    """A DEALER socket that is connected to a peer.
 
     Parameters
     ----------
-    received
-        Called with this connection and each envelope, without blocking.
-    lost
-        Called with this connection when it breaks or can't be made.
+    on_receive
+        Called with this connection and each envelope; must not block.
+    on_loss
+        Called with this connection when it breaks or can't be established.
     """
 
     def __init__(
@@ -36,36 +36,36 @@
         socket: zmq.Socket,
         clock: Clock,
         traffic: Traffic,
-        received: Callable[['Connection', Envelope], None],
-        lost: Callable[['Connection'], None],
+        on_receive: Callable[['Connection', Envelope], None],
+        on_loss: Callable[['Connection'], None],
     ) -> None:
         self._clock = clock
-        self._received = received
-        self._lost = lost
+        self._on_receive = on_receive
+        self._on_loss = on_loss
         self._pinged_at: float | None = None
-        self.heard_at = clock.now()
+        self.last_message_at = clock.now()
         self.boot = 0
         self._owner = SocketOwner(
-            socket, QUEUE_LIMIT, traffic, self._receive, self._lose
+            socket, QUEUE_LIMIT, traffic, self._receive, self._handle_loss
         )
 
     def put(self, frames: Frames) -> int | None:
-        """Queue a message; nothing when the queue is full."""
+        """Queue a message; return its ticket, or None if the queue is full."""
         return self._owner.put(frames)
 
     def withdraw(self, ticket: int) -> bool:
-        """Take a message back; false when zmq has it already."""
+        """Remove a queued message; return False if zmq has it already."""
         return self._owner.withdraw(ticket)
 
     def ping(self) -> None:
-        """Ask for a heartbeat unless one is asked for already."""
+        """Request a heartbeat unless a request is already pending."""
         if self._pinged_at is None:
             self._pinged_at = self._clock.now()
             frame = encode_envelope(Envelope(WIRE_VERSION, Act.PING))
             self._owner.put([frame])
 
-    def unanswered(self) -> float:
-        """Return for how many seconds a ping has had no answer."""
+    def unanswered_seconds(self) -> float:
+        """Return for how many seconds the current ping is unanswered."""
         if self._pinged_at is None:
             return 0
         return self._clock.now() - self._pinged_at
@@ -78,30 +78,32 @@
         """Wait until the socket is closed."""
         self._owner.join(timeout)
 
-    def _lose(self) -> None:
-        # A ping that went down with the connection says nothing of the next.
+    def _handle_loss(self) -> None:
+        # A ping that was lost with the connection says nothing about the next
+        # connection.
         self._pinged_at = None
-        self._lost(self)
+        self._on_loss(self)
 
     def _receive(self, frames: Frames) -> None:
-        # Whatever arrives shows that the connection works.
-        self.heard_at = self._clock.now()
+        # Any message shows that the connection works.
+        self.last_message_at = self._clock.now()
         self._pinged_at = None
         try:
             envelope = decode_envelope(frames[-1])
         except msgspec.MsgspecError:
             return
         self.boot = envelope.boot or self.boot
-        self._received(self, envelope)
+        self._on_receive(self, envelope)
 
 
 def connect_peer(
     context: zmq.Context, address: str, credential: bytes
 ) -> zmq.Socket:
-    """Return a DEALER that connects to an address.
+    """Return a DEALER socket that connects to an address.
 
-    With IMMEDIATE, zmq takes a message only when connected: otherwise it
-    would queue for a dead peer and send to whatever starts there next.
+    With IMMEDIATE, zmq accepts a message only while connected. Otherwise it
+    would queue messages for a dead peer and send them to the next process that
+    listens at this address.
     """
     socket = context.socket(zmq.DEALER)
     socket.setsockopt(zmq.IMMEDIATE, 1)
--- a/guavagate/links/_credential.py
+++ b/guavagate/links/_credential.py
@@ -1,8 +1,9 @@
-"""Who may speak on the links: everyone that holds the cluster credential.
+"""Authentication of links by the cluster credential.
 
-CURVE with one key pair made from the credential. Its public half is never
-published and CurveZMQ does not send it, so a handshake succeeds only between
-processes that hold the credential; frames are encrypted and authenticated.
+It uses CURVE with one key pair that is derived from the credential. The public
+key is never published and CurveZMQ does not send it, so a handshake succeeds
+only between processes with the credential. Frames are encrypted and
+authenticated.
 """
 
 import hashlib
@@ -12,7 +13,7 @@
 
 
 def secure_server(socket: zmq.Socket, credential: bytes) -> None:
-    """Let only holders of the credential connect; empty: everyone."""
+    """Require the credential of clients; if empty, accept all clients."""
     if not credential:
         return
     public, secret = _make_keys(credential)
@@ -22,7 +23,7 @@
 
 
 def secure_client(socket: zmq.Socket, credential: bytes) -> None:
-    """Connect only to a holder of the credential; empty: to everyone."""
+    """Require the credential of the server; if empty, accept any server."""
     if not credential:
         return
     public, secret = _make_keys(credential)
--- a/guavagate/links/_envelope.py
+++ b/guavagate/links/_envelope.py
@@ -1,4 +1,4 @@
-"""What goes over the wire between instances, and errors in it."""
+"""Wire format of messages and errors between instances."""
 
 import enum
 from collections.abc import Iterator
@@ -11,16 +11,16 @@
 from guavagate.models import NotRun
 
 WIRE_VERSION: Final = 1
-# Messages waiting for a connection, and in zmq's own queue. A peer that takes
-# none is refused work after some two thousand, instead of being buried.
+# Limit of the queue per connection and of zmq's own queue. For a peer that
+# accepts no messages, sending fails after about two thousand of them.
 QUEUE_LIMIT: Final = 1000
 MAX_FRAME_BYTES: Final = 64_000_000
 
-_PLAIN: Final = (str, int, float, bool, type(None))
+_PLAIN_TYPES: Final = (str, int, float, bool, type(None))
 
 
 class Act(enum.IntEnum):
-    """What an envelope is; numbers stay what they are between releases."""
+    """Type of an envelope; the numbers must not change between releases."""
 
     REQUEST = 1
     SEND = 2
@@ -34,20 +34,20 @@
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
     """One frame between two instances.
 
-    An array, with fields added at the end only: a release ignores those it
-    does not know and takes the default of those that are missing.
+    Encoded as an array. Add fields only at the end: a release ignores fields
+    that it does not know and uses the default of missing ones.
 
     Parameters
     ----------
     act
-        An `Act`; kept a plain number so that a later one can be refused by
-        id rather than lost as undecodable.
+        An `Act`; a plain number, so that an unknown value decodes and the
+        envelope's id can still be answered.
     boot
-        Drawn by each process at its start. A request is only ever repeated
-        to the process that may remember it.
+        Random number of the sending process. A request is resent only to the
+        process that may have received it before.
     age
-        Seconds since it was first sent when a request is repeated over a
-        new connection; negative the first time.
+        Seconds since a request was first sent, if it is resent over a new
+        connection; negative the first time.
     """
 
     version: int
@@ -61,7 +61,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """An error of `guavagate.exceptions` on its way to the asker."""
+    """Wire format of an error of `guavagate.exceptions`."""
 
     kind: str
     problem: str
@@ -74,11 +74,11 @@
 
 
 def encode_error(error: GuavagateError) -> bytes:
-    """Return an error as it travels.
+    """Return an error in its wire format.
 
-    A handler's own link error becomes a plain `LinkError`: passed on as it
-    is, a refusal of its onward request would tell the asker that the
-    handler never ran.
+    A handler's own link error becomes a plain `LinkError`. If the refusal of a
+    handler's own request were passed on unchanged, the requesting side would
+    conclude that the handler never ran.
     """
     kind = type(error).__name__
     if isinstance(error, LinkError):
@@ -86,7 +86,7 @@
     fields = {
         name: value.value if isinstance(value, enum.Enum) else value
         for name, value in vars(error).items()
-        if isinstance(value, (*_PLAIN, NotRun))
+        if isinstance(value, (*_PLAIN_TYPES, NotRun))
     }
     fields.pop('problem', None)
     fields.pop('remedy', None)
@@ -96,7 +96,7 @@
 
 
 def encode_refusal(problem: str, remedy: str) -> bytes:
-    """Return the refusal of a message that no handler has seen."""
+    """Return the refusal of a message that was passed to no handler."""
     return msgspec.msgpack.encode(
         ErrorBody(LinkRefusedError.__name__, problem, remedy),
     )
@@ -105,27 +105,31 @@
 def decode_error(body: bytes | msgspec.Raw) -> GuavagateError:
     """Return the error that a peer raised.
 
-    One whose class this release does not know becomes a `LinkError`: the
-    peer may have handled the message.
+    An error of a class that this release does not know becomes a `LinkError`:
+    the peer may have handled the message.
     """
     wire = msgspec.msgpack.decode(body, type=ErrorBody)
-    kinds = {kind.__name__: kind for kind in _walk(GuavagateError)}
+    kinds = {
+        kind.__name__: kind for kind in _iterate_subclasses(GuavagateError)
+    }
     kind = kinds.get(wire.kind, LinkError)
-    # Not through the constructors: they differ from class to class.
+    # Bypass the constructors, whose parameters differ between classes.
     error = kind.__new__(kind)
     error.args = (f'{wire.problem}; {wire.remedy}',)
-    vars(error).update(_restore(wire.fields))
+    vars(error).update(_decode_fields(wire.fields))
     error.problem, error.remedy = wire.problem, wire.remedy
     return error
 
 
-def _restore(fields: dict[str, Any]) -> dict[str, Any]:
+def _decode_fields(fields: dict[str, Any]) -> dict[str, Any]:
     if ATTR_NOT_RUN in fields:
         return {**fields, ATTR_NOT_RUN: NotRun(fields[ATTR_NOT_RUN])}
     return fields
 
 
-def _walk(kind: type[GuavagateError]) -> Iterator[type[GuavagateError]]:
+def _iterate_subclasses(
+    kind: type[GuavagateError],
+) -> Iterator[type[GuavagateError]]:
     yield kind
     for child in kind.__subclasses__():
-        yield from _walk(child)
+        yield from _iterate_subclasses(child)
--- a/guavagate/links/_link.py
+++ b/guavagate/links/_link.py
@@ -1,13 +1,14 @@
-"""One link: the connection in use to a peer and what waits for answers.
-
-Failure: something between the two ends loses track of a connection. Nothing
-arrives any more and nothing says so, while a new connection works. A time
-limit alone can't tell that from a slow peer. So a connection that owes an
-answer is asked for a heartbeat, which the peer's socket task gives even when
-its handlers are slow; without one, a new connection is probed. If the new one
-answers, it replaces the old one and what waits is asked for again, under the
-same id, which the peer's memory of ids keeps from running twice. If it does
-not, the peer is slow or dead, which is for the membership to say.
+"""The link to a peer: its connection and the pending requests.
+
+Failure pattern: a device between the two ends drops the state of a connection.
+Nothing arrives any more and neither end gets an error, while a new connection
+works. A timeout alone can't distinguish this from a slow peer. So the link
+requests a heartbeat on a connection with an overdue answer. The peer's socket
+task answers heartbeats even when its handlers are slow. Without a heartbeat,
+the link probes a new connection. If the new one answers, it replaces the old
+one, and the link resends pending requests under the same ids, by which the peer
+avoids running them twice. If it does not, the peer is slow or dead, and the
+membership decides which.
 """
 
 import dataclasses
@@ -35,36 +36,37 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Without an answer for so long, a heartbeat is asked for.
-HEARTBEAT_SECONDS: Final = 0.5
-# A connection in no use is still asked now and then.
-IDLE_HEARTBEAT_SECONDS: Final = 15.0
-IDLE_CLOSE_SECONDS: Final = 60.0
-# Many times a round trip, also for a peer whose tasks are busy for a while.
-SILENT_SECONDS: Final = 1.5
-PROBE_SECONDS: Final = 1.0
+# A heartbeat is requested when an answer is overdue for this time.
+HEARTBEAT_AFTER_SECONDS: Final = 0.5
+# Unused connections get heartbeats as well.
+IDLE_HEARTBEAT_AFTER_SECONDS: Final = 15.0
+IDLE_CLOSE_AFTER_SECONDS: Final = 60.0
+# Many round trips, which allows for a peer whose tasks are busy for a while.
+STALLED_SECONDS: Final = 1.5
+PROBE_TIMEOUT_SECONDS: Final = 1.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Waiting:
-    """One request without its reply."""
+class _PendingRequest:
+    """A request without a reply."""
 
     result: 'AsyncResult[msgspec.Raw]'
     envelope: Envelope
-    since: float
+    first_sent_at: float
     ticket: int | None = None
-    repeated: bool = False
+    resent: bool = False
 
 
 class Link:
-    """The connection to one peer, replaced when it falls silent.
+    """The connection to one peer; it is replaced when it stalls.
 
-    Owned by the bus; all methods but `request` return at once.
+    Owned by the bus. All methods except `request` return at once.
 
     Parameters
     ----------
     boot
-        Drawn by this process; with a request's number its id.
+        Random number of this process; identifies a request together with the
+        request's number.
     """
 
     def __init__(
@@ -82,46 +84,57 @@
         self._connect = connect
         self._clock = clock
         self._traffic = traffic
-        self._waiting: dict[int, _Waiting] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self._used_at = clock.now()
         self._probe: Connection | None = None
         self._slow = False
         self._current = self._open()
-        self._current.ping()  # The answer names the peer's process.
+        self._current.ping()  # The answer carries the boot of the peer.
 
     def request(
         self, number: int, kind: str, body: bytes, timeout: float
     ) -> msgspec.Raw:
-        """Send and wait for the reply's body."""
+        """Send a request and return the body of its reply."""
         envelope = self._wrap(Act.REQUEST, number, kind, body)
-        entry = _Waiting(AsyncResult(), envelope, self._clock.now())
+        entry = _PendingRequest(AsyncResult(), envelope, self._clock.now())
         entry.ticket = self._put(envelope)
-        self._waiting[number] = entry
+        self._pending[number] = entry
         try:
-            with self._clock.timeout(timeout, lambda: self._give_up(entry)):
+            with self._clock.timeout(
+                timeout, lambda: self._fail_on_timeout(entry)
+            ):
                 return entry.result.get()
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(number, None)
 
     def send(self, kind: str, body: bytes) -> None:
-        """Send one way; a full queue raises `LinkRefusedError`."""
+        """Send a one-way message; raise `LinkRefusedError` on a full queue."""
         self._put(self._wrap(Act.SEND, 0, kind, body))
 
     def check(self) -> bool:
-        """Look for silence; return whether the link is still of use."""
+        """Check for a stall; return False if the link is idle for long."""
         now = self._clock.now()
         current = self._current
-        if self._owes_answer(now):
+        if self._needs_heartbeat(now):
             current.ping()
-        if self._probe is None and current.unanswered() > SILENT_SECONDS:
+        if (
+            self._probe is None
+            and current.unanswered_seconds() > STALLED_SECONDS
+        ):
             self._probe = self._open()
             self._probe.ping()
-        elif self._probe and self._probe.unanswered() > PROBE_SECONDS:
+        elif (
+            self._probe
+            and self._probe.unanswered_seconds() > PROBE_TIMEOUT_SECONDS
+        ):
             self._drop_probe()
-        return bool(self._waiting) or now - self._used_at < IDLE_CLOSE_SECONDS
+        return (
+            bool(self._pending)
+            or now - self._used_at < IDLE_CLOSE_AFTER_SECONDS
+        )
 
     def close(self) -> None:
-        """Close the connection; what waits fails with `LinkError`."""
+        """Close the connection; pending requests fail with `LinkError`."""
         self._current.close()
         if self._probe is not None:
             self._probe.close()
@@ -138,22 +151,22 @@
             self._clock,
             self._traffic,
             self._receive,
-            self._lose,
+            self._handle_loss,
         )
 
-    def _owes_answer(self, now: float) -> bool:
-        """Return whether the connection should have been heard by now."""
-        silent = now - self._current.heard_at
-        if silent > IDLE_HEARTBEAT_SECONDS:
+    def _needs_heartbeat(self, now: float) -> bool:
+        """Return whether a message from the peer is overdue."""
+        since_message = now - self._current.last_message_at
+        if since_message > IDLE_HEARTBEAT_AFTER_SECONDS:
             return True
-        if silent < HEARTBEAT_SECONDS:
+        if since_message < HEARTBEAT_AFTER_SECONDS:
             return False
-        if self._used_at > self._current.heard_at:
-            return now - self._used_at > HEARTBEAT_SECONDS
-        return bool(self._waiting)
+        if self._used_at > self._current.last_message_at:
+            return now - self._used_at > HEARTBEAT_AFTER_SECONDS
+        return bool(self._pending)
 
     def _drop_probe(self) -> None:
-        """Give a probe up: the peer is slow, not the connection."""
+        """Close the probe: the peer is slow, not the connection stalled."""
         if self._probe is not None:
             self._probe.close()
             self._probe = None
@@ -187,23 +200,23 @@
             self._replace(source)
             return
         self._slow = False
-        entry = self._waiting.get(envelope.id)
-        if entry is None:  # A heartbeat, or late: its asker has given up.
+        entry = self._pending.get(envelope.id)
+        if entry is None:  # A heartbeat, or a reply after the timeout.
             return
-        self._waiting.pop(envelope.id)
+        self._pending.pop(envelope.id)
         if envelope.act == Act.REPLY:
             entry.result.set(envelope.body)
             return
         error: Exception = decode_error(envelope.body)
-        if envelope.act == Act.REFUSED and entry.repeated:
-            # Refused now; whether the first one was handled is not known.
-            error = self._describe_unsure('refused a repeated message')
+        if envelope.act == Act.REFUSED and entry.resent:
+            # The peer may have handled the first message.
+            error = self._make_uncertain_error('refused a resent message')
         entry.result.set_exception(error)
 
     def _replace(self, probe: Connection) -> None:
-        """Use the new connection, and ask again for what waits."""
+        """Switch to the new connection and resend pending requests."""
         old, self._current, self._probe = self._current, probe, None
-        if old.unanswered() == 0:  # It was only late.
+        if old.unanswered_seconds() == 0:  # It has answered meanwhile.
             self._current = old
             probe.close()
             return
@@ -211,60 +224,60 @@
             _LOGGER,
             fleet.LINK_STALLED,
             peer=self._peer,
-            seconds=round(old.unanswered(), 1),
-            waiting=len(self._waiting),
+            seconds=round(old.unanswered_seconds(), 1),
+            waiting=len(self._pending),
         )
-        for entry in list(self._waiting.values()):
-            self._repeat(entry, old)
+        for entry in list(self._pending.values()):
+            self._resend(entry, old)
         old.close()
 
-    def _repeat(self, entry: _Waiting, old: Connection) -> None:
-        """Ask again over the new connection, if the peer can recognise it.
+    def _resend(self, entry: _PendingRequest, old: Connection) -> None:
+        """Resend a request if the peer can recognise it.
 
-        A process started since does not know what its predecessor handled.
+        A new process does not know which requests its predecessor handled.
         """
         unsent = entry.ticket is not None and old.withdraw(entry.ticket)
-        same = old.boot and old.boot == self._current.boot
-        if not unsent and not same:
-            self._waiting.pop(entry.envelope.id, None)
+        is_same_process = old.boot and old.boot == self._current.boot
+        if not unsent and not is_same_process:
+            self._pending.pop(entry.envelope.id, None)
             problem = 'lost its connection and may have restarted'
-            entry.result.set_exception(self._describe_unsure(problem))
+            entry.result.set_exception(self._make_uncertain_error(problem))
             return
         envelope = entry.envelope
         if not unsent:
-            entry.repeated = True
-            age = self._clock.now() - entry.since
+            entry.resent = True
+            age = self._clock.now() - entry.first_sent_at
             envelope = msgspec.structs.replace(envelope, age=age)
         entry.ticket = self._current.put([encode_envelope(envelope)])
 
-    def _give_up(self, entry: _Waiting) -> Exception:
+    def _fail_on_timeout(self, entry: _PendingRequest) -> Exception:
         return self._fail(entry, 'gave no reply in time')
 
-    def _fail(self, entry: _Waiting, problem: str) -> LinkError:
+    def _fail(self, entry: _PendingRequest, problem: str) -> LinkError:
         unsent = entry.ticket is not None and self._current.withdraw(
             entry.ticket
         )
-        if unsent and not entry.repeated:
+        if unsent and not entry.resent:
             return LinkRefusedError(
                 f'{self._peer} could not be reached',
-                'ask another instance; this one was not given the message',
+                'try another instance; this one did not receive the message',
             )
-        return self._describe_unsure(problem)
+        return self._make_uncertain_error(problem)
 
-    def _describe_unsure(self, problem: str) -> LinkError:
+    def _make_uncertain_error(self, problem: str) -> LinkError:
         return LinkError(
             f'{self._peer} {problem}',
-            'find out whether it handled the message before asking again',
+            'find out whether it handled the message before retrying',
         )
 
-    def _lose(self, source: Connection) -> None:
+    def _handle_loss(self, source: Connection) -> None:
         if source is self._current:
             self._fail_all()
         elif source is self._probe:
             self._drop_probe()
 
     def _fail_all(self) -> None:
-        """Fail what waits, when the connection breaks or can't be made."""
-        waiting, self._waiting = self._waiting, {}
+        """Fail pending requests when the connection breaks or can't be made."""
+        waiting, self._pending = self._pending, {}
         for entry in waiting.values():
             entry.result.set_exception(self._fail(entry, 'lost its connection'))
--- a/guavagate/links/_server.py
+++ b/guavagate/links/_server.py
@@ -1,4 +1,4 @@
-"""The receiving side: one ROUTER and a bounded number of handler tasks."""
+"""The receiving side: a ROUTER socket and a limited number of handlers."""
 
 import logging
 from collections.abc import Callable
@@ -24,7 +24,7 @@
     encode_error,
     encode_refusal,
 )
-from guavagate.links._memory import Handled, Memory
+from guavagate.links._handled_requests import HandledRequest, HandledRequests
 from guavagate.links._socket import Frames, SocketOwner
 from guavagate.models import InstanceId
 from guavagate.util.traffic import Traffic
@@ -33,25 +33,25 @@
 
 HANDLER_LIMIT: Final = 2000
 _OUTBOX_LIMIT: Final = 10_000
-_NOTHING: Final = b'\xc0'
+_EMPTY_BODY: Final = b'\xc0'
 
 _encode: Final = msgspec.msgpack.Encoder().encode
 
 
 class Server:
-    """Hands each message to its kind's handler and returns the reply."""
+    """Passes each message to the handler of its kind and sends the reply."""
 
     def __init__(self, me: InstanceId, boot: int, clock: Clock) -> None:
         self._me = me
         self._boot = boot
         self._clock = clock
         self._handlers: dict[str, tuple[Handler, msgspec.msgpack.Decoder]] = {}
-        self._memory = Memory()
+        self._handled_requests = HandledRequests()
         self._running = 0
         self._owner: SocketOwner | None = None
 
     def register(self, kind: type[Message], handler: Handler) -> None:
-        """Call the handler for each message of this kind."""
+        """Register the handler for messages of this kind."""
         decoder = msgspec.msgpack.Decoder(kind)
         self._handlers[kind.__name__] = (handler, decoder)
 
@@ -60,7 +60,7 @@
         self._owner = SocketOwner(socket, _OUTBOX_LIMIT, traffic, self._receive)
 
     def stop(self, timeout: float) -> None:
-        """Close the socket; handlers that still run are not answered."""
+        """Close the socket; replies of handlers that still run are lost."""
         if self._owner is not None:
             self._owner.close()
             self._owner.join(timeout)
@@ -73,38 +73,40 @@
             return
         identity = frames[0]
         if envelope.act == Act.PING:
-            # Answered here and not by a task of its own: a heartbeat shows
-            # that the connection works, however busy the handlers are.
-            self._answer(identity, envelope.id, Act.PONG, _NOTHING)
+            # Answered without a new task: a heartbeat shows that the
+            # connection works, however busy the handlers are.
+            self._answer(identity, envelope.id, Act.PONG, _EMPTY_BODY)
         elif envelope.act == Act.SEND:
             self._accept(identity, envelope)
         elif envelope.act == Act.REQUEST:
             self._accept_once(identity, envelope)
 
     def _accept_once(self, identity: bytes, envelope: Envelope) -> None:
-        """Handle a request unless it is a repetition of a handled one."""
-        entry = self._memory.find((envelope.boot, envelope.id))
+        """Handle a request unless it is resent and was already accepted."""
+        entry = self._handled_requests.find((envelope.boot, envelope.id))
         if entry is not None:
             entry.identity = identity
             if entry.done:
-                self._answer_again(envelope.id, entry)
+                self._repeat_reply(envelope.id, entry)
             return
         sent_at = self._clock.now() - envelope.age
-        if envelope.age >= 0 and self._memory.may_have_forgotten(sent_at):
-            unsure = encode_error(_describe_forgotten(self._me))
-            self._answer(identity, envelope.id, Act.ERROR, unsure)
+        if envelope.age >= 0 and self._handled_requests.may_have_dropped(
+            sent_at
+        ):
+            uncertain = encode_error(_make_uncertain_error(self._me))
+            self._answer(identity, envelope.id, Act.ERROR, uncertain)
             return
         self._accept(identity, envelope)
 
     def _accept(self, identity: bytes, envelope: Envelope) -> None:
-        """Start the handler's task, or say why not."""
+        """Start a task for the handler, or refuse the message."""
         handler, decoder = self._handlers.get(envelope.kind, (None, None))
         if handler is None or decoder is None:
             self._refuse(
                 identity,
                 envelope,
                 f'{self._me} has no handler for {envelope.kind}',
-                'ask an instance of a release that has one',
+                'send it to an instance of a release that has one',
             )
             return
         if self._running >= HANDLER_LIMIT:
@@ -126,35 +128,37 @@
             )
             return
         self._running += 1
-        entry = Handled(identity, 0)
+        entry = HandledRequest(identity, 0)
         if envelope.act == Act.REQUEST:
             key = (envelope.boot, envelope.id)
-            entry = self._memory.add(key, identity, self._clock.now())
+            entry = self._handled_requests.add(key, identity, self._clock.now())
         gevent.spawn(self._handle, entry, envelope, handler, message)
 
     def _handle(
         self,
-        entry: Handled,
+        entry: HandledRequest,
         envelope: Envelope,
         handler: Handler,
         message: Message,
     ) -> None:
         try:
-            act, body = _run(handler, InstanceId(envelope.sender), message)
+            act, body = _run_handler(
+                handler, InstanceId(envelope.sender), message
+            )
         finally:
             self._running -= 1
         if envelope.act != Act.REQUEST:
             return
         frame = self._wrap(envelope.id, act, body)
-        self._memory.keep(entry, frame)
+        self._handled_requests.record_reply(entry, frame)
         self._put(entry.identity, frame)
 
-    def _answer_again(self, number: int, entry: Handled) -> None:
+    def _repeat_reply(self, number: int, entry: HandledRequest) -> None:
         if entry.reply is not None:
             self._put(entry.identity, entry.reply)
             return
-        unsure = encode_error(_describe_forgotten(self._me))
-        self._answer(entry.identity, number, Act.ERROR, unsure)
+        uncertain = encode_error(_make_uncertain_error(self._me))
+        self._answer(entry.identity, number, Act.ERROR, uncertain)
 
     def _refuse(
         self, identity: bytes, envelope: Envelope, problem: str, remedy: str
@@ -186,14 +190,14 @@
             self._owner.put([identity, frame])
 
 
-def _describe_forgotten(me: InstanceId) -> LinkError:
+def _make_uncertain_error(me: InstanceId) -> LinkError:
     return LinkError(
-        f'{me} may have handled the message and keeps no answer',
-        'find out whether it did before asking again',
+        f'{me} may have handled the message and has not stored the reply',
+        'find out whether it did before retrying',
     )
 
 
-def _run(
+def _run_handler(
     handler: Handler, sender: InstanceId, message: Message
 ) -> tuple[Act, bytes]:
     try:
@@ -203,25 +207,25 @@
     except Exception as fault:
         kind = type(message).__name__
         write(_LOGGER, fleet.HANDLER_FAILED, kind=kind, sender=sender)
-        _LOGGER.exception('a handler failed on %s', kind)
+        _LOGGER.exception('Handler failed on %s', kind)
         return Act.ERROR, encode_error(
             LinkError(
                 f'the handler failed with {type(fault).__name__}',
                 "see the peer's log; the message may have taken effect",
             ),
         )
-    return Act.REPLY, _NOTHING if reply is None else _encode(reply)
+    return Act.REPLY, _EMPTY_BODY if reply is None else _encode(reply)
 
 
 def bind_server(
     context: zmq.Context, address: str, credential: bytes
 ) -> zmq.Socket:
-    """Return a ROUTER bound to an address."""
+    """Return a ROUTER socket that is bound to an address."""
     socket = context.socket(zmq.ROUTER)
     socket.setsockopt(zmq.SNDHWM, QUEUE_LIMIT)
     socket.setsockopt(zmq.RCVHWM, QUEUE_LIMIT)
     socket.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME_BYTES)
-    # An answer to a connection that has gone is an error, not a silent loss.
+    # Sending to a closed connection raises an error instead of being ignored.
     socket.setsockopt(zmq.ROUTER_MANDATORY, 1)
     secure_server(socket, credential)
     socket.bind(f'tcp://{address}')
--- a/guavagate/links/_zmq_bus.py
+++ b/guavagate/links/_zmq_bus.py
@@ -1,4 +1,4 @@
-"""The bus over zmq: a ROUTER of its own and a DEALER for each peer."""
+"""The message bus over zmq: one ROUTER socket and a DEALER per peer."""
 
 import itertools
 import logging
@@ -18,8 +18,8 @@
 from guavagate.util.traffic import Traffic
 
 _LOGGER: Final = logging.getLogger(__name__)
-_CLOSE_SECONDS: Final = 1.0
-_CHECK_SECONDS: Final = 0.25
+_CLOSE_TIMEOUT_SECONDS: Final = 1.0
+_CHECK_INTERVAL_SECONDS: Final = 0.25
 
 _encode: Final = msgspec.msgpack.Encoder().encode
 
@@ -30,13 +30,13 @@
     Parameters
     ----------
     me
-        This instance's id, the sender of all its messages.
+        The id of this instance, the sender of all messages.
     address
         ``host:port`` to listen on.
     resolve
-        Returns a peer's ``host:port``, or nothing when it is not in use.
+        Returns a peer's ``host:port``, or None if the peer is not in use.
     credential
-        The cluster credential; empty lets everyone connect.
+        The cluster credential; if empty, any process can connect.
     """
 
     def __init__(
@@ -62,18 +62,18 @@
         self._checker: Task | None = None
 
     def register(self, kind: type[Message], handler: Handler) -> None:
-        """Call the handler, in a task of its own, for each such message."""
+        """Register the handler that runs, in a new task, for each message."""
         self._server.register(kind, handler)
 
     def start(self) -> None:
-        """Listen and allow requests."""
+        """Listen for messages and allow requests."""
         socket = bind_server(self._context, self._address, self._credential)
         self._server.start(socket, self.traffic)
         self._open = True
-        self._checker = self._clock.spawn(self._check)
+        self._checker = self._clock.spawn(self._check_links)
 
     def stop(self) -> None:
-        """Close every connection; what waits fails with `LinkError`."""
+        """Close all connections; pending requests fail with `LinkError`."""
         self._open = False
         if self._checker is not None:
             self._checker.kill()
@@ -82,8 +82,8 @@
         for link in links:
             link.close()
         for link in links:
-            link.join(_CLOSE_SECONDS)
-        self._server.stop(_CLOSE_SECONDS)
+            link.join(_CLOSE_TIMEOUT_SECONDS)
+        self._server.stop(_CLOSE_TIMEOUT_SECONDS)
         self._context.term()
 
     def request(
@@ -93,26 +93,26 @@
         reply: type[Reply],
         timeout: float,
     ) -> Reply:
-        """Ask a peer and wait for its reply; see `Bus.request`."""
-        link = self._link(peer)
+        """Send a request and wait for its reply; see `Bus.request`."""
+        link = self._get_link(peer)
         kind = type(message).__name__
         number = next(self._numbers)
         body = link.request(number, kind, _encode(message), timeout)
         return msgspec.msgpack.decode(body, type=reply)
 
     def send(self, peer: InstanceId, message: Message) -> None:
-        """Send one way; a peer not in use or a full queue drops it."""
+        """Send a one-way message; drop it if unreachable or the queue full."""
         try:
-            self._link(peer).send(type(message).__name__, _encode(message))
+            self._get_link(peer).send(type(message).__name__, _encode(message))
         except LinkRefusedError as refused:
-            _LOGGER.debug('dropped a one-way message: %s', refused)
+            _LOGGER.debug('Dropped a one-way message: %s', refused)
 
-    def _link(self, peer: InstanceId) -> Link:
+    def _get_link(self, peer: InstanceId) -> Link:
         address = self._resolve(peer)
         if address is None or not self._open:
             raise LinkRefusedError(
                 f'{peer} is not in use',
-                'ask an instance that the membership shows as alive',
+                'send it to an instance that the membership shows as alive',
             )
         known = self._links.get(peer)
         if known is not None and known[0] == address:
@@ -131,10 +131,10 @@
             self._me, self._boot, peer, connect, self._clock, self.traffic
         )
 
-    def _check(self) -> None:
-        """Look after the links: silent ones, unused ones, those of the dead."""
+    def _check_links(self) -> None:
+        """Check links for stalls; close idle ones and those of dead peers."""
         while True:
-            self._clock.sleep(_CHECK_SECONDS)
+            self._clock.sleep(_CHECK_INTERVAL_SECONDS)
             for peer, (address, link) in list(self._links.items()):
                 in_use = self._resolve(peer) == address
                 if not in_use or not link.check():
--- a/tests/links/relay.py
+++ b/tests/links/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that forgets connections, as something on the way may."""
+"""A TCP relay that drops the state of connections, as a network device may."""
 
 import contextlib
 
@@ -8,9 +8,9 @@
 
 
 class Relay:
-    """Forwards both ways until told to forget what is connected.
+    """Forwards in both directions until `forget` is called.
 
-    `backend` may be changed; connections made later go there.
+    Tests may change `backend`; later connections go there.
     """
 
     def __init__(self, backend: str) -> None:
@@ -23,7 +23,7 @@
         self.address = f'127.0.0.1:{self._server.server_port}'
 
     def forget(self) -> None:
-        """Forward nothing more on the open connections, nor close them."""
+        """Stop forwarding on the open connections without closing them."""
         for forwarder in self._forwarders:
             forwarder.kill()
 
@@ -45,7 +45,7 @@
             spawn(_forward, client, backend),
             spawn(_forward, backend, client),
         ]
-        self._stopped.wait()  # The server closes it on return.
+        self._stopped.wait()  # The server closes the client on return.
 
 
 def _forward(source: socket.socket, target: socket.socket) -> None:
