--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -83,7 +83,7 @@
     Safeguard(
         'one that restarted alone ranks as the others do',
         'guavagate/jobs/_ownership.py',
-        'return len(ages) == 1',
+        'return len(buckets) == 1',
         'return True',
         'tests/jobs/test_ownership.py',
     ),
