--- a/guavagate/assembly.py
+++ b/guavagate/assembly.py
@@ -24,7 +24,7 @@
 from guavagate.partitions.stored import StoredPartitions
 from guavagate.runs import RUN_COMMANDS, PublishVersion, RunsState
 from guavagate.runtime import Runtime
-from guavagate.settings import InstanceSettings, TeamsInForce
+from guavagate.settings import InstanceSettings, TeamSettingsManager
 from guavagate.util.units import parse_duration
 
 _LOGGER = logging.getLogger(__name__)
@@ -60,7 +60,7 @@
         )
         store = ObjectApi(carry, clock, self._count_members)
         decisions = RecentDecisions(clock, settings.id)
-        self._teams = TeamsInForce(
+        self._teams = TeamSettingsManager(
             settings, clock, self._bus, store, self._members, decisions
         )
         self._runtime = Runtime(
--- a/guavagate/measure/settings.py
+++ b/guavagate/measure/settings.py
@@ -10,9 +10,9 @@
 from guavagate.measure.fakes import NoDecisions, World
 from guavagate.models import InstanceId, Revision, TeamId
 from guavagate.settings import (
+    ChangeRequest,
     SettingsRecord,
-    TeamsInForce,
-    Wanted,
+    TeamSettingsManager,
     settings_path,
 )
 
@@ -45,7 +45,7 @@
 
 
 class SettingsFleet:
-    """Instances that run `TeamsInForce` and nothing else.
+    """Instances that run `TeamSettingsManager` and nothing else.
 
     Attributes
     ----------
@@ -57,7 +57,7 @@
 
     def __init__(self, names: list[str], seed: int = 0) -> None:
         self.world = World(seed)
-        self.teams: dict[str, TeamsInForce] = {}
+        self.teams: dict[str, TeamSettingsManager] = {}
         self.decisions: dict[str, NoDecisions] = {}
         self.took_effect: dict[tuple[str, Revision], float] = {}
         self.reverts = 0
@@ -67,10 +67,10 @@
         for name in names:
             self.start(name)
 
-    def start(self, name: str) -> TeamsInForce:
+    def start(self, name: str) -> TeamSettingsManager:
         """Start the component on an instance that has been added."""
         decisions = NoDecisions()
-        teams = TeamsInForce(
+        teams = TeamSettingsManager(
             self.world.settings_of(name),
             self.world.hosts[InstanceId(name)].clock,
             self.world.bus(name),
@@ -84,7 +84,7 @@
         teams.start()
         return teams
 
-    def restart(self, name: str) -> TeamsInForce:
+    def restart(self, name: str) -> TeamSettingsManager:
         """Kill an instance and start it again under the same id."""
         zone = self.world.peers[InstanceId(name)].availability_zone
         self.world.kill(name)
@@ -124,7 +124,7 @@
     ) -> SettingsRecord | GuavagateError:
         try:
             return self.teams[name].change(
-                Wanted(
+                ChangeRequest(
                     team=TEAM,
                     toml=f'team = "{TEAM}"\nweight = {weight}\n',
                     base=Revision(base),
--- a/guavagate/operations.py
+++ b/guavagate/operations.py
@@ -12,7 +12,7 @@
 from guavagate.reports import ListPartitions, LiveReports, refresh_process
 from guavagate.runs import HostedStates
 from guavagate.runtime import Runtime
-from guavagate.settings import TeamsInForce
+from guavagate.settings import TeamSettingsManager
 
 
 class Operations:
@@ -22,7 +22,7 @@
         self,
         runtime: Runtime,
         instance: Instance,
-        teams: TeamsInForce,
+        teams: TeamSettingsManager,
         recent: RecentDecisions,
         hosted: HostedStates,
         list_owned: ListPartitions,
@@ -56,7 +56,7 @@
         self._series.stop()
 
     def _why_settings(self) -> str:
-        return '; '.join(self._teams.waits_for())
+        return '; '.join(self._teams.unready_reasons())
 
     def _refresh(self) -> None:
         metrics = self._runtime.metrics
--- a/guavagate/operators/_base.py
+++ b/guavagate/operators/_base.py
@@ -11,7 +11,7 @@
 from guavagate.explain import Explainer
 from guavagate.operators._answers import write_error
 from guavagate.operators._collect import ReportCollector
-from guavagate.settings import Role, TeamsInForce
+from guavagate.settings import Role, TeamSettingsManager
 
 _Params = ParamSpec('_Params')
 _Resource = TypeVar('_Resource')
@@ -22,7 +22,7 @@
     """The parts that the operators' routes answer from."""
 
     authenticator: Authenticator
-    teams: TeamsInForce
+    teams: TeamSettingsManager
     explainer: Explainer
     collector: ReportCollector
 
--- a/guavagate/operators/_settings.py
+++ b/guavagate/operators/_settings.py
@@ -11,9 +11,9 @@
 from guavagate.operators._base import OperatorServices, handle_errors
 from guavagate.settings import (
     Change,
+    ChangeRequest,
     InstanceStatus,
     SettingsRecord,
-    Wanted,
     parse_team_settings,
     settings_path,
 )
@@ -133,7 +133,7 @@
         if revision is None:
             return self._in_force(team)
         writer = self._parts.teams.writer
-        return writer.read_past(team, Revision(revision))
+        return writer.read_revision(team, Revision(revision))
 
 
 class TeamResource(_TeamResource):
@@ -156,7 +156,7 @@
         known, who = self._enter(request, team)
         body = decode_body(read_body(request, _MAX_BODY), SettingsPut)
         record = self._parts.teams.change(
-            Wanted(
+            ChangeRequest(
                 team=known,
                 toml=body.toml,
                 base=body.base,
@@ -247,7 +247,7 @@
         body = decode_body(read_body(request, _MAX_BODY), SettingsRollback)
         past = self._past(known, body.to)
         record = self._parts.teams.change(
-            Wanted(
+            ChangeRequest(
                 team=known,
                 toml=past.toml,
                 base=body.base,
--- a/guavagate/settings/__init__.py
+++ b/guavagate/settings/__init__.py
@@ -12,8 +12,7 @@
     SettingsConflictError,
     SettingsUnsureError,
 )
-from guavagate.settings._force import TeamsInForce
-from guavagate.settings._kinds import Kind, describe
+from guavagate.settings._manager import TeamSettingsManager
 from guavagate.settings._paths import (
     find_value,
     parse_value,
@@ -44,7 +43,8 @@
     UpstreamSettings,
 )
 from guavagate.settings._status import InstanceStatus
-from guavagate.settings._writer import SettingsWriter, Wanted
+from guavagate.settings._value_kinds import Kind, describe
+from guavagate.settings._writer import ChangeRequest, SettingsWriter
 
 __all__ = (
     'CallerSettings',
@@ -68,9 +68,9 @@
     'SettingsUnsureError',
     'SettingsWriter',
     'TeamSettings',
-    'TeamsInForce',
+    'TeamSettingsManager',
     'UpstreamSettings',
-    'Wanted',
+    'ChangeRequest',
     'decode_record',
     'describe',
     'encode_record',
--- a/guavagate/settings/_spread.py
+++ b/guavagate/settings/_broadcast.py
@@ -14,7 +14,7 @@
 FAN_OUT: Final = 8
 
 
-class Spreader:
+class Broadcaster:
     """Sends and passes on revisions.
 
     One-way messages: a dead or paused instance in the tree cuts off those
@@ -26,7 +26,7 @@
         self._table = table
         bus.register(SettingsTell, self._handle_tell)
 
-    def tell(
+    def broadcast(
         self, record: SettingsRecord, targets: Sequence[InstanceId]
     ) -> None:
         """Tell a revision to the targets, through the first of each part."""
@@ -35,8 +35,8 @@
 
     def _handle_tell(self, sender: InstanceId, message: Message) -> None:
         told = expect(message, SettingsTell)
-        self._table.offer(told.record)
-        self.tell(told.record, told.targets)
+        self._table.apply_if_newer(told.record)
+        self.broadcast(told.record, told.targets)
 
 
 def split(
--- a/guavagate/settings/_check.py
+++ b/guavagate/settings/_check.py
@@ -12,7 +12,7 @@
 from msgspec import inspect as inspected
 
 from guavagate.exceptions import SettingsError
-from guavagate.settings._kinds import Kind, check_kind
+from guavagate.settings._value_kinds import Kind, check_kind
 
 _SHOWN: Final = 60
 
@@ -146,14 +146,14 @@
             )
 
 
-def nearest(word: str, known: set[str]) -> str:
+def find_nearest(word: str, known: set[str]) -> str:
     """Return the known word nearest to a mistyped one, or nothing."""
     close = difflib.get_close_matches(word, sorted(known), n=1, cutoff=0.5)
     return close[0] if close else ''
 
 
 def _unknown(key: str, names: set[str]) -> Iterator[str]:
-    near = nearest(key, names)
+    near = find_nearest(key, names)
     yield 'is not a known key'
     if near:
         yield f'did you mean {near!r}?'
--- a/guavagate/settings/_digests.py
+++ b/guavagate/settings/_digests.py
@@ -34,7 +34,7 @@
 
 
 @runtime_checkable
-class CarriesFacts(Protocol):
+class FactMembership(Protocol):
     """A membership whose probes carry small values."""
 
     def set_fact(self, name: str, value: bytes) -> None:
@@ -47,7 +47,7 @@
         """Call back, without blocking, when an instance's values change."""
 
 
-def send_by_facts(members: CarriesFacts, heard: Heard) -> SendDigest:
+def make_fact_sender(members: FactMembership, heard: Heard) -> SendDigest:
     """Return what sends digests in the membership's probes."""
     beats = 0
 
@@ -71,7 +71,7 @@
     return send
 
 
-def send_by_messages(
+def make_message_sender(
     bus: Bus,
     peers: Callable[[], list[InstanceId]],
     dice: random.Random,
--- a/guavagate/settings/_freshness.py
+++ b/guavagate/settings/_freshness.py
@@ -16,25 +16,25 @@
         self._store: float | None = None
         self._peers: float | None = None
 
-    def hear_store(self) -> None:
+    def record_store_answer(self) -> None:
         """Note that the store has answered."""
         self._store = self._clock.now()
 
-    def hear_peer(self) -> None:
+    def record_peer_contact(self) -> None:
         """Note that a peer which knows the settings was heard."""
         self._peers = self._clock.now()
 
-    def since_store(self) -> float | None:
+    def seconds_since_store(self) -> float | None:
         """Return the seconds since the store answered."""
         return self._age(self._store)
 
-    def since_peers(self) -> float | None:
+    def seconds_since_peers(self) -> float | None:
         """Return the seconds since a peer was heard."""
         return self._age(self._peers)
 
-    def waits_for(self) -> tuple[str, ...]:
+    def unready_reasons(self) -> tuple[str, ...]:
         """Return why the settings may be old; nothing when they are not."""
-        ages = (self.since_store(), self.since_peers())
+        ages = (self.seconds_since_store(), self.seconds_since_peers())
         heard = [age for age in ages if age is not None]
         if heard and min(heard) <= self._limit:
             return ()
--- a/guavagate/settings/_start.py
+++ b/guavagate/settings/_load.py
@@ -17,9 +17,9 @@
 from guavagate.exceptions import LinkError, StoreError, StoreUnavailableError
 from guavagate.models import InstanceId
 from guavagate.ports.store import ObjectStore
-from guavagate.settings._exchange import Exchange
 from guavagate.settings._freshness import Freshness
-from guavagate.settings._relay import read_all
+from guavagate.settings._peer_sync import PeerSync
+from guavagate.settings._relay import read_records
 from guavagate.settings._table import LOGGER, SettingsTable
 
 _STORE_TIMEOUT: Final = 3.0
@@ -36,13 +36,13 @@
     clock: Clock
     store: ObjectStore
     table: SettingsTable
-    exchange: Exchange
+    peer_sync: PeerSync
     freshness: Freshness
     peers: Callable[[], list[InstanceId]]
     dice: random.Random
 
 
-def learn_settings(sources: Sources) -> None:
+def load_settings(sources: Sources) -> None:
     """Return once the settings are known, however long that takes."""
     rounds = 0
     while True:
@@ -66,17 +66,17 @@
     except StoreError as error:
         LOGGER.debug('no list of the settings: %s', error)
         return False
-    sources.freshness.hear_store()
+    sources.freshness.record_store_answer()
     return True
 
 
 def _ask_peer(sources: Sources, peer: InstanceId) -> bool:
     try:
-        known = sources.exchange.learn_from(peer)
+        known = sources.peer_sync.sync_with(peer)
     except LinkError:
         return False
     if known:
-        sources.freshness.hear_peer()
+        sources.freshness.record_peer_contact()
     return known
 
 
@@ -84,10 +84,10 @@
     clock: Clock, store: ObjectStore, table: SettingsTable
 ) -> None:
     with clock.timeout(_STORE_TIMEOUT, _tell_slow):
-        found, _ = read_all(store)
+        found, _ = read_records(store)
     for stored in found:
         if stored.record is not None:
-            table.offer(stored.record)
+            table.apply_if_newer(stored.record)
 
 
 def _tell_slow() -> StoreError:
--- a/guavagate/settings/_force.py
+++ b/guavagate/settings/_manager.py
@@ -10,15 +10,17 @@
 from guavagate.links import Bus
 from guavagate.models import InstanceId, Revision, TeamId
 from guavagate.ports.store import ObjectStore
+from guavagate.settings._broadcast import Broadcaster
 from guavagate.settings._digests import (
-    CarriesFacts,
+    FactMembership,
     SendDigest,
-    send_by_facts,
-    send_by_messages,
+    make_fact_sender,
+    make_message_sender,
 )
-from guavagate.settings._exchange import Exchange
 from guavagate.settings._freshness import Freshness
+from guavagate.settings._load import Sources, load_settings
 from guavagate.settings._messages import SettingsRevisions
+from guavagate.settings._peer_sync import PeerSync
 from guavagate.settings._record import SettingsRecord
 from guavagate.settings._relay import Relay, choose_relay
 from guavagate.settings._schema import (
@@ -26,11 +28,13 @@
     PeerSettings,
     TeamSettings,
 )
-from guavagate.settings._spread import Spreader
-from guavagate.settings._start import Sources, learn_settings
 from guavagate.settings._status import InstanceStatus, collect_status
 from guavagate.settings._table import LOGGER, SettingsTable
-from guavagate.settings._writer import DEFAULT_LIMIT, SettingsWriter, Wanted
+from guavagate.settings._writer import (
+    DEFAULT_LIMIT_SECONDS,
+    ChangeRequest,
+    SettingsWriter,
+)
 from guavagate.util.units import parse_duration
 
 
@@ -44,7 +48,7 @@
     ) -> None: ...
 
 
-class TeamsInForce:
+class TeamSettingsManager:
     """Keeps the teams' settings in force; implements `runtime.Teams`.
 
     Until the settings are known from the store or a peer there are none: an
@@ -72,12 +76,16 @@
         self._tasks: list[Task] = []
         self._subscribers: list[Callable[[TeamId], None]] = []
         self._dice = random.Random(settings.id)
-        self._spreader = Spreader(bus, self.table)
+        self._broadcaster = Broadcaster(bus, self.table)
         self._freshness = Freshness(
             clock, parse_duration(settings.settings_limit)
         )
-        self._exchange = Exchange(
-            clock, bus, self.table, self.report, self._freshness.hear_peer
+        self._peer_sync = PeerSync(
+            clock,
+            bus,
+            self.table,
+            self.report,
+            self._freshness.record_peer_contact,
         )
         self._send_digest = self._make_digests()
         self._relay = Relay(
@@ -86,7 +94,7 @@
             self.table,
             self.writer,
             self._is_relay,
-            self._freshness.hear_store,
+            self._freshness.record_store_answer,
             self._tell_zone,
         )
         self.table.subscribe(self._pass_on_change)
@@ -113,15 +121,15 @@
         self._subscribers.append(changed)
 
     def change(
-        self, wanted: Wanted, limit: float = DEFAULT_LIMIT
+        self, wanted: ChangeRequest, limit: float = DEFAULT_LIMIT_SECONDS
     ) -> SettingsRecord:
         """Have a change accepted and tell it to all instances.
 
         Raises what `SettingsWriter.change` raises.
         """
         record = self.writer.change(wanted, limit)
-        self._spreader.tell(record, self._peer_ids())
-        self._clock.spawn(self.writer.forget_oldest, record)
+        self._broadcaster.broadcast(record, self._peer_ids())
+        self._clock.spawn(self.writer.delete_oldest, record)
         write(
             LOGGER,
             events.CHANGED,
@@ -132,7 +140,7 @@
         )
         return record
 
-    def waits_for(self) -> tuple[str, ...]:
+    def unready_reasons(self) -> tuple[str, ...]:
         """Return why this instance is not ready; nothing when it is."""
         if not self._known:
             return (
@@ -145,7 +153,7 @@
             f' {team!r}; replace the instance by a newer release'
             for team, revision in sorted(self.table.unreadable().items())
         )
-        return unreadable + self._freshness.waits_for()
+        return unreadable + self._freshness.unready_reasons()
 
     def report(self, team: TeamId | None) -> SettingsRevisions:
         """Return what is in force here, for a peer or an operator."""
@@ -158,9 +166,9 @@
             },
             known=self._known,
             is_relay=self._relay.is_active,
-            heard_store=self._freshness.since_store(),
-            heard_peers=self._freshness.since_peers(),
-            waits_for=self.waits_for(),
+            heard_store=self._freshness.seconds_since_store(),
+            heard_peers=self._freshness.seconds_since_peers(),
+            waits_for=self.unready_reasons(),
             unreadable=_plain(self.table.unreadable()),
         )
 
@@ -180,23 +188,23 @@
         write(LOGGER, events.LOADED, teams=len(self.table.records()))
         for record in self.table.records():
             self._pass_on_change(record.team)
-        exchange = self._clock.spawn(self._exchange.run, self._send_digest)
-        self._tasks.append(exchange)
+        peer_sync = self._clock.spawn(self._peer_sync.run, self._send_digest)
+        self._tasks.append(peer_sync)
         self._relay.run()
 
     def _make_digests(self) -> SendDigest:
-        heard = self._exchange.hear_digest
-        if isinstance(self._members, CarriesFacts):
-            return send_by_facts(self._members, heard)
-        return send_by_messages(self._bus, self._peer_ids, self._dice, heard)
+        heard = self._peer_sync.handle_digest
+        if isinstance(self._members, FactMembership):
+            return make_fact_sender(self._members, heard)
+        return make_message_sender(self._bus, self._peer_ids, self._dice, heard)
 
     def _learn(self) -> None:
-        learn_settings(
+        load_settings(
             Sources(
                 clock=self._clock,
                 store=self._store,
                 table=self.table,
-                exchange=self._exchange,
+                peer_sync=self._peer_sync,
                 freshness=self._freshness,
                 peers=self._peer_ids,
                 dice=self._dice,
@@ -226,7 +234,7 @@
 
     def _tell_zone(self, record: SettingsRecord) -> None:
         zone = self._settings.availability_zone
-        self._spreader.tell(
+        self._broadcaster.broadcast(
             record,
             [
                 peer.id
--- a/guavagate/settings/_paths.py
+++ b/guavagate/settings/_paths.py
@@ -11,7 +11,7 @@
 
 from guavagate.exceptions import SettingsError
 from guavagate.models import TeamId
-from guavagate.settings._check import nearest
+from guavagate.settings._check import find_nearest
 
 
 def split_path(path: str) -> tuple[TeamId, tuple[str, ...]]:
@@ -79,7 +79,7 @@
     known = _list_parts(value)
     if part in known:
         return known[part]
-    near = nearest(part, set(known))
+    near = find_nearest(part, set(known))
     hint = f'did you mean {near!r}?' if near else _tell_known(known)
     raise SettingsError(f'there is no {part!r} on this path', hint)
 
--- a/guavagate/settings/_exchange.py
+++ b/guavagate/settings/_peer_sync.py
@@ -24,12 +24,12 @@
 )
 from guavagate.settings._table import SettingsTable
 
-DIGEST_EVERY: Final = 1.0
-ASK_TIMEOUT: Final = 1.0
+DIGEST_INTERVAL_SECONDS: Final = 1.0
+REQUEST_TIMEOUT_SECONDS: Final = 1.0
 _FETCH_TIMEOUT: Final = 3.0
 
 
-class Exchange:
+class PeerSync:
     """Compares this instance's settings with its peers'."""
 
     def __init__(
@@ -53,9 +53,11 @@
         """Send digests; never returns."""
         while True:
             send(self._table.digest(), self._report(None).known)
-            self._clock.sleep(DIGEST_EVERY)
+            self._clock.sleep(DIGEST_INTERVAL_SECONDS)
 
-    def hear_digest(self, sender: InstanceId, digest: int, known: bool) -> None:
+    def handle_digest(
+        self, sender: InstanceId, digest: int, known: bool
+    ) -> None:
         """Take in a peer's digest; does not block."""
         if known:
             self._heard()
@@ -64,7 +66,7 @@
         self._busy.add(sender)
         self._clock.spawn(self._compare, sender)
 
-    def learn_from(self, peer: InstanceId) -> bool:
+    def sync_with(self, peer: InstanceId) -> bool:
         """Fetch what a peer has newer; return whether it knew the settings.
 
         Raises
@@ -73,11 +75,14 @@
             The peer gave no answer.
         """
         theirs = self._bus.request(
-            peer, SettingsRevisionsAsk(), SettingsRevisions, ASK_TIMEOUT
+            peer,
+            SettingsRevisionsAsk(),
+            SettingsRevisions,
+            REQUEST_TIMEOUT_SECONDS,
         )
         newest = {**theirs.revisions, **theirs.unreadable}
         for team, revision in sorted(newest.items()):
-            if revision > self._table.newest_seen(team):
+            if revision > self._table.newest_revision(team):
                 self._fetch(peer, team)
         for record in self._table.records():
             if record.revision > newest.get(record.team, 0):
@@ -89,11 +94,11 @@
             peer, SettingsFetch(team=team), SettingsFetched, _FETCH_TIMEOUT
         )
         if fetched.record is not None:
-            self._table.offer(fetched.record)
+            self._table.apply_if_newer(fetched.record)
 
     def _compare(self, sender: InstanceId) -> None:
         try:
-            self.learn_from(sender)
+            self.sync_with(sender)
         except LinkError:
             # The next digest, of this peer or another, brings a new attempt.
             return
--- a/guavagate/settings/_record.py
+++ b/guavagate/settings/_record.py
@@ -13,7 +13,7 @@
 
 # Each record carries this many earlier changes, and the store keeps as many
 # earlier texts: weeks for a team that changes daily, 3 KB in each record.
-HISTORY_KEPT: Final = 20
+HISTORY_LENGTH: Final = 20
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
--- a/guavagate/settings/_relay.py
+++ b/guavagate/settings/_relay.py
@@ -32,7 +32,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 # An instance alone hears the store no more often than this.
-WATCH_TIMEOUT: Final = 5.0
+WATCH_TIMEOUT_SECONDS: Final = 5.0
 _RETRY_PAUSE: Final = 1.0
 _CHECK_PAUSE: Final = 1.0
 # A watch that silently misses changes is found out by listing again.
@@ -51,7 +51,7 @@
     return next(iter(rank(f'settings/{zone}', candidates)), None)
 
 
-def read_all(store: ObjectStore) -> tuple[list[Stored], Revision]:
+def read_records(store: ObjectStore) -> tuple[list[Stored], Revision]:
     """Return every team's record in the store and the list's revision."""
     objects, revision = store.list_under(SETTINGS_PREFIX)
     found = [_decode(item) for item in objects]
@@ -109,7 +109,7 @@
             self._clock.sleep(_RETRY_PAUSE)
 
     def _list_and_watch(self) -> None:
-        found, since = read_all(self._store)
+        found, since = read_records(self._store)
         self._note_answer()
         for stored in found:
             self._take(stored)
@@ -117,7 +117,7 @@
         list_again = self._clock.now() + _LIST_EVERY
         while self._is_chosen() and self._clock.now() < list_again:
             changes, reached = self._store.watch(
-                SETTINGS_PREFIX, since, WATCH_TIMEOUT
+                SETTINGS_PREFIX, since, WATCH_TIMEOUT_SECONDS
             )
             self._note_answer()
             if reached < since:
@@ -142,8 +142,8 @@
     def _take(self, stored: Stored | None) -> None:
         if stored is None or stored.record is None:
             return
-        if stored.revision > self._table.newest_seen(stored.record.team):
-            self._table.offer(stored.record)
+        if stored.revision > self._table.newest_revision(stored.record.team):
+            self._table.apply_if_newer(stored.record)
             self._learnt(stored.record)
 
     def _restore_lost(self, found: list[Stored]) -> None:
--- a/guavagate/settings/_schema.py
+++ b/guavagate/settings/_schema.py
@@ -17,7 +17,7 @@
     UpstreamId,
     ZoneId,
 )
-from guavagate.settings._kinds import Kind, describe
+from guavagate.settings._value_kinds import Kind, describe
 
 
 class Role(enum.StrEnum):
--- a/guavagate/settings/_table.py
+++ b/guavagate/settings/_table.py
@@ -17,7 +17,7 @@
 LOGGER = logging.getLogger('guavagate.settings')
 
 
-class InForce(msgspec.Struct, frozen=True):
+class ParsedRecord(msgspec.Struct, frozen=True):
     """A team's record with its settings parsed."""
 
     record: SettingsRecord
@@ -28,7 +28,7 @@
     """Holds the newest accepted revision of each team; it never goes down."""
 
     def __init__(self) -> None:
-        self._teams: dict[TeamId, InForce] = {}
+        self._teams: dict[TeamId, ParsedRecord] = {}
         self._subscribers: list[Callable[[TeamId], None]] = []
         self._unreadable: dict[TeamId, SettingsRecord] = {}
 
@@ -71,7 +71,7 @@
         """Return the newest record seen, readable here or not."""
         return self._unreadable.get(team) or self.record(team)
 
-    def newest_seen(self, team: TeamId) -> Revision:
+    def newest_revision(self, team: TeamId) -> Revision:
         """Return the newest revision seen, 0 for an unknown team."""
         record = self.newest(team)
         return record.revision if record else Revision(0)
@@ -80,7 +80,7 @@
         """Call back, without blocking, after each change."""
         self._subscribers.append(changed)
 
-    def offer(self, record: SettingsRecord) -> bool:
+    def apply_if_newer(self, record: SettingsRecord) -> bool:
         """Put a record in force if it is newer; return whether it was.
 
         An older one comes from a late message, a store that answers from an
@@ -88,7 +88,7 @@
         change. Comparing revisions is enough, because each revision of a team
         is written by one conditional update.
         """
-        if record.revision <= self.newest_seen(record.team):
+        if record.revision <= self.newest_revision(record.team):
             return False
         try:
             settings = parse_team_settings(
@@ -98,7 +98,7 @@
             self._refuse(record, error)
             return False
         self._unreadable.pop(record.team, None)
-        self._teams[record.team] = InForce(record, settings)
+        self._teams[record.team] = ParsedRecord(record, settings)
         write(
             LOGGER,
             events.IN_FORCE,
--- a/guavagate/settings/_writer.py
+++ b/guavagate/settings/_writer.py
@@ -23,7 +23,7 @@
     SettingsUnsureError,
 )
 from guavagate.settings._record import (
-    HISTORY_KEPT,
+    HISTORY_LENGTH,
     Change,
     SettingsRecord,
     decode_record,
@@ -36,14 +36,14 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-DEFAULT_LIMIT: Final = 10.0
+DEFAULT_LIMIT_SECONDS: Final = 10.0
 # The object API holds values up to a megabyte.
 MAX_OBJECT_BYTES: Final = 1_000_000
 _PAUSE: Final = 0.2
 _NONE: Final = Revision(0)
 
 
-class Wanted(msgspec.Struct, frozen=True, kw_only=True):
+class ChangeRequest(msgspec.Struct, frozen=True, kw_only=True):
     """A change that an operator wants.
 
     Parameters
@@ -85,7 +85,7 @@
         self._table = table
 
     def change(
-        self, wanted: Wanted, limit: float = DEFAULT_LIMIT
+        self, wanted: ChangeRequest, limit: float = DEFAULT_LIMIT_SECONDS
     ) -> SettingsRecord:
         """Have a change accepted; it is in force here on return.
 
@@ -110,14 +110,14 @@
             wanted = msgspec.structs.replace(wanted, change_id=uuid.uuid4().hex)
         attempt = _Attempt(self._clock, self._store, self._table, wanted)
         accepted = attempt.run(limit)
-        self._table.offer(accepted)
+        self._table.apply_if_newer(accepted)
         return accepted
 
     def read(self, team: TeamId) -> Stored:
         """Return what the store holds now."""
         return read_record(self._store, team)
 
-    def read_past(self, team: TeamId, revision: Revision) -> SettingsRecord:
+    def read_revision(self, team: TeamId, revision: Revision) -> SettingsRecord:
         """Return an earlier revision whose text is still kept.
 
         Raises
@@ -140,9 +140,9 @@
             'see `guavagate settings history` for those that are',
         )
 
-    def forget_oldest(self, record: SettingsRecord) -> None:
+    def delete_oldest(self, record: SettingsRecord) -> None:
         """Delete the text that an accepted change pushes out of the history."""
-        oldest = Revision(record.revision - HISTORY_KEPT - 1)
+        oldest = Revision(record.revision - HISTORY_LENGTH - 1)
         if oldest <= 0:
             return
         try:
@@ -181,7 +181,7 @@
         clock: Clock,
         store: ObjectStore,
         table: SettingsTable,
-        wanted: Wanted,
+        wanted: ChangeRequest,
     ) -> None:
         self._clock = clock
         self._store = store
@@ -307,7 +307,7 @@
         )
 
 
-def _check(wanted: Wanted) -> None:
+def _check(wanted: ChangeRequest) -> None:
     settings = parse_team_settings(wanted.toml, settings_path(wanted.team))
     if settings.team != wanted.team:
         raise SettingsError(
@@ -321,7 +321,9 @@
         )
 
 
-def _next_record(wanted: Wanted, stored: Stored, at: float) -> SettingsRecord:
+def _next_record(
+    wanted: ChangeRequest, stored: Stored, at: float
+) -> SettingsRecord:
     earlier: tuple[Change, ...] = ()
     if stored.record is not None:
         earlier = (stored.record.change, *stored.record.earlier)
@@ -335,5 +337,5 @@
             at=at,
             why=wanted.why,
         ),
-        earlier=earlier[:HISTORY_KEPT],
+        earlier=earlier[:HISTORY_LENGTH],
     )
--- a/tests/test_settings_in_force.py
+++ b/tests/test_settings_in_force.py
@@ -10,7 +10,7 @@
 from guavagate.ports.store import StoredObject
 from guavagate.settings import (
     SettingsRecord,
-    TeamsInForce,
+    TeamSettingsManager,
     settings_path,
 )
 from guavagate.settings._messages import SettingsTell
@@ -38,7 +38,7 @@
     assert isinstance(refused, StoreUnavailableError)
     fleet.world.clock.advance(3600)
     assert fleet.revisions() == {2}
-    assert not any(teams.waits_for() for teams in fleet.teams.values())
+    assert not any(teams.unready_reasons() for teams in fleet.teams.values())
     fleet.world.store.outage = False
     fleet.world.clock.advance(5)
     assert isinstance(fleet.change('i1', 2, 5), SettingsRecord)
@@ -108,7 +108,7 @@
     fleet.start('i9')
     fleet.world.clock.advance(5)
     assert fleet.revisions('i3', 'i9') == {2}
-    assert not fleet.teams['i9'].waits_for()
+    assert not fleet.teams['i9'].unready_reasons()
 
 
 def test_an_instance_with_neither_store_nor_peers_says_so() -> None:
@@ -120,14 +120,14 @@
     fleet = SettingsFleet(['alone'])
     fleet.world.store.outage = True
     fleet.world.clock.advance(60)
-    reason = ''.join(fleet.teams['alone'].waits_for())
+    reason = ''.join(fleet.teams['alone'].unready_reasons())
     assert 'waiting for the object API' in reason
     fleet.world.store.outage = False
     fleet.world.clock.advance(10)
-    assert not fleet.teams['alone'].waits_for()
+    assert not fleet.teams['alone'].unready_reasons()
     fleet.world.store.outage = True
     fleet.world.clock.advance(20)
-    assert 'neither' in fleet.teams['alone'].waits_for()[0]
+    assert 'neither' in fleet.teams['alone'].unready_reasons()[0]
 
 
 def test_a_dead_relay_is_replaced_by_one_of_its_zone() -> None:
@@ -165,11 +165,11 @@
     assert isinstance(fleet.change(through, 1, 5), SettingsRecord)
     assert isinstance(fleet.change(through, 2, 6), SettingsRecord)
     fleet.world.clock.advance(60)
-    assert fleet.teams[asleep].waits_for()
+    assert fleet.teams[asleep].unready_reasons()
     fleet.world.resume(asleep)
     fleet.world.clock.advance(3)
     assert fleet.revisions() == {3}
-    assert not fleet.teams[asleep].waits_for()
+    assert not fleet.teams[asleep].unready_reasons()
     assert fleet.reverts == 0
 
 
@@ -224,7 +224,7 @@
 
 
 class _FactFleet(SettingsFleet):
-    def start(self, name: str) -> TeamsInForce:
+    def start(self, name: str) -> TeamSettingsManager:
         members = _FactMembers(name, self)
         self.world.members[InstanceId(name)] = members
         return super().start(name)
@@ -253,7 +253,7 @@
     for name in _others('i0'):
         fleet.world.kill(name)
     fleet.world.clock.advance(20)
-    assert 'neither' in fleet.teams['i0'].waits_for()[0]
+    assert 'neither' in fleet.teams['i0'].unready_reasons()[0]
 
 
 def test_lost_messages_only_delay_a_change() -> None:
@@ -322,7 +322,7 @@
     store.change(settings_path(TEAM), newer)
     fleet.world.clock.advance(5)
     assert fleet.revisions() == {1}
-    assert 'cannot read revision 2' in fleet.teams['i5'].waits_for()[0]
+    assert 'cannot read revision 2' in fleet.teams['i5'].unready_reasons()[0]
     fleet.world.network.messages.clear()
     fleet.world.clock.advance(20)
     assert not fleet.world.network.messages['SettingsFetch']
