--- a/guavagate/cli/_client.py
+++ b/guavagate/cli/_client.py
@@ -6,7 +6,7 @@
 import msgspec
 from geventhttpclient import HTTPClient
 
-from guavagate.cli._errors import Exit, ToolError, find_exit
+from guavagate.cli._errors import ExitCode, ToolError, find_exit_code
 from guavagate.operators import ErrorBody, ErrorDetail
 
 _CONNECT: Final = 3.0
@@ -25,7 +25,7 @@
         text = detail.message
         if detail.remedy:
             text = f'{text}\n{detail.remedy}'
-        super().__init__(text, find_exit(detail.code))
+        super().__init__(text, find_exit_code(detail.code))
         self.detail = detail
 
 
@@ -59,7 +59,7 @@
         tried: list[str] = []
         for endpoint in self._endpoints:
             try:
-                status, content = self._ask(endpoint, method, path, body)
+                status, content = self._request(endpoint, method, path, body)
             except (OSError, ValueError) as error:
                 tried.append(f'{endpoint}: {error or type(error).__name__}')
                 continue
@@ -68,10 +68,10 @@
         raise ToolError(
             f'no instance answered\n{told}\ngive reachable instances with'
             ' --endpoint or GUAVAGATE_ENDPOINTS',
-            Exit.UNAVAILABLE,
+            ExitCode.UNAVAILABLE,
         )
 
-    def _ask(
+    def _request(
         self, endpoint: str, method: str, path: str, body: bytes
     ) -> tuple[int, bytes]:
         client = HTTPClient.from_url(
@@ -102,6 +102,6 @@
         raise ToolError(
             f'the answer {status} is not of guavagate\ncheck that the endpoint'
             ' is an instance or its balancer',
-            Exit.UNAVAILABLE,
+            ExitCode.UNAVAILABLE,
         ) from None
     raise AnswerError(detail)
--- a/guavagate/cli/_context.py
+++ b/guavagate/cli/_context.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from guavagate.cli._client import Client
-from guavagate.cli._errors import Exit, ToolError, from_error
+from guavagate.cli._errors import ExitCode, ToolError, to_tool_error
 from guavagate.exceptions import SettingsError
 from guavagate.settings import Kind, describe, parse_settings
 
@@ -48,7 +48,7 @@
             raise ToolError(
                 'no instance is given\nuse --endpoint, GUAVAGATE_ENDPOINTS or'
                 f' `endpoints` in {self.config}',
-                Exit.UNAVAILABLE,
+                ExitCode.UNAVAILABLE,
             )
         return Client(tuple(_add_scheme(endpoints)), self._find_token(settings))
 
@@ -61,7 +61,7 @@
         except (OSError, UnicodeDecodeError) as error:
             raise ToolError(
                 f'the token file can not be read: {error}\ngive a readable one',
-                Exit.REFUSED,
+                ExitCode.REFUSED,
             ) from error
         return token or _refuse_no_token(self.config)
 
@@ -81,12 +81,12 @@
     except (OSError, UnicodeDecodeError) as error:
         raise ToolError(
             f'{path}: {error}\ngive a readable TOML file with --config',
-            Exit.INVALID,
+            ExitCode.INVALID,
         ) from error
     try:
         return parse_settings(text, CliSettings, path)
     except SettingsError as error:
-        raise from_error(error) from error
+        raise to_tool_error(error) from error
 
 
 def _add_scheme(endpoints: tuple[str, ...]) -> list[str]:
@@ -97,5 +97,5 @@
     raise ToolError(
         'no token is given\nset GUAVAGATE_TOKEN, or `token_file` in'
         f' {config}; `guavagate token` makes one',
-        Exit.REFUSED,
+        ExitCode.REFUSED,
     )
--- a/guavagate/cli/_errors.py
+++ b/guavagate/cli/_errors.py
@@ -8,7 +8,7 @@
 from guavagate.exceptions import GuavagateError
 
 
-class Exit(enum.IntEnum):
+class ExitCode(enum.IntEnum):
     """Exit codes; 2 is click's own, for a wrong command line."""
 
     INVALID = 3
@@ -21,34 +21,34 @@
 
 
 _BY_CODE: Final = {
-    'invalid_settings': Exit.INVALID,
-    'invalid_body': Exit.INVALID,
-    'malformed_json': Exit.INVALID,
-    'body_too_large': Exit.INVALID,
-    'conflict': Exit.CONFLICT,
-    'unsure': Exit.UNSURE,
-    'unauthorized': Exit.REFUSED,
-    'forbidden': Exit.REFUSED,
-    'not_found': Exit.NOT_FOUND,
+    'invalid_settings': ExitCode.INVALID,
+    'invalid_body': ExitCode.INVALID,
+    'malformed_json': ExitCode.INVALID,
+    'body_too_large': ExitCode.INVALID,
+    'conflict': ExitCode.CONFLICT,
+    'unsure': ExitCode.UNSURE,
+    'unauthorized': ExitCode.REFUSED,
+    'forbidden': ExitCode.REFUSED,
+    'not_found': ExitCode.NOT_FOUND,
 }
 
 
 class ToolError(click.ClickException):
     """Ends the tool with a message and an exit code."""
 
-    def __init__(self, message: str, exit_code: Exit) -> None:
+    def __init__(self, message: str, exit_code: ExitCode) -> None:
         super().__init__(message)
         # click reads it from the instance, but declares it on the class.
         self.exit_code = exit_code  # type: ignore[misc]
 
 
-def from_error(
-    error: GuavagateError, exit_code: Exit = Exit.INVALID
+def to_tool_error(
+    error: GuavagateError, exit_code: ExitCode = ExitCode.INVALID
 ) -> ToolError:
     """Return a guavagate error as the tool shows it."""
     return ToolError(str(error), exit_code)
 
 
-def find_exit(code: str) -> Exit:
+def find_exit_code(code: str) -> ExitCode:
     """Return the exit code for an answer's error code."""
-    return _BY_CODE.get(code, Exit.UNAVAILABLE)
+    return _BY_CODE.get(code, ExitCode.UNAVAILABLE)
--- a/guavagate/cli/_fleet.py
+++ b/guavagate/cli/_fleet.py
@@ -13,7 +13,7 @@
     print_table,
 )
 from guavagate.explain import Decision, Explanation
-from guavagate.explain.logs import read_lines, render_way, tell_way
+from guavagate.explain.logs import read_lines, render_trace, trace_subject
 from guavagate.explain.steps import plot_steps, read_steps, render_steps
 from guavagate.models import WeightVersion
 from guavagate.operators import (
@@ -100,7 +100,7 @@
                 one.sampler,
                 one.state.value,
                 f'{one.running}/{one.slots}',
-                _tell_version(one.version),
+                _format_version(one.version),
                 one.home,
             )
             for one in body.samplers
@@ -124,7 +124,7 @@
             (
                 one.team,
                 one.run,
-                _tell_version(one.version),
+                _format_version(one.version),
                 one.steps,
                 one.step,
                 f'{one.finished}/{one.wanted}',
@@ -224,7 +224,7 @@
     subject: str, logs: tuple[TextIO, ...], *, as_json: bool
 ) -> None:
     lines = [line for log in logs for line in read_lines(log.name, log)]
-    way = tell_way(subject, lines)
+    way = trace_subject(subject, lines)
     if not way:
         raise click.ClickException(
             f'no line names {subject}; give the logs of all instances of the'
@@ -233,7 +233,7 @@
     if as_json:
         print_json(way)
         return
-    for shown in render_way(way):
+    for shown in render_trace(way):
         click.echo(shown)
 
 
@@ -253,5 +253,5 @@
     return f'{primaries}/{len(partitions) - primaries}'
 
 
-def _tell_version(version: WeightVersion | None) -> str:
+def _format_version(version: WeightVersion | None) -> str:
     return '?' if version is None else str(version)
--- a/guavagate/cli/_report.py
+++ b/guavagate/cli/_report.py
@@ -68,14 +68,14 @@
             '<!doctype html><html lang="en"><head><meta charset="utf-8">',
             f'<title>guavagate</title><style>{_STYLE}</style></head><body>',
             f'<h1>guavagate, {at:%Y-%m-%d %H:%M:%S} UTC</h1>',
-            _tell_instances(fleet),
+            _render_instances(fleet),
             *plots,
             '</body></html>',
         )
     )
 
 
-def _tell_instances(fleet: InstancesBody) -> str:
+def _render_instances(fleet: InstancesBody) -> str:
     rows = [
         '<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td></tr>'.format(
             html.escape(one.instance),
--- a/guavagate/cli/_settings.py
+++ b/guavagate/cli/_settings.py
@@ -12,7 +12,7 @@
 from guavagate.cli import _toml as toml
 from guavagate.cli._client import AnswerError, Client
 from guavagate.cli._context import get_client
-from guavagate.cli._errors import Exit
+from guavagate.cli._errors import ExitCode
 from guavagate.cli._output import as_json, print_json, print_table
 from guavagate.cli._wait import wait_everywhere
 from guavagate.models import Revision, TeamId
@@ -57,7 +57,7 @@
 )
 
 
-def _takes_change(command: _Command) -> _Command:
+def _add_change_options(command: _Command) -> _Command:
     """Add the options of every change."""
     return _why(_change_id(command))
 
@@ -77,7 +77,7 @@
         return
     print_table(
         ('TEAM', 'REVISION', 'WHEN', 'WHO', 'WHY'),
-        [(team.team, *_tell(team.change)) for team in teams],
+        [(team.team, *_format_change(team.change)) for team in teams],
         'No team has settings; apply some with `guavagate settings apply`.',
     )
 
@@ -100,7 +100,7 @@
     elif parts:
         click.echo(toml.render(value))
     else:
-        click.echo(toml.render_whole(body))
+        click.echo(toml.render_team(body))
 
 
 @settings.command('set')
@@ -135,7 +135,7 @@
 
 @settings.command()
 @click.argument('file', type=click.File(encoding='utf-8'))
-@_takes_change
+@_add_change_options
 @_base
 @click.option('--dry-run', is_flag=True, help='Check, and show the change.')
 @_wait
@@ -203,7 +203,7 @@
         return
     print_table(
         ('REVISION', 'WHEN', 'WHO', 'WHY'),
-        [_tell(change) for change in body.changes],
+        [_format_change(change) for change in body.changes],
         'No change is kept.',
     )
 
@@ -226,13 +226,13 @@
     else:
         _print_status(body)
     if not body.everywhere:
-        sys.exit(Exit.LAGGING)
+        sys.exit(ExitCode.LAGGING)
 
 
 @settings.command()
 @click.argument('team')
 @click.argument('revision', type=int)
-@_takes_change
+@_add_change_options
 def rollback(team: str, revision: int, why: str, change_id: str) -> None:
     """Put REVISION's text in force again, as a new revision."""
     client = get_client()
@@ -272,7 +272,7 @@
     return client.send('PUT', f'/settings/{team}', body, SettingsBody)
 
 
-def _tell(change: Change) -> tuple[str, str, str, str]:
+def _format_change(change: Change) -> tuple[str, str, str, str]:
     when = datetime.datetime.fromtimestamp(change.at, datetime.UTC)
     shown = when.strftime('%Y-%m-%dT%H:%M:%SZ')
     return str(change.revision), shown, change.who, change.why
--- a/guavagate/cli/_toml.py
+++ b/guavagate/cli/_toml.py
@@ -5,7 +5,7 @@
 
 import tomli_w
 
-from guavagate.cli._errors import Exit, ToolError, from_error
+from guavagate.cli._errors import ExitCode, ToolError, to_tool_error
 from guavagate.exceptions import SettingsError
 from guavagate.models import TeamId
 from guavagate.operators import SettingsBody
@@ -24,7 +24,7 @@
     try:
         return parse_team_settings(text, source).team
     except SettingsError as error:
-        raise from_error(error) from error
+        raise to_tool_error(error) from error
 
 
 def find_base(text: str, team: TeamId) -> int:
@@ -35,11 +35,11 @@
     raise ToolError(
         'the file does not say which revision it was made from\nstart from'
         f' `guavagate settings get {team}`, or give --base (0 for a new team)',
-        Exit.INVALID,
+        ExitCode.INVALID,
     )
 
 
-def render_whole(body: SettingsBody) -> str:
+def render_team(body: SettingsBody) -> str:
     """Return a team's text, with a comment that says which revision it is."""
     head = f'# guavagate: team {body.team}, revision {body.change.revision}\n'
     return head + _HEADER.sub('', body.toml).lstrip('\n')
@@ -50,7 +50,7 @@
     try:
         return split_path(path)
     except SettingsError as error:
-        raise from_error(error) from error
+        raise to_tool_error(error) from error
 
 
 def find(toml: str, parts: tuple[str, ...]) -> Any:
@@ -58,7 +58,7 @@
     try:
         return find_value(toml, parts)
     except SettingsError as error:
-        raise from_error(error, Exit.NOT_FOUND) from error
+        raise to_tool_error(error, ExitCode.NOT_FOUND) from error
 
 
 def find_or_none(toml: str, parts: tuple[str, ...]) -> Any:
@@ -74,7 +74,7 @@
     try:
         return replace_value(toml, parts, value)
     except SettingsError as error:
-        raise from_error(error) from error
+        raise to_tool_error(error) from error
 
 
 def render(value: Any) -> str:
--- a/guavagate/cli/_wait.py
+++ b/guavagate/cli/_wait.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from guavagate.cli._client import Client
-from guavagate.cli._errors import Exit, ToolError
+from guavagate.cli._errors import ExitCode, ToolError
 from guavagate.clock import SystemClock
 from guavagate.models import Revision, TeamId
 from guavagate.operators import StatusBody
@@ -28,11 +28,11 @@
         if body.everywhere and body.newest >= (revision or 0):
             return
         if _CLOCK.now() >= until:
-            raise ToolError(_tell_lag(body, limit), Exit.LAGGING)
+            raise ToolError(_describe_lag(body, limit), ExitCode.LAGGING)
         _CLOCK.sleep(_PAUSE)
 
 
-def _tell_lag(body: StatusBody, limit: float) -> str:
+def _describe_lag(body: StatusBody, limit: float) -> str:
     lines = [
         f'{one.instance}: {one.lag}'
         for one in body.instances
--- a/guavagate/explain/logs.py
+++ b/guavagate/explain/logs.py
@@ -13,7 +13,7 @@
 from guavagate.events import fleet, forwarding, jobs
 
 # Beliefs that change for everybody; shown beside a subject's own lines.
-_BELIEFS: Final = frozenset(
+_CLUSTER_EVENTS: Final = frozenset(
     event.code
     for event in (
         fleet.MEMBER_DEAD,
@@ -34,7 +34,9 @@
         jobs.ORDER_FAILED,
     )
 )
-_HEAD: Final = frozenset(('time', 'level', 'logger', 'event', 'text'))
+_STANDARD_FIELDS: Final = frozenset(
+    ('time', 'level', 'logger', 'event', 'text')
+)
 _LOGGER: Final = logging.getLogger(__name__)
 
 
@@ -47,7 +49,7 @@
     text: str
     fields: dict[str, Any]
 
-    def names(self, subject: str) -> bool:
+    def mentions(self, subject: str) -> bool:
         """Return whether the line is about a subject."""
         return any(
             str(value).startswith(subject) for value in self.fields.values()
@@ -69,7 +71,9 @@
             continue
         words = before.split()
         fields = {
-            name: value for name, value in record.items() if name not in _HEAD
+            name: value
+            for name, value in record.items()
+            if name not in _STANDARD_FIELDS
         }
         yield LogLine(
             float(record.get('time', 0)),
@@ -80,7 +84,7 @@
         )
 
 
-def tell_way(subject: str, lines: Iterable[LogLine]) -> list[LogLine]:
+def trace_subject(subject: str, lines: Iterable[LogLine]) -> list[LogLine]:
     """Return a subject's lines in time order, with the beliefs around them.
 
     Parameters
@@ -89,7 +93,7 @@
         An id, or its beginning, of a request, job, item, sampler or model.
     """
     ordered = sorted(lines, key=lambda line: line.time)
-    own = [line for line in ordered if line.names(subject)]
+    own = [line for line in ordered if line.mentions(subject)]
     if not own:
         return []
     began, ended = own[0].time, own[-1].time
@@ -98,11 +102,11 @@
         line
         for line in ordered
         if id(line) in known
-        or (line.event in _BELIEFS and began <= line.time <= ended)
+        or (line.event in _CLUSTER_EVENTS and began <= line.time <= ended)
     ]
 
 
-def render_way(way: list[LogLine]) -> list[str]:
+def render_trace(way: list[LogLine]) -> list[str]:
     """Return lines for people: seconds since the first, where, what."""
     if not way:
         return []
--- a/tests/explain/test_logs.py
+++ b/tests/explain/test_logs.py
@@ -3,7 +3,7 @@
 from click.testing import CliRunner
 
 from guavagate.cli import main
-from guavagate.explain.logs import read_lines, render_way, tell_way
+from guavagate.explain.logs import read_lines, render_trace, trace_subject
 
 _ENTRY = """
 {"time":10.0,"level":"INFO","event":"GG9001","text":"accepted","job":"j1"}
@@ -25,14 +25,14 @@
         *read_lines('entry-1', _ENTRY.splitlines()),
         *read_lines('worker.log', _OWNER.splitlines()),
     ]
-    way = tell_way('j1', lines)
+    way = trace_subject('j1', lines)
     assert [line.event for line in way] == [
         'GG9001',
         'GG9005',
         'GG3003',
         'GG9004',
     ]
-    shown = render_way(way)
+    shown = render_trace(way)
     assert 'entry-1' in shown[0]
     assert 'worker-1' in shown[1]
     assert 'instance=b' in shown[2]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -32,7 +32,7 @@
         )
         return answer.status_code, answer.content
 
-    monkeypatch.setattr(Client, '_ask', ask)
+    monkeypatch.setattr(Client, '_request', ask)
     return made
 
 
@@ -113,7 +113,7 @@
     It concerns another path, so `set` reads again and makes its change on
     top; a change under the same path is refused.
     """
-    ask = Client._ask
+    ask = Client._request
     rivals = {1: 'weight = 7', 2: 'weight = 8'}
 
     def ask_late(
@@ -128,7 +128,7 @@
             bench.apply('authority', TEAM_TOKEN, revision, text)
         return ask(client, endpoint, method, path, body)
 
-    monkeypatch.setattr(Client, '_ask', ask_late)
+    monkeypatch.setattr(Client, '_request', ask_late)
     path = 'authority/deployments/consent-llm/max_staleness'
     assert run('settings', 'set', path, '4', '-m', 'x').exit_code == 0
     assert run('settings', 'get', 'authority/weight').output == '8\n'
