--- a/guavagate/events/forwarding.py
+++ b/guavagate/events/forwarding.py
@@ -47,7 +47,7 @@
 OBJECT_UNREADABLE: Final = Event(
     8022,
     logging.ERROR,
-    'An object in the store could not be decoded and is skipped',
+    'An object of the store can not be read and is left out',
     'correct the object, or upgrade guavagate to a release that supports it',
 )
 STORE_THROUGH_PEER: Final = Event(
