--- a/guavagate/metrics/_metric.py
+++ b/guavagate/metrics/_metric.py
@@ -1,4 +1,4 @@
-"""What a metric is, and the list of them all."""
+"""Defines metrics and lists them."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class MetricKind(enum.Enum):
-    """How a metric is counted."""
+    """The Prometheus type of a metric."""
 
     COUNTER = 'counter'
     GAUGE = 'gauge'
@@ -19,12 +19,12 @@
     Parameters
     ----------
     name
-        With its unit last, as Prometheus has it.
+        Ends with its unit, as is usual in Prometheus.
     labels
-        Names whose values come from settings or code, never from callers:
-        each new value takes memory for good.
+        Label names. Their values come from settings or code, never from
+        callers, because the memory of each new value is never freed.
     plotted
-        Whether `guavagate report` draws it.
+        Whether `guavagate report` plots it.
     """
 
     name: str
@@ -34,7 +34,7 @@
     plotted: bool = False
 
     def __post_init__(self) -> None:
-        """Enter the metric into the list."""
+        """Register the metric under its name."""
         other = _METRICS.setdefault(self.name, self)
         if other != self:
             raise ValueError(f'the metric {self.name} is declared twice')
@@ -44,5 +44,5 @@
 
 
 def list_metrics() -> list[Metric]:
-    """Return all metrics imported so far, by name."""
+    """Return all metrics of the imported modules, ordered by name."""
     return [_METRICS[name] for name in sorted(_METRICS)]
--- a/guavagate/metrics/_registry.py
+++ b/guavagate/metrics/_registry.py
@@ -1,7 +1,7 @@
-"""The metrics' values, held by aioprometheus.
+"""Stores the values of the metrics in aioprometheus.
 
-aioprometheus is made for asyncio; its registry, collectors and renderer need
-no event loop, so those are used and its service classes are not.
+aioprometheus is made for asyncio. Only its registry, collectors and renderer
+are used, as they need no event loop; its service classes do.
 """
 
 from collections.abc import Callable
@@ -17,17 +17,17 @@
     MetricKind.GAUGE: Gauge,
     MetricKind.HISTOGRAM: Histogram,
 }
-# A bound for a mistake: values of labels come from settings and code.
+# Bounds memory if label values, by mistake, come from callers.
 _MAX_LABEL_SETS: Final = 2000
 
 
 class Metrics:
-    """One instance's metrics.
+    """The metrics of one instance.
 
     Parameters
     ----------
     const_labels
-        Put on each metric, such as the instance and its availability zone.
+        Labels of every metric, such as the instance and its availability zone.
     """
 
     def __init__(self, const_labels: dict[str, str] | None = None) -> None:
@@ -38,59 +38,59 @@
 
     def count(self, metric: Metric, amount: float = 1, **labels: str) -> None:
         """Add to a counter."""
-        collector = self._find(metric, labels)
+        collector = self._find_collector(metric, labels)
         if collector is not None:
             collector.add(labels, amount)
 
     def set_total(self, metric: Metric, total: float, **labels: str) -> None:
-        """Set a counter that is counted elsewhere, such as by the kernel."""
-        collector = self._find(metric, labels)
+        """Set a counter that is maintained elsewhere, such as by the kernel."""
+        collector = self._find_collector(metric, labels)
         if collector is not None:
             collector.set_value(labels, total)
 
     def set_gauge(self, metric: Metric, level: float, **labels: str) -> None:
         """Set a gauge."""
-        collector = self._find(metric, labels)
+        collector = self._find_collector(metric, labels)
         if collector is not None:
             collector.set(labels, level)
 
     def observe(self, metric: Metric, amount: float, **labels: str) -> None:
         """Add an observation to a histogram."""
-        collector = self._find(metric, labels)
+        collector = self._find_collector(metric, labels)
         if collector is not None:
             collector.observe(labels, float(amount))
 
     def clear(self, metric: Metric) -> None:
-        """Forget a gauge's values, such as those of pools given up."""
+        """Remove all values of a gauge, such as those of released pools."""
         collector = self._collectors.get(metric.name)
         if collector is not None:
             collector.values.clear()
 
     def add_refresher(self, refresh: Callable[[], None]) -> None:
-        """Call back, without blocking, before the values are read."""
+        """Call a function, which must not block, before values are read."""
         self._refreshers.append(refresh)
 
     def render(self, accept: str) -> tuple[bytes, dict[str, str]]:
-        """Return the exposition and its headers, by the Accept header."""
+        """Return the exposition and its headers for an Accept header."""
         self._refresh()
         accepts = [part.strip() for part in accept.split(',') if part.strip()]
         return render(self._registry, accepts)
 
     def read_plotted(self) -> dict[str, float]:
-        """Return the plotted metrics' values, summed up for histograms."""
+        """Return the plotted metrics' values; sum and count of histograms."""
         self._refresh()
         values: dict[str, float] = {}
         for metric in list_metrics():
             collector = self._collectors.get(metric.name)
             if metric.plotted and collector is not None:
-                values.update(_read(metric, collector))
+                values.update(_read_values(metric, collector))
         return values
 
     def _refresh(self) -> None:
         for refresh in self._refreshers:
             refresh()
 
-    def _find(self, metric: Metric, labels: dict[str, str]) -> Any:
+    def _find_collector(self, metric: Metric, labels: dict[str, str]) -> Any:
         collector = self._collectors.get(metric.name)
         if collector is None:
             collector = _COLLECTORS[metric.kind](
@@ -107,11 +107,13 @@
         return collector if labels in collector.values else None
 
 
-def _read(metric: Metric, collector: Any) -> dict[str, float]:
+def _read_values(metric: Metric, collector: Any) -> dict[str, float]:
     values: dict[str, float] = {}
     for labels, value in collector.get_all():
-        shown = ','.join(f'{name}={labels[name]}' for name in metric.labels)
-        key = f'{metric.name}{{{shown}}}' if shown else metric.name
+        label_text = ','.join(
+            f'{name}={labels[name]}' for name in metric.labels
+        )
+        key = f'{metric.name}{{{label_text}}}' if label_text else metric.name
         if metric.kind is MetricKind.HISTOGRAM:
             values[f'{key}:sum'] = float(value['sum'])
             values[f'{key}:count'] = float(value['count'])
--- a/guavagate/metrics/_requests.py
+++ b/guavagate/metrics/_requests.py
@@ -1,4 +1,4 @@
-"""Counts callers' requests, from the first byte to the last one sent."""
+"""Measures callers' requests, from first byte received to last one sent."""
 
 from collections.abc import Callable
 from typing import Any, Final
@@ -10,19 +10,20 @@
 # Set in the WSGI environment once the caller is known.
 ENV_TEAM: Final = 'guavagate.team'
 
-End = Callable[[str], None]
+OnEnd = Callable[[str], None]
 
 
 def make_request_observer(
     clock: Clock, metrics: Metrics
-) -> Callable[[dict[str, Any]], End]:
-    """Return what is called at a request's start; what it returns, at its end.
+) -> Callable[[dict[str, Any]], OnEnd]:
+    """Return a function to call when a request starts.
 
-    Requests of unknown callers are left out: they must not make labels.
+    It returns a function to call with the status when the request ends.
+    Requests of unknown callers are not counted, so that they create no labels.
     """
 
-    def begin(environ: dict[str, Any]) -> End:
-        started = clock.now()
+    def begin(environ: dict[str, Any]) -> OnEnd:
+        started_at = clock.now()
 
         def end(status: str) -> None:
             team = environ.get(ENV_TEAM)
@@ -30,7 +31,7 @@
                 return
             code = status.partition(' ')[0]
             metrics.count(names.REQUESTS, team=team, status=code)
-            seconds = clock.now() - started
+            seconds = clock.now() - started_at
             metrics.observe(names.REQUEST_SECONDS, seconds, team=team)
 
         return end
--- a/guavagate/metrics/_series.py
+++ b/guavagate/metrics/_series.py
@@ -1,4 +1,4 @@
-"""The last minutes of the plotted metrics, in bounded memory."""
+"""Records the last minutes of the plotted metrics in bounded memory."""
 
 import collections
 from array import array
@@ -9,14 +9,14 @@
 from guavagate.clock import Clock, Task
 from guavagate.metrics._registry import Metrics
 
-INTERVAL: Final = 5.0
+INTERVAL_SECONDS: Final = 5.0
 # Ten minutes of 100 series take 100 KB.
-POINTS: Final = 120
+MAX_POINTS: Final = 120
 _MAX_SERIES: Final = 100
 
 
 class Point(msgspec.Struct, frozen=True, array_like=True):
-    """A value at a time, in wall-clock seconds."""
+    """A value and its wall-clock time in seconds."""
 
     at: float
     value: float
@@ -30,26 +30,28 @@
 
 
 class SeriesRecorder:
-    """Reads the plotted metrics every few seconds."""
+    """Records the plotted metrics every few seconds."""
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
         self._clock = clock
         self._metrics = metrics
-        self._times: collections.deque[float] = collections.deque(maxlen=POINTS)
+        self._times: collections.deque[float] = collections.deque(
+            maxlen=MAX_POINTS
+        )
         self._values: dict[str, array[float]] = {}
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Start reading."""
+        """Start recording."""
         self._task = self._clock.spawn(self._run)
 
     def stop(self) -> None:
-        """Stop reading."""
+        """Stop recording."""
         if self._task is not None:
             self._task.kill()
 
-    def read(self) -> None:
-        """Take one reading."""
+    def record(self) -> None:
+        """Record the current values."""
         values = self._metrics.read_plotted()
         self._times.append(self._clock.wall())
         for name in values.keys() - self._values.keys():
@@ -64,23 +66,23 @@
     def list_series(self) -> list[Series]:
         """Return all series by name, oldest point first."""
         return [
-            Series(name=name, points=self._points(self._values[name]))
+            Series(name=name, points=self._make_points(self._values[name]))
             for name in sorted(self._values)
         ]
 
     def _run(self) -> None:
         while True:
-            self.read()
-            self._clock.sleep(INTERVAL)
+            self.record()
+            self._clock.sleep(INTERVAL_SECONDS)
 
     def _append(self, name: str, value: float) -> None:
-        kept = self._values[name]
-        kept.append(value)
-        if len(kept) > POINTS:
-            kept.pop(0)
+        points = self._values[name]
+        points.append(value)
+        if len(points) > MAX_POINTS:
+            points.pop(0)
 
-    def _points(self, kept: 'array[float]') -> tuple[Point, ...]:
-        times = list(self._times)[-len(kept) :]
+    def _make_points(self, values: 'array[float]') -> tuple[Point, ...]:
+        times = list(self._times)[-len(values) :]
         return tuple(
-            Point(at, value) for at, value in zip(times, kept, strict=True)
+            Point(at, value) for at, value in zip(times, values, strict=True)
         )
--- a/guavagate/metrics/exposition.py
+++ b/guavagate/metrics/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics over the forwarder's HTTP, for a Prometheus server."""
+"""Serves metrics to Prometheus with the forwarder's HTTP server."""
 
 from collections.abc import Callable
 from typing import Final
@@ -10,31 +10,31 @@
 from guavagate.metrics._registry import Metrics
 
 _OK: Final = 200
-_MISSING: Final = 404
+_NOT_FOUND: Final = 404
 
 
 def serve_metrics(
     address: str, path: str, metrics: Metrics, clock: Clock
 ) -> HttpServer:
-    """Return a server, not started, that shows the metrics at a path."""
+    """Return a server, not yet started, that serves metrics at a path."""
     return HttpServer(address, clock, _make_handler(path, metrics))
 
 
 def count_events(metrics: Metrics) -> None:
-    """Count each event that is written from now on."""
+    """Count every event written from now on."""
     watch_events(lambda code: metrics.count(names.EVENTS, event=code))
 
 
 def _make_handler(path: str, metrics: Metrics) -> Callable[[Exchange], None]:
-    def show(exchange: Exchange) -> None:
+    def handle(exchange: Exchange) -> None:
         exchange.read_body(0)
         if exchange.request.target != path:
-            exchange.respond(_MISSING, [], b'')
+            exchange.respond(_NOT_FOUND, [], b'')
             return
         content, headers = metrics.render(exchange.get_header(b'accept'))
-        shown = [
+        header_list = [
             (name.encode(), value.encode()) for name, value in headers.items()
         ]
-        exchange.respond(_OK, shown, content)
+        exchange.respond(_OK, header_list, content)
 
-    return show
+    return handle
