--- a/guavagate/measure/_checks.py
+++ b/guavagate/measure/_checks.py
@@ -11,7 +11,7 @@
 _History: TypeAlias = list[hist.Event]
 
 
-def judge_runs(events: _History) -> Iterator[hist.Violation]:
+def check_runs(events: _History) -> Iterator[hist.Violation]:
     """Find non-idempotent requests that ran more than once."""
     once = {
         event.request
@@ -29,14 +29,14 @@
             )
 
 
-def judge_answers(events: _History) -> Iterator[hist.Violation]:
+def check_answers(events: _History) -> Iterator[hist.Violation]:
     """Find answers that no upstream gave whole to that very request."""
     given: dict[str, set[str]] = defaultdict(set)
     for answer in _pick(events, hist.AnsweredByUpstream):
         given[answer.request].add(answer.answer)
-    told: Counter[str] = Counter()
+    answer_counts: Counter[str] = Counter()
     for received in _pick(events, hist.Received):
-        told[received.attempt] += 1
+        answer_counts[received.attempt] += 1
         if received.answer not in given[received.request]:
             yield hist.Violation(
                 hist.Promise.OWN_WHOLE_ANSWER,
@@ -44,7 +44,7 @@
                 f'no upstream gave it the answer {received.answer!r}',
                 _about(events, received.request),
             )
-    for attempt, count in told.items():
+    for attempt, count in answer_counts.items():
         if count > 1:
             yield hist.Violation(
                 hist.Promise.OWN_WHOLE_ANSWER,
@@ -54,7 +54,7 @@
             )
 
 
-def judge_refusals(events: _History) -> Iterator[hist.Violation]:
+def check_refusals(events: _History) -> Iterator[hist.Violation]:
     """Find refusals that say "not run" of a request that ran.
 
     A run before the refusal breaks it, whichever attempt made it. A later
@@ -84,7 +84,7 @@
             )
 
 
-def judge_deliveries(events: _History) -> Iterator[hist.Violation]:
+def check_deliveries(events: _History) -> Iterator[hist.Violation]:
     """Find samples taken in twice, and whole steps that lack some.
 
     A batch counts as delivered when its cursor is acknowledged; a repeated
@@ -101,10 +101,10 @@
                 f'cursor {batch.follows} names two different batches',
                 (first, batch),
             )
-    yield from _judge_steps(events, batches)
+    yield from _check_steps(events, batches)
 
 
-def judge_versions(events: _History) -> Iterator[hist.Violation]:
+def check_versions(events: _History) -> Iterator[hist.Violation]:
     """Find samples whose versions are not those of their pieces."""
     made: dict[str, dict[str, list[hist.GeneratedPiece]]] = defaultdict(dict)
     for piece in _pick(events, hist.GeneratedPiece):
@@ -120,7 +120,7 @@
                 )
 
 
-def judge_staleness(events: _History) -> Iterator[hist.Violation]:
+def check_staleness(events: _History) -> Iterator[hist.Violation]:
     """Find samples older than the bound when they were handed out.
 
     A version whose publication was confirmed before the pull was sent
@@ -144,7 +144,7 @@
                 )
 
 
-def judge_commands(events: _History) -> Iterator[hist.Violation]:
+def check_commands(events: _History) -> Iterator[hist.Violation]:
     """Find counters that lost, doubled or forked additions.
 
     Each answered addition has a total of its own; one sent after another's
@@ -193,7 +193,7 @@
     return times
 
 
-def _judge_steps(
+def _check_steps(
     events: _History,
     batches: dict[tuple[str, str, str], hist.PulledBatch],
 ) -> Iterator[hist.Violation]:
@@ -308,12 +308,12 @@
     )
 
 
-JUDGES: Final[tuple[Callable[[_History], Iterator[hist.Violation]], ...]] = (
-    judge_runs,
-    judge_answers,
-    judge_refusals,
-    judge_deliveries,
-    judge_versions,
-    judge_staleness,
-    judge_commands,
+CHECKS: Final[tuple[Callable[[_History], Iterator[hist.Violation]], ...]] = (
+    check_runs,
+    check_answers,
+    check_refusals,
+    check_deliveries,
+    check_versions,
+    check_staleness,
+    check_commands,
 )
--- a/guavagate/measure/_settings.py
+++ b/guavagate/measure/_settings.py
@@ -6,7 +6,7 @@
 import click
 import msgspec
 
-from guavagate.measure.settings import Spread, measure_spread
+from guavagate.measure.settings import PropagationResult, measure_propagation
 
 
 @click.command()
@@ -25,11 +25,11 @@
 ) -> None:
     """Measure how soon changes of settings are in force everywhere."""
     logging.disable(logging.CRITICAL)
-    found = [measure_spread(count, changes, seed) for count in instances]
+    found = [measure_propagation(count, changes, seed) for count in instances]
     if as_json:
         click.echo(msgspec.json.encode(found).decode())
         return
-    names = Spread.__struct_fields__
+    names = PropagationResult.__struct_fields__
     _echo_row(names)
     _echo_row(['---'] * len(names))
     for spread in found:
--- a/guavagate/measure/fakes/__init__.py
+++ b/guavagate/measure/fakes/__init__.py
@@ -8,9 +8,9 @@
 from guavagate.measure.fakes._host import Host, HostClock
 from guavagate.measure.fakes._store import MemoryStore, StoreState
 from guavagate.measure.fakes._world import (
+    FakeDecisionLog,
     FakeMembers,
     FakeTeams,
-    NoDecisions,
     World,
 )
 
@@ -22,7 +22,7 @@
     'HostClock',
     'MemoryStore',
     'Network',
-    'NoDecisions',
+    'FakeDecisionLog',
     'StoreState',
     'World',
 )
--- a/guavagate/measure/fakes/_bus.py
+++ b/guavagate/measure/fakes/_bus.py
@@ -59,15 +59,15 @@
         self.messages: Counter[str] = Counter()
         self.sent_bytes: Counter[str] = Counter()
         self.buses: dict[InstanceId, FakeBus] = {}
-        self.watcher: Callable[[Host, str, Message], None] | None = None
+        self.on_send: Callable[[Host, str, Message], None] | None = None
 
-    def join(self, host: Host) -> 'FakeBus':
+    def add_bus(self, host: Host) -> 'FakeBus':
         """Give an instance its bus; a restarted one gets a new bus."""
         bus = FakeBus(self, host)
         self.buses[host.instance] = bus
         return bus
 
-    def carry(
+    def transmit(
         self,
         source: InstanceId,
         target: InstanceId,
@@ -107,7 +107,7 @@
         timeout: float,
     ) -> _Reply:
         """Ask a peer and wait for its reply."""
-        self.watch(type(message).__name__, message)
+        self.call_send_hook(type(message).__name__, message)
         if peer not in self._network.buses:
             raise LinkRefusedError(
                 f'{peer} is not known', 'wait until it has joined'
@@ -118,7 +118,7 @@
 
         def answer(outcome: bytes | GuavagateError) -> None:
             size = len(outcome) if isinstance(outcome, bytes) else 1
-            self._network.carry(
+            self._network.transmit(
                 peer,
                 self.host.instance,
                 f'{kind}.reply',
@@ -126,7 +126,7 @@
                 lambda: self.host.deliver(lambda: waiter.set(outcome)),
             )
 
-        self._network.carry(
+        self._network.transmit(
             self.host.instance,
             peer,
             kind,
@@ -141,7 +141,7 @@
 
     def send(self, peer: InstanceId, message: Message) -> None:
         """Send one way; nothing says whether it arrived."""
-        self.watch(type(message).__name__, message)
+        self.call_send_hook(type(message).__name__, message)
         raw = _ENCODER.encode(message)
         kind = type(message).__name__
         copies = 1
@@ -149,7 +149,7 @@
             copies = 2
         arrive = functools.partial(self._arrive, peer, kind, raw, None)
         for _ in range(copies):
-            self._network.carry(
+            self._network.transmit(
                 self.host.instance, peer, kind, len(raw), arrive
             )
 
@@ -186,11 +186,11 @@
         source = self.host.instance
         bus.host.deliver(lambda: bus.handle(source, kind, raw, answer))
 
-    def watch(self, kind: str, message: Message) -> None:
+    def call_send_hook(self, kind: str, message: Message) -> None:
         """Let a test act at the very step at which a message is sent."""
-        if self._network.watcher is not None:
-            self._network.watcher(self.host, kind, message)
-            self.host.hold()
+        if self._network.on_send is not None:
+            self._network.on_send(self.host, kind, message)
+            self.host.wait_until_running()
 
 
 def _call(
@@ -209,7 +209,7 @@
             answer(error)
         return
     if answer is not None and reply is not None:
-        bus.watch(f'{kind.__name__}.reply', reply)
+        bus.call_send_hook(f'{kind.__name__}.reply', reply)
         answer(_ENCODER.encode(reply))
 
 
--- a/guavagate/measure/fakes/_host.py
+++ b/guavagate/measure/fakes/_host.py
@@ -19,7 +19,7 @@
         self.paused = False
         self.dead = False
         self.clock = HostClock(clock, self)
-        self._held: list[Callable[[], None]] = []
+        self._deferred: list[Callable[[], None]] = []
         self._tasks: dict[Task, None] = {}
 
     def deliver(self, run: Callable[[], None]) -> None:
@@ -27,7 +27,7 @@
         if self.dead:
             return
         if self.paused:
-            self._held.append(run)
+            self._deferred.append(run)
             return
         run()
 
@@ -40,7 +40,7 @@
         """Stop the process, as SIGSTOP does."""
         self.paused = True
 
-    def hold(self) -> None:
+    def wait_until_running(self) -> None:
         """Let a task that has been paused or killed meanwhile not go on."""
         if self.dead:
             raise gevent.GreenletExit
@@ -50,14 +50,14 @@
     def resume(self) -> None:
         """Let the process go on with all that has waited for it."""
         self.paused = False
-        held, self._held = self._held, []
-        for run in held:
+        deferred, self._deferred = self._deferred, []
+        for run in deferred:
             self.deliver(run)
 
     def kill(self) -> None:
         """End the process at once, as SIGKILL does."""
         self.dead = True
-        self._held.clear()
+        self._deferred.clear()
         for task in list(self._tasks):
             if task is not gevent.getcurrent():
                 task.kill(block=False)
--- a/guavagate/measure/fakes/_store.py
+++ b/guavagate/measure/fakes/_store.py
@@ -22,9 +22,9 @@
     WatchCompactedError,
 )
 
-_CALL: Final = 0.003
-_OUTAGE: Final = 0.2
-_LATE: Final = (0.5, 4.0)
+_CALL_SECONDS: Final = 0.003
+_OUTAGE_SECONDS: Final = 0.2
+_LATE_WRITE_SECONDS: Final = (0.5, 4.0)
 
 
 @dataclasses.dataclass
@@ -34,17 +34,17 @@
     Attributes
     ----------
     outage
-        Every call fails, after `_OUTAGE` seconds.
-    slow
+        Every call fails, after `_OUTAGE_SECONDS` seconds.
+    added_delay
         Seconds added to each call.
     lose_answers
         Share of writes that take effect though their answer is lost.
     lose_next
         Number of next writes whose answer is lost.
-    late
+    late_write_share
         Share of writes that get no answer and are made a second or more
         later, if their condition holds then.
-    watcher
+    on_write
         Called with an instance, a call's name and path, and whether it has
         taken effect, before and after each write.
     sleep
@@ -57,30 +57,32 @@
         default_factory=lambda: random.Random(0)
     )
     outage: bool = False
-    slow: float = 0
+    added_delay: float = 0
     lose_answers: float = 0
     lose_next: int = 0
-    late: float = 0
-    watcher: Callable[[str, str, str, bool], None] | None = None
+    late_write_share: float = 0
+    on_write: Callable[[str, str, str, bool], None] | None = None
     revision: int = 0
     compacted: int = 0
     calls: 'Counter[str]' = dataclasses.field(default_factory=Counter)
     writes: list[tuple[float, str]] = dataclasses.field(default_factory=list)
     objects: dict[str, StoredObject] = dataclasses.field(default_factory=dict)
     changes: list[StoreChange] = dataclasses.field(default_factory=list)
-    old: dict[str, StoredObject] | None = None
+    stale_objects: dict[str, StoredObject] | None = None
     changed: Event = dataclasses.field(default_factory=Event)
     sleep: Callable[[float], None] | None = None
 
     def serve_stale(self, on: bool) -> None:
         """Answer reads from today's copy from now on, or no longer."""
-        self.old = dict(self.objects) if on else None
+        self.stale_objects = dict(self.objects) if on else None
 
-    def readable(self) -> dict[str, StoredObject]:
+    def get_readable(self) -> dict[str, StoredObject]:
         """Return the objects that reads see."""
-        return self.objects if self.old is None else self.old
+        return (
+            self.objects if self.stale_objects is None else self.stale_objects
+        )
 
-    def check(self, path: str, expected: Revision | None) -> None:
+    def check_version(self, path: str, expected: Revision | None) -> None:
         """Refuse a write that expects another version."""
         current = self.objects.get(path)
         version = current.version if current else 0
@@ -103,7 +105,7 @@
         self.changed.clear()
         return version
 
-    def answer(self) -> None:
+    def maybe_lose_answer(self) -> None:
         """Lose the answer to a write that has taken effect."""
         lost = self.rng.random() < self.lose_answers
         if self.lose_next:
@@ -126,12 +128,12 @@
     def get(self, path: str) -> StoredObject | None:
         """Return the object, or nothing."""
         self._call('get')
-        return self.state.readable().get(path)
+        return self.state.get_readable().get(path)
 
     def list_under(self, prefix: str) -> tuple[list[StoredObject], Revision]:
         """Return all objects under a prefix and the revision of the list."""
         self._call('list')
-        found = sorted(self.state.readable().items())
+        found = sorted(self.state.get_readable().items())
         return (
             [one for path, one in found if path.startswith(prefix)],
             Revision(self.state.revision),
@@ -145,23 +147,23 @@
     ) -> Revision:
         """Write if the object's version is as expected."""
         self._call('put', path)
-        self._tell('put', path, done=False)
-        if self.state.rng.random() < self.state.late:
+        self._call_write_hook('put', path, done=False)
+        if self.state.rng.random() < self.state.late_write_share:
             self._put_later(path, value, expected)
             raise _unavailable()
-        self.state.check(path, expected)
+        self.state.check_version(path, expected)
         version = self.state.change(path, value)
-        self.state.answer()
-        self._tell('put', path, done=True)
+        self.state.maybe_lose_answer()
+        self._call_write_hook('put', path, done=True)
         return version
 
     def delete(self, path: str, expected: Revision | None) -> None:
         """Delete under the same condition."""
         self._call('delete', path)
-        self.state.check(path, expected)
+        self.state.check_version(path, expected)
         if path in self.state.objects:
             self.state.change(path, None)
-        self.state.answer()
+        self.state.maybe_lose_answer()
 
     def watch(
         self,
@@ -195,21 +197,21 @@
         It happens at the store, so it does not matter what becomes of the
         caller meanwhile.
         """
-        wait = self.state.rng.uniform(*_LATE)
+        wait = self.state.rng.uniform(*_LATE_WRITE_SECONDS)
 
         def put() -> None:
             sleep(wait)
             with contextlib.suppress(StoreConflictError):
-                self.state.check(path, expected)
+                self.state.check_version(path, expected)
                 self.state.change(path, value)
 
         sleep = self.state.sleep or self.clock.sleep
         gevent.spawn(put)
 
-    def _tell(self, name: str, path: str, *, done: bool) -> None:
+    def _call_write_hook(self, name: str, path: str, *, done: bool) -> None:
         """Let a fault strike at this call."""
-        if self.state.watcher is not None:
-            self.state.watcher(self._caller, name, path, done)
+        if self.state.on_write is not None:
+            self.state.on_write(self._caller, name, path, done)
             # A caller that was killed or paused by it does not go on.
             self.clock.sleep(0)
 
@@ -227,7 +229,11 @@
         state.calls[name] += 1
         if path:
             state.writes.append((self.clock.now(), path))
-        self.clock.sleep(_OUTAGE if state.outage else _CALL + state.slow)
+        self.clock.sleep(
+            _OUTAGE_SECONDS
+            if state.outage
+            else _CALL_SECONDS + state.added_delay
+        )
         if state.outage:
             raise _unavailable()
 
--- a/guavagate/measure/fakes/_world.py
+++ b/guavagate/measure/fakes/_world.py
@@ -17,7 +17,7 @@
 
 
 class FakeMembers:
-    """Who is alive, learned `World.detect` seconds late; see `Members`."""
+    """Fake of `Members` that learns of changes after a detection delay."""
 
     def __init__(self, peers: dict[InstanceId, PeerSettings]) -> None:
         self.peers = dict(peers)
@@ -73,11 +73,11 @@
             changed(settings.team)
 
 
-class NoDecisions:
+class FakeDecisionLog:
     """Keeps decisions in a list; see `DecisionLog`."""
 
     def __init__(self) -> None:
-        self.lines: list[tuple[str, str, str, str]] = []
+        self.entries: list[tuple[str, str, str, str]] = []
 
     def record(
         self,
@@ -88,7 +88,7 @@
         turned_down: dict[str, str] | None = None,
     ) -> None:
         """Keep a decision."""
-        self.lines.append((subject, kind, choice, reason))
+        self.entries.append((subject, kind, choice, reason))
 
 
 class World:
@@ -96,17 +96,17 @@
 
     Parameters
     ----------
-    detect
+    detection_delay
         Seconds after which the others take a killed, paused or returned
         instance for what it is.
     """
 
-    def __init__(self, seed: int = 0, detect: float = 2.0) -> None:
+    def __init__(self, seed: int = 0, detection_delay: float = 2.0) -> None:
         self.clock = PausedClock()
         self.random = random.Random(seed)
         self.network = Network(self.clock, self.random)
         self.store = StoreState(rng=self.random, sleep=self.clock.sleep)
-        self.detect = detect
+        self.detection_delay = detection_delay
         self.hosts: dict[InstanceId, Host] = {}
         self.members: dict[InstanceId, FakeMembers] = {}
         self.peers: dict[InstanceId, PeerSettings] = {}
@@ -124,14 +124,14 @@
             peer_address='127.0.0.1:1',
             http_address='127.0.0.1:2',
         )
-        self.network.join(host)
+        self.network.add_bus(host)
         up = {
             peer: self.peers[peer]
             for peer, other in self.hosts.items()
             if not other.dead
         }
         self.members[instance] = FakeMembers(up)
-        self.tell(instance, alive=True, after=0.1)
+        self.announce(instance, alive=True, after=0.1)
         return host
 
     def bus(self, name: str) -> FakeBus:
@@ -158,27 +158,31 @@
     def kill(self, name: str) -> None:
         """Kill an instance; the others notice later."""
         self.hosts[InstanceId(name)].kill()
-        self.tell(InstanceId(name), alive=False, after=self.detect)
+        self.announce(InstanceId(name), alive=False, after=self.detection_delay)
 
     def pause(self, name: str) -> None:
         """Pause an instance; the others take it for dead later."""
         self.hosts[InstanceId(name)].pause()
-        self.tell(InstanceId(name), alive=False, after=self.detect)
+        self.announce(InstanceId(name), alive=False, after=self.detection_delay)
 
     def resume(self, name: str) -> None:
         """Resume an instance; the others take it back later."""
         self.hosts[InstanceId(name)].resume()
-        self.tell(InstanceId(name), alive=True, after=self.detect / 2)
+        self.announce(
+            InstanceId(name), alive=True, after=self.detection_delay / 2
+        )
 
-    def tell(self, instance: InstanceId, *, alive: bool, after: float) -> None:
+    def announce(
+        self, instance: InstanceId, *, alive: bool, after: float
+    ) -> None:
         """Let each other instance learn of a change, unless it is undone."""
         number = self._changes.get(instance, 0) + 1
         self._changes[instance] = number
         for other in list(self.hosts):
             if other != instance:
-                self._tell_one(other, instance, number, alive, after)
+                self._announce_to(other, instance, number, alive, after)
 
-    def _tell_one(
+    def _announce_to(
         self,
         other: InstanceId,
         instance: InstanceId,
--- a/guavagate/measure/history.py
+++ b/guavagate/measure/history.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from guavagate.measure._checks import JUDGES
+from guavagate.measure._checks import CHECKS
 from guavagate.measure._events import (
     Acked,
     AnsweredByUpstream,
@@ -84,4 +84,4 @@
     Events may come in any order; they are taken by time.
     """
     ordered = sorted(history, key=lambda event: event.at)
-    return [violation for judge in JUDGES for violation in judge(ordered)]
+    return [violation for find in CHECKS for violation in find(ordered)]
--- a/guavagate/measure/outcomes/__init__.py
+++ b/guavagate/measure/outcomes/__init__.py
@@ -1,29 +1,29 @@
 """Random operations and faults over fakes, judged by their history."""
 
-from guavagate.measure.outcomes._counts import (
+from guavagate.measure.outcomes._counters import (
     Add,
     Counters,
-    Counts,
+    CounterWorkload,
     Total,
 )
-from guavagate.measure.outcomes._faults import Faults
+from guavagate.measure.outcomes._fault_injector import FaultInjector
+from guavagate.measure.outcomes._fault_kinds import FAULTS
 from guavagate.measure.outcomes._fleet import Fleet
-from guavagate.measure.outcomes._kinds import FAULTS
-from guavagate.measure.outcomes._requests import Requests
+from guavagate.measure.outcomes._requests import RequestWorkload
 from guavagate.measure.outcomes._run import Run, Workload, run_once
-from guavagate.measure.outcomes._steps import Steps
+from guavagate.measure.outcomes._steps import TrainerWorkload
 from guavagate.measure.outcomes._upstream import Upstream
 
 __all__ = (
     'FAULTS',
     'Add',
     'Counters',
-    'Counts',
-    'Steps',
+    'CounterWorkload',
+    'TrainerWorkload',
     'Total',
-    'Faults',
+    'FaultInjector',
     'Fleet',
-    'Requests',
+    'RequestWorkload',
     'Run',
     'Upstream',
     'Workload',
--- a/guavagate/measure/outcomes/_command.py
+++ b/guavagate/measure/outcomes/_command.py
@@ -12,7 +12,7 @@
 
 from guavagate.measure import history as hist
 from guavagate.measure.outcomes._costs import COSTS
-from guavagate.measure.outcomes._mutations import remove_each
+from guavagate.measure.outcomes._mutations import find_catching_runs
 from guavagate.measure.outcomes._run import Run, run_once
 
 _TRACE: Final = 25
@@ -125,7 +125,7 @@
     click.echo('| safeguard removed | caught by | promise broken | runs |')
     click.echo('|---|---|---|---|')
     missed = 0
-    for one in remove_each(runs, seed):
+    for one in find_catching_runs(runs, seed):
         missed += not one.caught
         click.echo(
             f'| {one.safeguard} | {one.caught or "nothing"} '
--- a/guavagate/measure/outcomes/_costs.py
+++ b/guavagate/measure/outcomes/_costs.py
@@ -12,25 +12,25 @@
     Ledger,
     make_ledger_states,
 )
-from guavagate.measure.outcomes._counts import Add, Counters, Total
+from guavagate.measure.outcomes._counters import Add, Counters, Total
 from guavagate.measure.outcomes._fleet import Fleet
 from guavagate.models import CallerId, PartitionId, TeamId
 
-_WARM_UP: Final = 60.0
-_SEEDS: Final = 30
+_WARM_UP_SECONDS: Final = 60.0
+_TAKEOVERS: Final = 30
 _REQUESTS: Final = 300
-_REST: Final = 600.0
+_IDLE_SECONDS: Final = 600.0
 _PARTITIONS: Final = 32
 
 
 def measure_takeover() -> str:
     """Kill a primary; wait for an answer of its partition."""
     waits: list[float] = []
-    for seed in range(_SEEDS):
+    for seed in range(_TAKEOVERS):
         fleet = Fleet('abcde', seed, _make_counters)
-        fleet.clock.advance(_WARM_UP)
-        primary = fleet.primaries()[0]
-        other = next(name for name in fleet.running() if name != primary)
+        fleet.clock.advance(_WARM_UP_SECONDS)
+        primary = fleet.list_primaries()[0]
+        other = next(name for name in fleet.list_running() if name != primary)
         fleet.world.kill(primary)
         start = fleet.clock.now()
         command = Add(at=fleet.clock.wall(), key='k')
@@ -50,7 +50,7 @@
     ids = (f'id-{number}' for number in range(10 * _REQUESTS))
     ledger = Ledger(fleet.runtimes['a'], lambda: next(ids))
     ledger.start()
-    fleet.clock.advance(_WARM_UP)
+    fleet.clock.advance(_WARM_UP_SECONDS)
     network = fleet.world.network
     network.messages.clear()
     network.sent_bytes.clear()
@@ -81,18 +81,19 @@
     )
 
 
-def measure_rest() -> str:
+def measure_idle() -> str:
     """Count what a fleet without requests sends and asks of the store."""
     fleet = Fleet('abcdefg', 1, make_ledger_states, partitions=_PARTITIONS)
-    fleet.clock.advance(_REST)
+    fleet.clock.advance(_IDLE_SECONDS)
     store, network = fleet.world.store, fleet.world.network
     store.calls.clear()
     network.messages.clear()
-    fleet.clock.advance(_REST)
+    fleet.clock.advance(_IDLE_SECONDS)
     calls = {
-        name: round(count / _REST, 4) for name, count in store.calls.items()
+        name: round(count / _IDLE_SECONDS, 4)
+        for name, count in store.calls.items()
     }
-    rate = network.messages.total() / _REST
+    rate = network.messages.total() / _IDLE_SECONDS
     return (
         f'store calls a second by 7 instances: {calls or 0}; '
         f'messages a second: {rate:.4f}'
@@ -102,13 +103,13 @@
 def measure_zone_loss() -> str:
     """Kill one of three availability zones; count the store's writes."""
     fleet = Fleet('abcdefghi', 1, make_ledger_states, partitions=_PARTITIONS)
-    fleet.clock.advance(_REST)
+    fleet.clock.advance(_IDLE_SECONDS)
     store = fleet.world.store
     store.writes.clear()
     start = fleet.clock.now()
     for name in 'adg':
         fleet.world.kill(name)
-    fleet.clock.advance(_WARM_UP)
+    fleet.clock.advance(_WARM_UP_SECONDS)
     times = [at - start for at, _ in store.writes]
     if not times:
         raise RuntimeError('nothing was written')
@@ -141,6 +142,6 @@
 COSTS: Final[dict[str, Callable[[], str]]] = {
     'takeover': measure_takeover,
     'ledger': measure_ledger,
-    'store at rest': measure_rest,
+    'store at rest': measure_idle,
     'zone loss': measure_zone_loss,
 }
--- a/guavagate/measure/outcomes/_counts.py
+++ b/guavagate/measure/outcomes/_counters.py
@@ -14,9 +14,9 @@
 from guavagate.runtime import Runtime
 
 _CLIENTS: Final = 4
-_SECONDS: Final = 28.0
-_PAUSE: Final = (0.05, 0.4)
-_TIMEOUT: Final = 3.0
+_COUNT_SECONDS: Final = 28.0
+_PAUSE_SECONDS: Final = (0.05, 0.4)
+_TIMEOUT_SECONDS: Final = 3.0
 
 
 class Add(Command, frozen=True, kw_only=True):
@@ -57,18 +57,18 @@
         return Total(total=total)
 
 
-class Counts:
+class CounterWorkload:
     """The workload of counting clients; see `Workload`."""
 
     def __init__(self) -> None:
-        self.record: list[hist.Event] = []
+        self.history: list[hist.Event] = []
         self.answered = 0
 
     def make_states(self, partition: Any) -> dict[Any, Any]:
         """Make the counters."""
         return {Add: Counters()}
 
-    def start_on(self, runtime: Runtime) -> None:
+    def start_components(self, runtime: Runtime) -> None:
         """Start nothing."""
 
     def drive(
@@ -78,7 +78,7 @@
         self._fleet = fleet
         self._rng = rng
         self._number = 0
-        end = fleet.clock.now() + _SECONDS
+        end = fleet.clock.now() + _COUNT_SECONDS
         return [
             fleet.clock.spawn(self._count, f'counter-{number % 2}', end)
             for number in range(_CLIENTS)
@@ -88,8 +88,8 @@
         """Add one after the other, at any instance that runs."""
         clock = self._fleet.clock
         while clock.now() < end:
-            clock.sleep(self._rng.uniform(*_PAUSE))
-            running = self._fleet.running()
+            clock.sleep(self._rng.uniform(*_PAUSE_SECONDS))
+            running = self._fleet.list_running()
             if running:
                 self._add(key, self._rng.choice(running))
 
@@ -98,23 +98,23 @@
         self._number += 1
         command = f'{key}/{self._number}'
         clock = self._fleet.clock
-        self.record.append(
+        self.history.append(
             hist.SentCommand(at=clock.now(), who=name, key=key, command=command)
         )
         task = self._fleet.runtimes[name].clock.spawn(self._submit, key, name)
         try:
-            with clock.timeout(2 * _TIMEOUT, TimeoutError):
+            with clock.timeout(2 * _TIMEOUT_SECONDS, TimeoutError):
                 task.join()
         except TimeoutError:
             return
         total = task.value
         if isinstance(total, NotAppliedError):
-            self.record.append(
+            self.history.append(
                 hist.CommandRefused(at=clock.now(), key=key, command=command)
             )
         if isinstance(total, Total):
             self.answered += 1
-            self.record.append(
+            self.history.append(
                 hist.CommandApplied(
                     at=clock.now(),
                     who=name,
@@ -129,7 +129,7 @@
         command = Add(at=self._fleet.clock.wall(), key=key)
         try:
             return self._fleet.partitions[name].submit(
-                key, command, Total, _TIMEOUT
+                key, command, Total, _TIMEOUT_SECONDS
             )
         except GuavagateError as error:
             return error
--- a/guavagate/measure/outcomes/_faults.py
+++ b/guavagate/measure/outcomes/_fault_injector.py
@@ -9,26 +9,26 @@
 from guavagate.measure import history as hist
 from guavagate.measure.fakes import Host
 from guavagate.measure.outcomes._fleet import Fleet
-from guavagate.measure.outcomes._upstream import Stage, Upstream
+from guavagate.measure.outcomes._upstream import STAGES, Upstream
 from guavagate.models import InstanceId
 
-_STEPS: Final = ('Submit', 'Submit.reply', 'TakeOver', 'Leave')
-_RECORDS: Final = 'partition'
+_MESSAGE_KINDS: Final = ('Submit', 'Submit.reply', 'TakeOver', 'Leave')
+_PARTITION_PREFIX: Final = 'partition'
 
 
-class Faults:
+class FaultInjector:
     """Brings faults about in a fleet, and takes them back.
 
     Attributes
     ----------
-    held
+    injected
         The names of those that happened.
     """
 
     def __init__(
         self, fleet: Fleet, upstream: Upstream, rng: random.Random
     ) -> None:
-        self.held: list[str] = []
+        self.injected: list[str] = []
         self.events: list[hist.Event] = []
         self._fleet = fleet
         self._upstream = upstream
@@ -39,17 +39,17 @@
         """End every fault that lasts and start the dead again."""
         world = self._world
         world.store.outage = False
-        world.store.slow = 0
+        world.store.added_delay = 0
         world.store.lose_answers = 0
         world.store.lose_next = 0
-        world.store.late = 0
-        world.store.watcher = None
+        world.store.late_write_share = 0
+        world.store.on_write = None
         world.store.serve_stale(on=False)
         world.network.blocked.clear()
         world.network.loss = 0
         world.network.duplicates = 0
-        world.network.watcher = None
-        self._upstream.at_stage = None
+        world.network.on_send = None
+        self._upstream.on_stage = None
         for name in list(self._fleet.partitions):
             if self._fleet.host(name).paused:
                 world.resume(name)
@@ -60,56 +60,58 @@
         """Kill an instance; it is started again after a while or at last."""
         if not name or self._fleet.host(name).dead:
             return
-        self._note('killed', name)
+        self._record('killed', name)
         self._world.kill(name)
         if self._rng.random() < 0.6:
-            self._later(self._rng.uniform(0.2, 8), lambda: self._start(name))
+            self._schedule(self._rng.uniform(0.2, 8), lambda: self._start(name))
 
     def pause(self, name: str) -> None:
         """Pause an instance for a while."""
         if not name or self._fleet.host(name).paused:
             return
-        self._note('paused', name)
+        self._record('paused', name)
         self._world.pause(name)
         wait = self._rng.choice((0.3, 1.5, 4, 9, 25))
-        self._later(wait, lambda: self._resume(name))
+        self._schedule(wait, lambda: self._resume(name))
 
     def pick(self, role: str) -> str:
         """Return a running instance of a role, or nothing."""
-        primaries = self._fleet.primaries()
+        primaries = self._fleet.list_primaries()
         found = {
             'primary': primaries,
             'other': [
-                name for name in self._fleet.running() if name not in primaries
+                name
+                for name in self._fleet.list_running()
+                if name not in primaries
             ],
-            'entry': self._fleet.running(),
+            'entry': self._fleet.list_running(),
         }[role]
         return self._rng.choice(found) if found else ''
 
     def list_running(self) -> list[str]:
         """Return the instances that are neither dead nor paused."""
-        return self._fleet.running()
+        return self._fleet.list_running()
 
-    def at_step(self, act: Callable[[str], None], role: str) -> None:
+    def on_message(self, act: Callable[[str], None], role: str) -> None:
         """Act as some instance sends the nth message of one kind."""
-        kind = self._rng.choice(_STEPS)
+        kind = self._rng.choice(_MESSAGE_KINDS)
         left = [self._rng.randint(1, 12)]
 
         def watch(host: Host, sent: str, message: Any) -> None:
             if sent != kind or left[0] <= 0:
                 return
             if role == 'primary' and host.instance not in (
-                self._fleet.primaries()
+                self._fleet.list_primaries()
             ):
                 return
             left[0] -= 1
             if not left[0]:
-                self._note(f'{role} at {kind}', host.instance)
+                self._record(f'{role} at {kind}', host.instance)
                 act(host.instance)
 
-        self._world.network.watcher = watch
+        self._world.network.on_send = watch
 
-    def at_write(self, act: Callable[[str], None], *, done: bool) -> None:
+    def on_write(self, act: Callable[[str], None], *, done: bool) -> None:
         """Act as the nth write of a partition reaches the store.
 
         Parameters
@@ -120,18 +122,18 @@
         left = [self._rng.randint(1, 40)]
 
         def watch(who: str, name: str, path: str, after: bool) -> None:
-            if after is not done or not path.startswith(_RECORDS):
+            if after is not done or not path.startswith(_PARTITION_PREFIX):
                 return
             left[0] -= 1
             if not left[0]:
-                self._note('struck at a write', who)
+                self._record('struck at a write', who)
                 act(who)
 
-        self._world.store.watcher = watch
+        self._world.store.on_write = watch
 
-    def at_upstream(self, act: Callable[[str], None]) -> None:
+    def on_upstream_call(self, act: Callable[[str], None]) -> None:
         """Act on an entry before, during or after its upstream call."""
-        wanted = self._rng.choice(Stage)
+        wanted = self._rng.choice(STAGES)
         left = [self._rng.randint(1, 6)]
 
         def reach(host: Host, stage: str) -> None:
@@ -139,25 +141,25 @@
                 return
             left[0] -= 1
             if not left[0]:
-                self._note(f'entry {stage} the upstream call', host.instance)
+                self._record(f'entry {stage} the upstream call', host.instance)
                 act(host.instance)
 
-        self._upstream.at_stage = reach
+        self._upstream.on_stage = reach
 
-    def for_a_while(
+    def inject_temporarily(
         self, name: str, begin: Callable[[], Any], end: Callable[[], Any]
     ) -> None:
         """Let something last for a while."""
-        self._note(name, '')
+        self._record(name, '')
         begin()
-        self._later(self._rng.choice((0.5, 2, 6, 20)), end)
+        self._schedule(self._rng.choice((0.5, 2, 6, 20)), end)
 
     def block_one_way(self) -> None:
         """Let nothing pass from one instance to another."""
         names = [InstanceId(name) for name in self._fleet.partitions]
         pair = tuple(self._rng.sample(names, 2))
         blocked = self._world.network.blocked
-        self.for_a_while(
+        self.inject_temporarily(
             'one-way partition',
             lambda: blocked.add((pair[0], pair[1])),
             lambda: blocked.discard((pair[0], pair[1])),
@@ -167,7 +169,7 @@
         """Stop an instance as planned, then start it again."""
         name = self.pick('entry')
         if name:
-            self._note('planned stop', name)
+            self._record('planned stop', name)
             stop = self._fleet.host(name).clock.spawn(
                 self._fleet.partitions[name].stop
             )
@@ -178,9 +180,9 @@
         stop.join()
         if not self._fleet.host(name).dead:
             self._world.kill(name)
-            self._later(self._rng.uniform(0.2, 8), lambda: self._start(name))
+            self._schedule(self._rng.uniform(0.2, 8), lambda: self._start(name))
 
-    def misjudge(self, name: str) -> None:
+    def mark_falsely_dead(self, name: str) -> None:
         """Let some others take a living instance for dead for a while."""
         instance = InstanceId(name)
         peer = self._world.peers[instance]
@@ -189,42 +191,42 @@
                 continue
             members = self._world.members[other]
             members.update(peer, alive=False)
-            self._later(
+            self._schedule(
                 self._rng.choice((2, 8)),
                 functools.partial(members.update, peer, alive=True),
             )
 
-    def set_store(self, **faults: Any) -> None:
+    def set_store_faults(self, **faults: Any) -> None:
         """Set faults of the store."""
         for name, how in faults.items():
             setattr(self._world.store, name, how)
 
-    def set_network(self, **faults: Any) -> None:
+    def set_network_faults(self, **faults: Any) -> None:
         """Set faults of the network."""
         for name, how in faults.items():
             setattr(self._world.network, name, how)
 
-    def store_objects(self) -> dict[str, Any]:
+    def get_store_objects(self) -> dict[str, Any]:
         """Return what the store holds now."""
         return self._world.store.objects
 
-    def note(self, name: str) -> None:
+    def record(self, name: str) -> None:
         """Write down a fault."""
-        self._note(name, '')
+        self._record(name, '')
 
-    def later(self, low: float, high: float, act: Callable[[], Any]) -> None:
+    def schedule(self, low: float, high: float, act: Callable[[], Any]) -> None:
         """Act between two times from now."""
-        self._later(self._rng.uniform(low, high), act)
+        self._schedule(self._rng.uniform(low, high), act)
 
-    def _note(self, name: str, who: str) -> None:
+    def _record(self, name: str, who: str) -> None:
         """Write down what happened."""
         now = self._fleet.clock.now()
-        self.held.append(name)
+        self.injected.append(name)
         self.events.append(
             hist.FaultInjected(at=now, who=who, fault=f'{name} {who}'.strip())
         )
 
-    def _later(self, wait: float, act: Callable[[], Any]) -> None:
+    def _schedule(self, wait: float, act: Callable[[], Any]) -> None:
         """Act in a task of its own after some time."""
         clock = self._fleet.clock
 
@@ -237,7 +239,7 @@
     def _start(self, name: str) -> None:
         """Start a dead instance again."""
         if self._fleet.host(name).dead:
-            self._note('restarted', name)
+            self._record('restarted', name)
             self._fleet.restart(name)
 
     def _resume(self, name: str) -> None:
--- a/guavagate/measure/outcomes/_fleet.py
+++ b/guavagate/measure/outcomes/_fleet.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable
 from typing import Any, TypeAlias
 
-from guavagate.measure.fakes import FakeTeams, Host, NoDecisions, World
+from guavagate.measure.fakes import FakeDecisionLog, FakeTeams, Host, World
 from guavagate.models import InstanceId
 from guavagate.partitions import LocalPartitions
 from guavagate.partitions.stored import Safeguards, StoredPartitions
 from guavagate.runtime import Runtime
 
 MakeStates: TypeAlias = Callable[[Any], dict[Any, Any]]
-StartOn: TypeAlias = Callable[[Runtime], None]
+StartComponents: TypeAlias = Callable[[Runtime], None]
 
 
 def _start_nothing(runtime: Runtime) -> None:
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    start_on
+    start_components
         Starts further components on an instance, whenever it is started.
     """
 
@@ -35,16 +35,16 @@
         *,
         partitions: int = 1,
         safeguards: Safeguards | None = None,
-        start_on: StartOn = _start_nothing,
+        start_components: StartComponents = _start_nothing,
     ) -> None:
         self.world = World(seed)
         self.clock = self.world.clock
         self.partitions: dict[str, StoredPartitions] = {}
         self.runtimes: dict[str, Runtime] = {}
-        self.count = partitions
+        self.partition_count = partitions
         self._make_states = make_states
         self._safeguards = safeguards
-        self._start_on = start_on
+        self._start_components = start_components
         for name in names:
             self.world.add(name, f'zone-{(ord(name) - ord("a")) % 3}')
         for name in names:
@@ -60,7 +60,7 @@
         self.world.add(name, zone)
         self._start(name)
 
-    def running(self) -> list[str]:
+    def list_running(self) -> list[str]:
         """Return the instances that are neither dead nor paused."""
         return [
             name
@@ -68,11 +68,11 @@
             if not self.host(name).dead and not self.host(name).paused
         ]
 
-    def primaries(self) -> list[str]:
+    def list_primaries(self) -> list[str]:
         """Return the running instances that decide something."""
         return [
             name
-            for name in self.running()
+            for name in self.list_running()
             if self.partitions[name].list_owned()
         ]
 
@@ -87,12 +87,12 @@
             members=world.members[instance],
             teams=FakeTeams(),
             partitions=LocalPartitions({}),
-            decisions=NoDecisions(),
+            decisions=FakeDecisionLog(),
         )
         partitions = StoredPartitions(
             runtime,
             self._make_states,
-            partitions=self.count,
+            partitions=self.partition_count,
             safeguards=self._safeguards,
             rng=random.Random(world.random.random()),
         )
@@ -100,4 +100,4 @@
         self.runtimes[name] = runtime
         self.partitions[name] = partitions
         partitions.start()
-        self._start_on(runtime)
+        self._start_components(runtime)
--- a/guavagate/measure/outcomes/_mutations.py
+++ b/guavagate/measure/outcomes/_mutations.py
@@ -6,14 +6,14 @@
 import msgspec
 
 from guavagate.ledger import LedgerSafeguards
-from guavagate.measure.outcomes._counts import Counts
-from guavagate.measure.outcomes._requests import Requests
+from guavagate.measure.outcomes._counters import CounterWorkload
+from guavagate.measure.outcomes._requests import RequestWorkload
 from guavagate.measure.outcomes._run import Run, Workload, run_once
 from guavagate.measure.outcomes._scenarios import SCENARIOS
 from guavagate.partitions.stored import Safeguards
 
-PARTITION_GUARDS: Final = Safeguards.__struct_fields__
-LEDGER_GUARDS: Final = LedgerSafeguards.__struct_fields__
+PARTITION_SAFEGUARDS: Final = Safeguards.__struct_fields__
+LEDGER_SAFEGUARDS: Final = LedgerSafeguards.__struct_fields__
 
 
 class Mutation(msgspec.Struct, frozen=True, kw_only=True):
@@ -34,15 +34,15 @@
     tried: int = 0
 
 
-def remove_each(runs: int, seed: int) -> Iterator[Mutation]:
+def find_catching_runs(runs: int, seed: int) -> Iterator[Mutation]:
     """Remove each safeguard in turn until a run catches it."""
-    for name in (*PARTITION_GUARDS, *LEDGER_GUARDS):
-        yield remove(name, runs, seed)
+    for name in (*PARTITION_SAFEGUARDS, *LEDGER_SAFEGUARDS):
+        yield find_catching_run(name, runs, seed)
 
 
-def remove(name: str, runs: int, seed: int) -> Mutation:
+def find_catching_run(name: str, runs: int, seed: int) -> Mutation:
     """Remove one safeguard; try its scenario, then random runs."""
-    run = prepare(name)
+    run = make_runner_without(name)
     scenario = SCENARIOS.get(name)
     if scenario is not None and scenario(Safeguards(**{name: False})):
         return Mutation(
@@ -64,14 +64,14 @@
     return Mutation(safeguard=name, caught='', tried=runs)
 
 
-def prepare(name: str) -> Callable[[int], Run]:
+def make_runner_without(name: str) -> Callable[[int], Run]:
     """Return what runs a seed without one safeguard."""
-    if name in PARTITION_GUARDS:
-        guards = Safeguards(**{name: False})
-        return lambda seed: run_once(seed, safeguards=guards)
-    ledger_guards = LedgerSafeguards(**{name: False})
+    if name in PARTITION_SAFEGUARDS:
+        safeguards = Safeguards(**{name: False})
+        return lambda seed: run_once(seed, safeguards=safeguards)
+    ledger_safeguards = LedgerSafeguards(**{name: False})
 
     def make() -> list[Workload]:
-        return [Requests(ledger_guards), Counts()]
+        return [RequestWorkload(ledger_safeguards), CounterWorkload()]
 
     return lambda seed: run_once(seed, make_workloads=make)
--- a/guavagate/measure/outcomes/_requests.py
+++ b/guavagate/measure/outcomes/_requests.py
@@ -23,15 +23,15 @@
 from guavagate.models import CallerId, PartitionId, TeamId
 from guavagate.runtime import Runtime
 
-_PATIENCE: Final = 12.0
-_BREAKS: Final = 0.05
-_TRIES: Final = 12
-_AT_ONCE: Final = 0.15
-_GAP: Final = 0.4
-_REUSES: Final = 0.1
+_TIMEOUT_SECONDS: Final = 12.0
+_DISCONNECT_SHARE: Final = 0.05
+_MAX_ATTEMPTS: Final = 12
+_CONCURRENT_SHARE: Final = 0.15
+_GAP_SECONDS: Final = 0.4
+_KEY_REUSE_SHARE: Final = 0.1
 
 
-class Requests:
+class RequestWorkload:
     """The workload of callers; see `Workload`."""
 
     def __init__(
@@ -41,7 +41,7 @@
         callers: int = 4,
         requests: int = 8,
     ) -> None:
-        self.record: list[hist.Event] = []
+        self.history: list[hist.Event] = []
         self.answered = 0
         self._safeguards = safeguards or LedgerSafeguards()
         self._limits = LedgerLimits(window=600)
@@ -54,7 +54,7 @@
         """Make the ledger's states."""
         return make_ledger_states(partition, self._limits, self._safeguards)
 
-    def start_on(self, runtime: Runtime) -> None:
+    def start_components(self, runtime: Runtime) -> None:
         """Give an instance its ledger."""
         ledger = Ledger(runtime, lambda: self._ids(), self._limits)
         self._ledgers[runtime.settings.id] = ledger
@@ -80,34 +80,38 @@
     def _call_all(self, caller: str) -> None:
         """Send one request after the other."""
         for number in range(self._requests):
-            self._fleet.clock.sleep(self._rng.uniform(0, 2 * _GAP))
+            self._fleet.clock.sleep(self._rng.uniform(0, 2 * _GAP_SECONDS))
             request = f'{caller}/{number}'
             self._call_one(caller, request, request)
-            if self._rng.random() < _REUSES:
+            if self._rng.random() < _KEY_REUSE_SHARE:
                 # A program's fault: another request under the same key.
                 self._call_one(caller, f'{request}-other', request, 1)
 
     def _call_one(
-        self, caller: str, request: str, key: str, tries: int = _TRIES
+        self,
+        caller: str,
+        request: str,
+        key: str,
+        max_attempts: int = _MAX_ATTEMPTS,
     ) -> None:
         """Send a request until it is answered or its outcome is final."""
-        for attempt in range(tries):
-            copies = 2 if self._rng.random() < _AT_ONCE else 1
+        for attempt in range(max_attempts):
+            concurrent = 2 if self._rng.random() < _CONCURRENT_SHARE else 1
             tasks = [
                 self._fleet.clock.spawn(
                     self._attempt,
                     caller,
                     request,
                     key,
-                    f'{request}#{attempt}.{copy}',
+                    f'{request}#{attempt}.{number}',
                 )
-                for copy in range(copies)
+                for number in range(concurrent)
             ]
             gevent.joinall(tasks)
             if any(task.get(block=False) for task in tasks):
                 self.answered += 1
                 return
-            self._fleet.clock.sleep(self._rng.uniform(0, 2 * _GAP))
+            self._fleet.clock.sleep(self._rng.uniform(0, 2 * _GAP_SECONDS))
 
     def _attempt(
         self, caller: str, request: str, key: str, attempt: str
@@ -115,7 +119,7 @@
         """Send one attempt to some instance; say whether it was answered."""
         entry = self._rng.choice(sorted(self._ledgers))
         now = self._fleet.clock.now
-        self.record.append(
+        self.history.append(
             hist.SentRequest(
                 at=now(),
                 who=caller,
@@ -127,7 +131,7 @@
         )
         outcome = self._reach(entry, caller, request, key)
         if isinstance(outcome, Answer):
-            self.record.append(
+            self.history.append(
                 hist.Received(
                     at=now(),
                     who=entry,
@@ -138,7 +142,7 @@
             )
             return True
         if isinstance(outcome, RefusalError):
-            self.record.append(
+            self.history.append(
                 hist.ReceivedRefusal(
                     at=now(),
                     who=entry,
@@ -149,7 +153,7 @@
                 )
             )
             return False
-        self.record.append(
+        self.history.append(
             hist.BrokeOff(at=now(), who=entry, request=request, attempt=attempt)
         )
         return False
@@ -157,7 +161,7 @@
     def _reach(
         self, entry: str, caller: str, request: str, key: str
     ) -> Answer | RefusalError | None:
-        """Send to an instance; nothing comes back when it breaks off."""
+        """Send to an instance; return nothing when the caller disconnects."""
         host = self._fleet.host(entry)
         answer: AsyncResult[Answer | RefusalError | None] = AsyncResult()
         host.deliver(
@@ -165,10 +169,10 @@
                 self._serve, entry, caller, request, key, answer
             )
         )
-        breaks = self._rng.random() < _BREAKS
-        patience = self._rng.uniform(0, 1) if breaks else _PATIENCE
+        disconnects = self._rng.random() < _DISCONNECT_SHARE
+        timeout = self._rng.uniform(0, 1) if disconnects else _TIMEOUT_SECONDS
         try:
-            with self._fleet.clock.timeout(patience, TimeoutError):
+            with self._fleet.clock.timeout(timeout, TimeoutError):
                 return answer.get()
         except TimeoutError:
             return None
@@ -183,7 +187,7 @@
     ) -> None:
         """Handle a request at an instance, as its HTTP edge does."""
         host = self._fleet.host(entry)
-        once = KeyedRequest(
+        keyed = KeyedRequest(
             team=TeamId('team'),
             caller=CallerId(caller),
             key=key,
@@ -192,9 +196,9 @@
         try:
             answer.set(
                 self._ledgers[entry].run_once(
-                    once,
+                    keyed,
                     lambda: self._upstream.call(host, request, request),
-                    _PATIENCE,
+                    _TIMEOUT_SECONDS,
                 )
             )
         except RefusalError as refusal:
--- a/guavagate/measure/outcomes/_steps.py
+++ b/guavagate/measure/outcomes/_steps.py
@@ -31,22 +31,22 @@
 
 _STEPS: Final = 3
 _GROUPS: Final = 4
-_SAMPLES: Final = 2
+_SAMPLES_PER_GROUP: Final = 2
 _WORKERS: Final = 3
 _STALENESS: Final = 2
-_GENERATE: Final = (0.1, 1.5)
-_PUBLISH: Final = (1.0, 4.0)
-_PATIENCE: Final = 8.0
-_AT_ONCE: Final = 0.2
+_GENERATE_SECONDS: Final = (0.1, 1.5)
+_PUBLISH_SECONDS: Final = (1.0, 4.0)
+_TIMEOUT_SECONDS: Final = 8.0
+_CONCURRENT_SHARE: Final = 0.2
 
 _Result = TypeVar('_Result')
 
 
-class Steps:
+class TrainerWorkload:
     """The workload of one trainer and its workers; see `Workload`."""
 
     def __init__(self) -> None:
-        self.record: list[hist.Event] = []
+        self.history: list[hist.Event] = []
         self.answered = 0
         self._clients: dict[str, RunsClient] = {}
         self._address = RunAddress(
@@ -63,7 +63,7 @@
         """Make the runs' state."""
         return dict.fromkeys(RUN_COMMANDS, RunsState())
 
-    def start_on(self, runtime: Runtime) -> None:
+    def start_components(self, runtime: Runtime) -> None:
         """Give an instance its client."""
         self._clients[runtime.settings.id] = RunsClient(runtime)
 
@@ -82,19 +82,19 @@
     def _train(self) -> None:
         """Submit one step after the other and pull each whole."""
         cursor = ''
-        self._until(lambda: self._newest > 0)
+        self._retry_until(lambda: self._newest > 0)
         for number in range(_STEPS):
             self._step = f'step-{number}'
-            self.record.append(
+            self.history.append(
                 hist.SubmittedStep(
                     at=self._fleet.clock.now(),
                     run=self._address.run,
                     step=self._step,
                     groups=_GROUPS,
-                    samples_per_group=_SAMPLES,
+                    samples_per_group=_SAMPLES_PER_GROUP,
                 )
             )
-            self._until(self._submit)
+            self._retry_until(self._submit)
             cursor = self._pull_all(cursor)
             self.answered += 1
         self._done = True
@@ -102,28 +102,28 @@
     def _pull_all(self, cursor: str) -> str:
         """Pull until the step is whole; return the cursor then held."""
         while True:
-            copies = 2 if self._rng.random() < _AT_ONCE else 1
+            concurrent = 2 if self._rng.random() < _CONCURRENT_SHARE else 1
             calls = [
                 self._fleet.clock.spawn(self._pull, cursor)
-                for _ in range(copies)
+                for _ in range(concurrent)
             ]
-            taken = None
+            accepted = None
             for call in calls:
                 call.join()
-                taken = taken or call.value
-            if taken is None:
+                accepted = accepted or call.value
+            if accepted is None:
                 # The answer may be lost; submitting it again is harmless.
                 self._fleet.clock.sleep(0.2)
                 self._submit()
                 continue
-            cursor = taken.cursor
-            self._note(hist.Acked, cursor=cursor)
-            if taken.complete:
-                self._note(hist.StepDone)
+            cursor = accepted.cursor
+            self._record(hist.Acked, cursor=cursor)
+            if accepted.complete:
+                self._record(hist.StepDone)
                 return cursor
 
     def _pull(self, cursor: str) -> Batch | None:
-        """Pull once at some instance; return a batch that may be taken."""
+        """Pull once at some instance; return a batch that may be accepted."""
         newest = self._newest
         batch = self._call(
             lambda client: client.pull(self._address, cursor, 3, 0.5)
@@ -138,7 +138,7 @@
             )
             for sample in batch.samples
         )
-        self._note(
+        self._record(
             hist.PulledBatch,
             cursor=cursor,
             follows=batch.cursor,
@@ -150,8 +150,8 @@
     def _publish_all(self) -> None:
         """Publish versions while the trainer trains."""
         while not self._done:
-            self._fleet.clock.sleep(self._rng.uniform(*_PUBLISH))
-            self._until(self._publish)
+            self._fleet.clock.sleep(self._rng.uniform(*_PUBLISH_SECONDS))
+            self._retry_until(self._publish)
 
     def _publish(self) -> bool:
         """Publish one version at some instance; say whether it is known."""
@@ -162,7 +162,7 @@
         if outcome is None:
             return False
         self._newest = version
-        self._note(
+        self._record(
             hist.PublishedVersion, version=version, max_staleness=_STALENESS
         )
         return True
@@ -173,7 +173,7 @@
             GroupSpec(
                 group_id=f'g{group}',
                 prompt='p',
-                samples=_SAMPLES,
+                samples=_SAMPLES_PER_GROUP,
                 max_tokens=8,
             )
             for group in range(_GROUPS)
@@ -198,9 +198,9 @@
             self._exchanges += 1
             exchange = f'x{self._exchanges}'
             group = f'g{self._rng.randrange(_GROUPS)}'
-            name = f'{step}/{group}/{self._rng.randrange(_SAMPLES)}'
-            self._fleet.clock.sleep(self._rng.uniform(*_GENERATE))
-            self.record.append(
+            name = f'{step}/{group}/{self._rng.randrange(_SAMPLES_PER_GROUP)}'
+            self._fleet.clock.sleep(self._rng.uniform(*_GENERATE_SECONDS))
+            self.history.append(
                 hist.GeneratedPiece(
                     at=self._fleet.clock.now(),
                     exchange=exchange,
@@ -227,23 +227,23 @@
             )
         )
 
-    def _until(self, act: Callable[[], bool]) -> None:
+    def _retry_until(self, act: Callable[[], bool]) -> None:
         """Try until it is done."""
         while not act():
             self._fleet.clock.sleep(0.3)
 
-    def _call(self, ask: Callable[[RunsClient], _Result]) -> _Result | None:
+    def _call(self, call: Callable[[RunsClient], _Result]) -> _Result | None:
         """Ask at some running instance; nothing when it fails."""
-        running = self._fleet.running()
+        running = self._fleet.list_running()
         if not running:
             self._fleet.clock.sleep(0.5)
             return None
         name = self._rng.choice(running)
         task = self._fleet.host(name).clock.spawn(
-            self._guard, ask, self._clients[name]
+            self._call_client, call, self._clients[name]
         )
         try:
-            with self._fleet.clock.timeout(_PATIENCE, TimeoutError):
+            with self._fleet.clock.timeout(_TIMEOUT_SECONDS, TimeoutError):
                 task.join()
         except TimeoutError:
             return None
@@ -259,20 +259,20 @@
             return None
         return answer
 
-    def _guard(
-        self, ask: Callable[[RunsClient], Any], client: RunsClient
+    def _call_client(
+        self, call: Callable[[RunsClient], Any], client: RunsClient
     ) -> Any:
         """Return an error rather than raise it."""
         try:
-            return ask(client)
+            return call(client)
         except GuavagateError as error:
             return error
 
-    def _note(self, kind: Any, **fields: Any) -> None:
+    def _record(self, kind: Any, **fields: Any) -> None:
         """Record an event of the run."""
         if kind is not hist.PublishedVersion:
             fields['step'] = self._step
-        self.record.append(
+        self.history.append(
             kind(
                 at=self._fleet.clock.now(),
                 run=self._address.run,
--- a/guavagate/measure/outcomes/_upstream.py
+++ b/guavagate/measure/outcomes/_upstream.py
@@ -11,12 +11,12 @@
 from guavagate.measure import history as hist
 from guavagate.measure.fakes import Host, World
 
-_WAY: Final = 0.002
-_WORK: Final = (0.05, 1.5)
-_REFUSES: Final = 0.05
-_CRASHES: Final = 0.04
+_DELAY_SECONDS: Final = 0.002
+_WORK_SECONDS: Final = (0.05, 1.5)
+_REFUSAL_SHARE: Final = 0.05
+_CRASH_SHARE: Final = 0.04
 
-Stage: Final = ('before', 'during', 'after')
+STAGES: Final = ('before', 'during', 'after')
 
 
 class Upstream:
@@ -24,38 +24,38 @@
 
     Attributes
     ----------
-    at_stage
+    on_stage
         Called as an instance calls it, before, during and after; faults hook
         in here.
     """
 
     def __init__(
-        self, world: World, rng: random.Random, record: list[hist.Event]
+        self, world: World, rng: random.Random, history: list[hist.Event]
     ) -> None:
         self._world = world
         self._rng = rng
-        self._record = record
+        self._history = history
         self._runs = 0
-        self.at_stage: Callable[[Host, str], None] | None = None
+        self.on_stage: Callable[[Host, str], None] | None = None
 
     def call(self, host: Host, request: str, body: str) -> Answer:
         """Call it from an instance and wait for the answer."""
-        self._reach(host, 'before')
-        host.clock.sleep(_WAY)
-        if self._rng.random() < _REFUSES:
+        self._call_stage_hook(host, 'before')
+        host.clock.sleep(_DELAY_SECONDS)
+        if self._rng.random() < _REFUSAL_SHARE:
             raise UpstreamNotStartedError('it is leaving', 'try another')
         result: AsyncResult[Answer] = AsyncResult()
         self._world.clock.spawn(self._run, host, request, body, result)
-        self._reach(host, 'during')
+        self._call_stage_hook(host, 'during')
         answer = result.get()
-        self._reach(host, 'after')
+        self._call_stage_hook(host, 'after')
         return answer
 
-    def _reach(self, host: Host, stage: str) -> None:
+    def _call_stage_hook(self, host: Host, stage: str) -> None:
         """Let a fault happen at this stage."""
-        if self.at_stage is not None:
-            self.at_stage(host, stage)
-            host.hold()
+        if self.on_stage is not None:
+            self.on_stage(host, stage)
+            host.wait_until_running()
 
     def _run(
         self,
@@ -68,18 +68,18 @@
         self._runs += 1
         number = self._runs
         clock = self._world.clock
-        self._record.append(
+        self._history.append(
             hist.RanAtUpstream(
                 at=clock.now(), request=request, body=body, exchange=str(number)
             )
         )
-        clock.sleep(self._rng.uniform(*_WORK))
-        if self._rng.random() < _CRASHES:
+        clock.sleep(self._rng.uniform(*_WORK_SECONDS))
+        if self._rng.random() < _CRASH_SHARE:
             error = UpstreamError('it broke off', 'ask what became of it')
             host.deliver(lambda: result.set_exception(error))
             return
         text = f'{body} done as run {number}'
-        self._record.append(
+        self._history.append(
             hist.AnsweredByUpstream(
                 at=clock.now(), request=request, answer=text
             )
--- a/guavagate/measure/settings.py
+++ b/guavagate/measure/settings.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from guavagate.exceptions import GuavagateError
-from guavagate.measure.fakes import NoDecisions, World
+from guavagate.measure.fakes import FakeDecisionLog, World
 from guavagate.models import InstanceId, Revision, TeamId
 from guavagate.settings import (
     ChangeRequest,
@@ -17,11 +17,11 @@
 )
 
 TEAM: Final = TeamId('authority')
-_SETTLE: Final = 5.0
-_LIMIT: Final = 19.0
+_SETTLE_SECONDS: Final = 5.0
+_LIMIT_SECONDS: Final = 19.0
 
 
-class Spread(msgspec.Struct, frozen=True, kw_only=True):
+class PropagationResult(msgspec.Struct, frozen=True, kw_only=True):
     """What a run of changes showed; times in seconds.
 
     Parameters
@@ -49,7 +49,7 @@
 
     Attributes
     ----------
-    took_effect
+    effective_at
         When each instance put each revision in force.
     reverts
         Times that an instance's revision went down.
@@ -58,8 +58,8 @@
     def __init__(self, names: list[str], seed: int = 0) -> None:
         self.world = World(seed)
         self.teams: dict[str, TeamSettingsManager] = {}
-        self.decisions: dict[str, NoDecisions] = {}
-        self.took_effect: dict[tuple[str, Revision], float] = {}
+        self.decisions: dict[str, FakeDecisionLog] = {}
+        self.effective_at: dict[tuple[str, Revision], float] = {}
         self.reverts = 0
         self._newest: dict[str, Revision] = {}
         for name in names:
@@ -69,7 +69,7 @@
 
     def start(self, name: str) -> TeamSettingsManager:
         """Start the component on an instance that has been added."""
-        decisions = NoDecisions()
+        decisions = FakeDecisionLog()
         teams = TeamSettingsManager(
             self.world.settings_of(name),
             self.world.hosts[InstanceId(name)].clock,
@@ -80,7 +80,7 @@
         )
         self.teams[name] = teams
         self.decisions[name] = decisions
-        teams.subscribe(lambda team: self._note(name, team))
+        teams.subscribe(lambda team: self._record_change(name, team))
         teams.start()
         return teams
 
@@ -136,17 +136,17 @@
         except GuavagateError as error:
             return error
 
-    def _note(self, name: str, team: TeamId) -> None:
+    def _record_change(self, name: str, team: TeamId) -> None:
         revision = self.teams[name].table.revision(team)
         self.reverts += revision < self._newest.get(name, 0)
         self._newest[name] = revision
         now = self.world.clock.now()
-        self.took_effect.setdefault((name, revision), now)
+        self.effective_at.setdefault((name, revision), now)
 
 
-def measure_spread(
+def measure_propagation(
     instances: int = 9, changes: int = 200, seed: int = 0
-) -> Spread:
+) -> PropagationResult:
     """Make changes with one instance killed and one paused on the way.
 
     Both come back a tenth of the run later. A change counts as in force when
@@ -157,28 +157,29 @@
     names = [f'i{number:03}' for number in range(instances)]
     fleet = SettingsFleet(names, seed)
     world = fleet.world
-    world.clock.advance(_SETTLE)
-    dice = random.Random(seed)
+    world.clock.advance(_SETTLE_SECONDS)
+    rng = random.Random(seed)
     times: list[float] = []
     late = 0
-    started = world.clock.now()
+    started_at = world.clock.now()
     for number in range(changes):
-        _disturb(fleet, names, number, changes)
-        running = [name for name in names if _runs(fleet, name)] or names
-        submitted = world.clock.now()
-        outcome = fleet.change(dice.choice(running), number, 1 + number % 7)
+        _inject_faults(fleet, names, number, changes)
+        running = [name for name in names if _is_running(fleet, name)] or names
+        submitted_at = world.clock.now()
+        outcome = fleet.change(rng.choice(running), number, 1 + number % 7)
         if not isinstance(outcome, SettingsRecord):
             raise outcome
         target = outcome.revision
         reached = world.clock.run_until(
-            functools.partial(_is_everywhere, fleet, running, target), _LIMIT
+            functools.partial(_is_in_force, fleet, running, target),
+            _LIMIT_SECONDS,
         )
         late += not reached
-        times.append(world.clock.now() - submitted)
-        world.clock.advance(dice.uniform(0, 1))
+        times.append(world.clock.now() - submitted_at)
+        world.clock.advance(rng.uniform(0, 1))
     times.sort()
-    seconds = world.clock.now() - started
-    return Spread(
+    seconds = world.clock.now() - started_at
+    return PropagationResult(
         instances=instances,
         changes=changes,
         median=times[len(times) // 2],
@@ -186,13 +187,17 @@
         longest=times[-1],
         late=late,
         reverts=fleet.reverts,
-        digest_bytes=_sent(fleet, 'SettingsDigest') / seconds / instances,
-        tell_bytes=_sent(fleet, 'SettingsTell') / changes / instances,
+        digest_bytes=_count_sent_bytes(fleet, 'SettingsDigest')
+        / seconds
+        / instances,
+        tell_bytes=_count_sent_bytes(fleet, 'SettingsTell')
+        / changes
+        / instances,
         watches=world.store.calls['watch'] / seconds,
     )
 
 
-def _disturb(
+def _inject_faults(
     fleet: SettingsFleet, names: list[str], number: int, changes: int
 ) -> None:
     """Kill and pause on the way, and undo both a tenth of the run later."""
@@ -210,16 +215,16 @@
         fleet.world.resume(paused)
 
 
-def _runs(fleet: SettingsFleet, name: str) -> bool:
+def _is_running(fleet: SettingsFleet, name: str) -> bool:
     host = fleet.world.hosts[InstanceId(name)]
     return not host.dead and not host.paused and fleet.revision(name) > 0
 
 
-def _is_everywhere(
+def _is_in_force(
     fleet: SettingsFleet, names: list[str], revision: Revision
 ) -> bool:
     return all(fleet.revision(name) >= revision for name in names)
 
 
-def _sent(fleet: SettingsFleet, kind: str) -> int:
+def _count_sent_bytes(fleet: SettingsFleet, kind: str) -> int:
     return fleet.world.network.sent_bytes[kind]
--- a/tests/common.py
+++ b/tests/common.py
@@ -49,5 +49,5 @@
 
     def primary(self) -> str:
         """Return the name of the running primary, or nothing."""
-        deciding = self.primaries()
+        deciding = self.list_primaries()
         return deciding[0] if deciding else ''
--- a/tests/jobs/test_owner.py
+++ b/tests/jobs/test_owner.py
@@ -312,7 +312,7 @@
     assert job is not None
     job.work.log = owner.job_store.open_log(JobId('job-1'))
     active_jobs.mark_uncertain()
-    fleet.world.store.slow = 0.35
+    fleet.world.store.added_delay = 0.35
     reads = [
         owner.clock.spawn(active_jobs.read, JobId('job-1'), 5, 0)
         for _ in range(2)
@@ -322,7 +322,7 @@
         LookupStatus.UNCERTAIN
     }
     fleet.clock.advance(1)
-    fleet.world.store.slow = 0
+    fleet.world.store.added_delay = 0
     status, page = active_jobs.read(JobId('job-1'), 5, 0)
     assert status is LookupStatus.FOUND
     assert page is not None
@@ -376,7 +376,7 @@
     fleet.submit(msgspec.structs.replace(newer, items=items), reader)
     fleet.world.kill(first)
     fleet.nodes.pop(first)
-    fleet.world.store.slow = 0.03
+    fleet.world.store.added_delay = 0.03
     fleet.clock.advance(5)
     started = [
         item
--- a/tests/jobs/test_result_log.py
+++ b/tests/jobs/test_result_log.py
@@ -84,10 +84,10 @@
     logs = _Logs()
     log = logs.logs[0]
     logs.state.lose_next = 1
-    logs.state.watcher = lambda *_: setattr(logs.state, 'outage', True)
+    logs.state.on_write = lambda *_: setattr(logs.state, 'outage', True)
     with pytest.raises(MaybeWrittenError):
         logs.append(0, _make_result('i'))
-    logs.state.watcher = None
+    logs.state.on_write = None
     logs.state.outage = False
     task = logs.clock.spawn(log.load)
     logs.clock.run_until(task.ready, 5)
--- a/tests/partitions/test_stored.py
+++ b/tests/partitions/test_stored.py
@@ -23,7 +23,7 @@
     for name in 'abc':
         fleet.clock.run_until(fleet.add(name).ready)
     assert fleet.total('b') == 3
-    assert len(fleet.primaries()) == 1
+    assert len(fleet.list_primaries()) == 1
 
 
 def test_answered_commands_survive_the_death_of_the_primary() -> None:
@@ -175,10 +175,10 @@
     delayed write conflicts with a newer record and changes nothing.
     """
     fleet = _ready()
-    fleet.world.store.late = 1
+    fleet.world.store.late_write_share = 1
     task = fleet.add('a', timeout=10)
     fleet.clock.advance(0.15)
-    fleet.world.store.late = 0
+    fleet.world.store.late_write_share = 0
     fleet.clock.run_until(task.ready)
     fleet.clock.advance(6)
     assert task.get(block=False).total == 1
--- a/tests/permits/test_queue_owner.py
+++ b/tests/permits/test_queue_owner.py
@@ -5,7 +5,7 @@
 from guavagate.clock import Task
 from guavagate.decisions import Work
 from guavagate.exceptions import RefusalError
-from guavagate.measure.fakes import FakeTeams, NoDecisions, World
+from guavagate.measure.fakes import FakeDecisionLog, FakeTeams, World
 from guavagate.models import (
     CallerId,
     InstanceId,
@@ -63,7 +63,7 @@
             members=self.world.members[instance],
             teams=FakeTeams([_TEAM]),
             partitions=LocalPartitions({}),
-            decisions=NoDecisions(),
+            decisions=FakeDecisionLog(),
         )
         self.queue_owners[name] = QueueOwner(runtime)
         serve_queue_owner(runtime, self.queue_owners[name])
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -62,7 +62,7 @@
 
 def test_others_learn_late_of_a_death() -> None:
     """Until then they take the dead instance for alive."""
-    world = World(detect=2)
+    world = World(detection_delay=2)
     for name in 'abc':
         world.add(name)
     world.clock.advance(1)
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -14,9 +14,9 @@
 from guavagate.instance import Instance
 from guavagate.links import ZmqBus
 from guavagate.measure.fakes import (
+    FakeDecisionLog,
     FakeTeams,
     MemoryStore,
-    NoDecisions,
     StoreState,
 )
 from guavagate.membership import StaticMembers
@@ -117,7 +117,7 @@
             members=members,
             teams=self.teams,
             partitions=LocalPartitions(states),
-            decisions=NoDecisions(),
+            decisions=FakeDecisionLog(),
         )
         self.instance = Instance(runtime, lambda: [(Epoch(1), runs)])
         self.bus.start()
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -9,7 +9,7 @@
 
 from guavagate.measure import history as hist
 from guavagate.measure.outcomes import FAULTS, run_once
-from guavagate.measure.outcomes._mutations import prepare
+from guavagate.measure.outcomes._mutations import make_runner_without
 from guavagate.measure.outcomes._scenarios import SCENARIOS
 from guavagate.partitions.stored import Safeguards
 
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize('name', ['keep_unknown', 'compare_digest', 'join'])
 def test_a_run_catches_its_safeguard(name: str) -> None:
     """The checker sees what callers see when the ledger forgets a rule."""
-    assert prepare(name)(1).violations
+    assert make_runner_without(name)(1).violations
 
 
 def test_a_history_survives_its_file_form() -> None:
--- a/tests/test_settings_changes.py
+++ b/tests/test_settings_changes.py
@@ -72,7 +72,7 @@
     fleet = make_fleet()
     store = fleet.world.store
     store.lose_next = 2
-    fleet.world.network.watcher = None
+    fleet.world.network.on_send = None
     task = fleet.world.clock.spawn(
         fleet._change, 'i1', 1, 5, {'change_id': 'spring'}
     )
--- a/tests/test_settings_in_force.py
+++ b/tests/test_settings_in_force.py
@@ -5,7 +5,7 @@
 
 from guavagate.exceptions import StoreUnavailableError
 from guavagate.measure.fakes import FakeMembers
-from guavagate.measure.settings import TEAM, SettingsFleet, measure_spread
+from guavagate.measure.settings import TEAM, SettingsFleet, measure_propagation
 from guavagate.models import InstanceId, Revision, TeamId
 from guavagate.ports.store import StoredObject
 from guavagate.settings import (
@@ -330,6 +330,6 @@
 
 def test_settings_are_in_force_everywhere_in_time() -> None:
     """200 changes on nine instances, one killed and one paused in between."""
-    spread = measure_spread(instances=9, changes=200, seed=1)
+    spread = measure_propagation(instances=9, changes=200, seed=1)
     assert spread.p99 <= 2
     assert (spread.late, spread.reverts) == (0, 0)
--- a/tests/weights/test_rollout.py
+++ b/tests/weights/test_rollout.py
@@ -6,7 +6,7 @@
 
 from guavagate.clock import PausedClock
 from guavagate.exceptions import NotAppliedError, UpstreamError
-from guavagate.measure.fakes import FakeTeams, NoDecisions, World
+from guavagate.measure.fakes import FakeDecisionLog, FakeTeams, World
 from guavagate.models import (
     DeploymentId,
     Epoch,
@@ -99,7 +99,7 @@
             members=self.world.members[me],
             teams=FakeTeams([team]),
             partitions=self.partitions,
-            decisions=NoDecisions(),
+            decisions=FakeDecisionLog(),
         )
         self.rollout = WeightRollout(
             runtime,
