--- a/guavagate/settings/__init__.py
+++ b/guavagate/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: the daemon's own file and the teams' subtrees."""
+"""Settings: the instance's own file and the teams' settings."""
 
 from guavagate.settings._check import Problem, SettingsProblemsError
 from guavagate.settings._documents import (
--- a/guavagate/settings/_broadcast.py
+++ b/guavagate/settings/_broadcast.py
@@ -1,4 +1,4 @@
-"""Tells new revisions to every instance through a tree of bounded fan-out."""
+"""Broadcasts new revisions through a tree of bounded fan-out."""
 
 from collections.abc import Iterator, Sequence
 from typing import Final
@@ -9,40 +9,41 @@
 from guavagate.settings._record import SettingsRecord
 from guavagate.settings._table import SettingsTable
 
-# At 9 instances one step reaches all; at 330 three steps do, and no instance
-# sends a text of 60 KB more than eight times.
+# One hop reaches 9 instances and three hops reach 330; no instance sends a
+# text of 60 KB more than eight times.
 FAN_OUT: Final = 8
 
 
 class Broadcaster:
-    """Sends and passes on revisions.
+    """Sends and forwards revisions.
 
-    One-way messages: a dead or paused instance in the tree cuts off those
-    below it, who notice by the digests of their peers within seconds.
+    The messages are one-way: a dead or paused instance in the tree cuts off
+    the instances below it. These find out from their peers' digests within
+    seconds.
     """
 
     def __init__(self, bus: Bus, table: SettingsTable) -> None:
         self._bus = bus
         self._table = table
-        bus.register(SettingsTell, self._handle_tell)
+        bus.register(SettingsTell, self._handle_revision)
 
     def broadcast(
         self, record: SettingsRecord, targets: Sequence[InstanceId]
     ) -> None:
-        """Tell a revision to the targets, through the first of each part."""
-        for first, rest in split(targets, FAN_OUT):
+        """Send a revision to the targets, by way of the first of each part."""
+        for first, rest in split_targets(targets, FAN_OUT):
             self._bus.send(first, SettingsTell(record=record, targets=rest))
 
-    def _handle_tell(self, sender: InstanceId, message: Message) -> None:
-        told = expect(message, SettingsTell)
-        self._table.apply_if_newer(told.record)
-        self.broadcast(told.record, told.targets)
+    def _handle_revision(self, sender: InstanceId, message: Message) -> None:
+        received = expect(message, SettingsTell)
+        self._table.apply_if_newer(received.record)
+        self.broadcast(received.record, received.targets)
 
 
-def split(
+def split_targets(
     targets: Sequence[InstanceId], parts: int
 ) -> Iterator[tuple[InstanceId, tuple[InstanceId, ...]]]:
-    """Yield the first of each part with the others of that part."""
+    """Yield the first target of each part with the part's other targets."""
     for start in range(min(parts, len(targets))):
         first, *rest = targets[start::parts]
         yield first, tuple(rest)
--- a/guavagate/settings/_check.py
+++ b/guavagate/settings/_check.py
@@ -1,7 +1,7 @@
 """Checks plain data against the schema and collects every problem.
 
-msgspec stops at the first error; an operator who mends one line at a time
-needs as many attempts as there are mistakes, so all are found in one walk.
+msgspec stops at the first error, so an operator would need one attempt per
+mistake. The checker walks the whole data and reports all problems at once.
 """
 
 import difflib
@@ -14,11 +14,11 @@
 from guavagate.exceptions import SettingsError
 from guavagate.settings._value_kinds import Kind, check_kind
 
-_SHOWN: Final = 60
+_MAX_SHOWN_CHARS: Final = 60
 
 
 class Problem(msgspec.Struct, frozen=True, kw_only=True):
-    """One thing wrong in a settings text."""
+    """One problem in a settings text."""
 
     source: str
     path: str
@@ -27,7 +27,7 @@
     remedy: str
 
     def __str__(self) -> str:
-        """Return the line an operator reads."""
+        """Return the line that is shown to an operator."""
         shown = f' = {self.value}' if self.value else ''
         return (
             f'{self.source}: {self.path}{shown}: {self.problem}; {self.remedy}'
@@ -40,7 +40,7 @@
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__(
             '\n'.join(str(problem) for problem in problems),
-            'mend them and try again',
+            'fix them and try again',
         )
         self.problems = problems
 
@@ -57,7 +57,7 @@
         self.problems: list[Problem] = []
 
     def add(self, path: str, value: Any, problem: str, remedy: str) -> None:
-        """Add one problem."""
+        """Add a problem."""
         self.problems.append(
             Problem(
                 source=self._source,
@@ -69,7 +69,7 @@
         )
 
     def check(self, node: inspected.Type, value: Any, path: str) -> None:
-        """Check a value against a schema node, going down."""
+        """Check a value against a schema node, recursively."""
         kind = None
         if isinstance(node, inspected.Metadata):
             kind = (node.extra or {}).get('kind')
@@ -89,7 +89,9 @@
             return
         names = {field.name for field in node.fields}
         for key in sorted(value.keys() - names):
-            self.add(_join(path, key), value[key], *_unknown(key, names))
+            self.add(
+                _join(path, key), value[key], *_describe_unknown_key(key, names)
+            )
         for field in node.fields:
             if field.name in value:
                 below = _join(path, field.name)
@@ -110,7 +112,7 @@
         self, node: Any, kind: Kind | None, value: Any, path: str
     ) -> None:
         try:
-            # Lax only for what TOML writes without a point: 1 for 1.0.
+            # Converts nothing but an integer to a float: TOML 1 for 1.0.
             msgspec.convert(value, _python_type(node))
         except msgspec.ValidationError as error:
             text = str(error)
@@ -133,7 +135,7 @@
     key: Callable[[Any], str],
     name: str,
 ) -> None:
-    """Add a problem for each item whose key an earlier one has."""
+    """Add a problem for each item with the same key as an earlier one."""
     seen: dict[str, int] = {}
     for index, item in enumerate(items):
         first = seen.setdefault(key(item), index)
@@ -147,16 +149,16 @@
 
 
 def find_nearest(word: str, known: set[str]) -> str:
-    """Return the known word nearest to a mistyped one, or nothing."""
+    """Return the known word closest to a mistyped one, or an empty text."""
     close = difflib.get_close_matches(word, sorted(known), n=1, cutoff=0.5)
     return close[0] if close else ''
 
 
-def _unknown(key: str, names: set[str]) -> Iterator[str]:
-    near = find_nearest(key, names)
+def _describe_unknown_key(key: str, names: set[str]) -> Iterator[str]:
+    suggestion = find_nearest(key, names)
     yield 'is not a known key'
-    if near:
-        yield f'did you mean {near!r}?'
+    if suggestion:
+        yield f'did you mean {suggestion!r}?'
     else:
         yield 'known are {}'.format(', '.join(sorted(names)))
 
@@ -171,23 +173,23 @@
         for name in ('gt', 'ge', 'le')
         if getattr(node, name, None) is not None
     }
-    plain = _PLAIN[type(node)]
+    plain = _PYTHON_TYPES[type(node)]
     return Annotated[plain, msgspec.Meta(**bounds)] if bounds else plain
 
 
 def _scalar_remedy(node: Any) -> str:
     if isinstance(node, inspected.EnumType):
-        return _one_of(member.value for member in node.cls)
+        return _list_choices(member.value for member in node.cls)
     if isinstance(node, inspected.LiteralType):
-        return _one_of(node.values)
+        return _list_choices(node.values)
     return f'write {_EXAMPLES[type(node)]}'
 
 
-def _one_of(values: Any) -> str:
+def _list_choices(values: Any) -> str:
     return 'write one of {}'.format(', '.join(repr(v) for v in values))
 
 
-_PLAIN: Final[dict[type, type]] = {
+_PYTHON_TYPES: Final[dict[type, type]] = {
     inspected.StrType: str,
     inspected.IntType: int,
     inspected.FloatType: float,
@@ -209,4 +211,6 @@
     if value is None:
         return ''
     text = repr(value)
-    return text if len(text) <= _SHOWN else f'{text[:_SHOWN]}…'
+    return (
+        text if len(text) <= _MAX_SHOWN_CHARS else f'{text[:_MAX_SHOWN_CHARS]}…'
+    )
--- a/guavagate/settings/_digests.py
+++ b/guavagate/settings/_digests.py
@@ -1,10 +1,10 @@
-"""How digests of the revisions in force travel between instances.
+"""Sends digests of the revisions in force to other instances.
 
-They ride in the probes of the membership where it carries facts: the probes
-go to random instances over datagrams, so no message is added and no
-connection is kept for it. A membership without facts gets small messages to
-random peers; over connections that would in time be one from each instance to
-each other, so it is for small fleets and tests.
+If the membership supports facts, its probes carry the digests. Probes go to
+random instances as datagrams, so this needs no extra message or connection.
+Otherwise digests are sent as small messages to random peers. In time that
+opens a connection between every two instances, so it suits only small fleets
+and tests.
 """
 
 import random
@@ -18,15 +18,15 @@
 from guavagate.settings._messages import SettingsDigest
 
 DIGEST_PEERS: Final = 2
-_FACT: Final = 'settings'
-_BEATS: Final = 256
+_FACT_NAME: Final = 'settings'
+_COUNTER_MODULUS: Final = 256
 
-Heard = Callable[[InstanceId, int, bool], None]
+DigestCallback = Callable[[InstanceId, int, bool], None]
 SendDigest = Callable[[int, bool], None]
 
 
 class _Fact(msgspec.Struct, frozen=True, array_like=True):
-    """A digest; the beat changes each time, so that silence shows."""
+    """A digest; `beat` changes each time, as a sign of life."""
 
     digest: int
     known: bool
@@ -35,59 +35,61 @@
 
 @runtime_checkable
 class FactMembership(Protocol):
-    """A membership whose probes carry small values."""
+    """A membership whose probes carry small values, called facts."""
 
     def set_fact(self, name: str, value: bytes) -> None:
-        """Have a value carried from now on."""
+        """Set a value that all further probes carry."""
 
     def facts(self, instance: InstanceId) -> dict[str, bytes]:
-        """Return the values last heard from an instance."""
+        """Return the values last received from an instance."""
 
     def subscribe_facts(self, changed: Callable[[InstanceId], None]) -> None:
-        """Call back, without blocking, when an instance's values change."""
+        """Register a non-blocking callback for changes of facts."""
 
 
-def make_fact_sender(members: FactMembership, heard: Heard) -> SendDigest:
-    """Return what sends digests in the membership's probes."""
-    beats = 0
+def make_fact_sender(
+    members: FactMembership, on_digest: DigestCallback
+) -> SendDigest:
+    """Return a function that sends digests in the membership's probes."""
+    counter = 0
 
     def send(digest: int, known: bool) -> None:
-        nonlocal beats
-        beats = (beats + 1) % _BEATS
-        fact = _Fact(digest, known, beats)
-        members.set_fact(_FACT, msgspec.msgpack.encode(fact))
+        nonlocal counter
+        counter = (counter + 1) % _COUNTER_MODULUS
+        fact = _Fact(digest, known, counter)
+        members.set_fact(_FACT_NAME, msgspec.msgpack.encode(fact))
 
-    def hear(instance: InstanceId) -> None:
-        packed = members.facts(instance).get(_FACT)
+    def handle_fact(instance: InstanceId) -> None:
+        packed = members.facts(instance).get(_FACT_NAME)
         if packed is None:
             return
         try:
             fact = msgspec.msgpack.decode(packed, type=_Fact)
         except msgspec.DecodeError:
             return
-        heard(instance, fact.digest, fact.known)
+        on_digest(instance, fact.digest, fact.known)
 
-    members.subscribe_facts(hear)
+    members.subscribe_facts(handle_fact)
     return send
 
 
 def make_message_sender(
     bus: Bus,
     peers: Callable[[], list[InstanceId]],
-    dice: random.Random,
-    heard: Heard,
+    rng: random.Random,
+    on_digest: DigestCallback,
 ) -> SendDigest:
-    """Return what sends digests to a few random peers."""
+    """Return a function that sends digests to a few random peers."""
 
     def send(digest: int, known: bool) -> None:
         known_peers = peers()
         count = min(DIGEST_PEERS, len(known_peers))
-        for peer in dice.sample(known_peers, count):
+        for peer in rng.sample(known_peers, count):
             bus.send(peer, SettingsDigest(digest=digest, known=known))
 
     def handle(sender: InstanceId, message: Message) -> None:
         digest = expect(message, SettingsDigest)
-        heard(sender, digest.digest, digest.known)
+        on_digest(sender, digest.digest, digest.known)
 
     bus.register(SettingsDigest, handle)
     return send
--- a/guavagate/settings/_documents.py
+++ b/guavagate/settings/_documents.py
@@ -1,4 +1,4 @@
-"""Settings texts in and out: TOML, checked whole at the edge."""
+"""Parses, checks and renders settings as TOML."""
 
 import pathlib
 import tomllib
@@ -43,7 +43,10 @@
 def parse_instance_settings(
     text: str, source: str = 'settings'
 ) -> InstanceSettings:
-    """Return an instance's settings from TOML; see the loader."""
+    """Return an instance's settings from TOML.
+
+    See `load_instance_settings`.
+    """
     checker = Checker(source)
     settings = _convert(text, InstanceSettings, checker)
     _check_instance(settings, checker)
@@ -57,7 +60,7 @@
     Parameters
     ----------
     source
-        File or path that each problem names.
+        File or path to name in each problem.
 
     Raises
     ------
@@ -74,7 +77,11 @@
 def parse_settings(
     text: str, schema: type[_Schema], source: str = 'settings'
 ) -> _Schema:
-    """Return settings of any schema from TOML; see `parse_team_settings`."""
+    """Return settings of any schema from TOML.
+
+    Raises what `parse_team_settings` raises, but checks neither references nor
+    duplicates.
+    """
     return _convert(text, schema, Checker(source))
 
 
@@ -102,7 +109,7 @@
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        checker.add('', None, f'is not TOML: {error}', 'mend that line')
+        checker.add('', None, f'is not TOML: {error}', 'fix that line')
         raise SettingsProblemsError(checker.problems) from error
 
 
@@ -140,12 +147,16 @@
     runs: dict[str, str] = {}
     for index, deployment in enumerate(settings.deployments):
         path = f'deployments[{index}]'
-        for place, sampler in enumerate(deployment.samplers):
-            where = f'{path}.samplers[{place}]'
-            _check_once(checker, samplers, sampler.id, f'{where}.id')
-            _check_once(checker, samplers, sampler.address, f'{where}.address')
-        for place, run in enumerate(deployment.runs):
-            _check_once(checker, runs, run.id, f'{path}.runs[{place}].id')
+        for position, sampler in enumerate(deployment.samplers):
+            item_path = f'{path}.samplers[{position}]'
+            _check_not_seen(checker, samplers, sampler.id, f'{item_path}.id')
+            _check_not_seen(
+                checker, samplers, sampler.address, f'{item_path}.address'
+            )
+        for position, run in enumerate(deployment.runs):
+            _check_not_seen(
+                checker, runs, run.id, f'{path}.runs[{position}].id'
+            )
         _check_scoring(settings, index, checker)
     for index, service in enumerate(settings.services):
         path = f'services[{index}].upstreams'
@@ -153,7 +164,7 @@
         check_unique(checker, service.upstreams, path, _address, 'address')
 
 
-def _check_once(
+def _check_not_seen(
     checker: Checker, seen: dict[str, str], value: str, path: str
 ) -> None:
     first = seen.setdefault(value, path)
--- a/guavagate/settings/_errors.py
+++ b/guavagate/settings/_errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong when operators change settings."""
+"""Errors of changes to settings."""
 
 from guavagate.exceptions import SettingsError
 from guavagate.models import Revision, TeamId
@@ -13,16 +13,16 @@
     base
         The revision that the refused change was made from.
     other
-        The change in the store, nothing when there are no settings.
+        The latest change in the store; None without settings.
     toml
-        The text in the store.
+        The settings text in the store.
     """
 
     def __init__(
         self, team: TeamId, base: Revision, other: Change | None, toml: str
     ) -> None:
         super().__init__(
-            _tell(team, base, other),
+            _describe_conflict(team, base, other),
             'read it with `guavagate settings diff`, then make the change'
             ' again from the newest revision',
         )
@@ -36,7 +36,9 @@
     """The store may or may not have taken a change."""
 
 
-def _tell(team: TeamId, base: Revision, other: Change | None) -> str:
+def _describe_conflict(
+    team: TeamId, base: Revision, other: Change | None
+) -> str:
     if other is None:
         return f'{team!r} has no settings, so no revision {base}'
     return (
--- a/guavagate/settings/_load.py
+++ b/guavagate/settings/_load.py
@@ -1,9 +1,9 @@
-"""How an instance that starts learns the settings.
+"""Loads the settings when an instance starts.
 
-Store and peers are asked side by side and the newest revision wins: either
-may be down, and the store may answer from an old copy. Taking the first
-answer could put an earlier revision in force than this instance had before
-its restart.
+The store and some peers are queried concurrently and the newest revision
+wins: either may be unavailable, and the store may answer from a stale
+replica. Using only the first answer could put an earlier revision in force
+than this instance had before its restart.
 """
 
 import dataclasses
@@ -22,16 +22,16 @@
 from guavagate.settings._relay import read_records
 from guavagate.settings._table import LOGGER, SettingsTable
 
-_STORE_TIMEOUT: Final = 3.0
-_PAUSE: Final = 1.0
-_PEERS_ASKED: Final = 8
-# Rounds between two log lines, for it may wait for hours.
-_LOG_EVERY: Final = 30
+_STORE_TIMEOUT_SECONDS: Final = 3.0
+_RETRY_SECONDS: Final = 1.0
+_PEERS_PER_ROUND: Final = 8
+# Limits the log: an instance may wait for hours.
+_ROUNDS_PER_LOG_LINE: Final = 30
 
 
 @dataclasses.dataclass(frozen=True)
 class Sources:
-    """Where an instance that starts can learn the settings."""
+    """The sources from which an instance loads the settings."""
 
     clock: Clock
     store: ObjectStore
@@ -39,30 +39,30 @@
     peer_sync: PeerSync
     freshness: Freshness
     peers: Callable[[], list[InstanceId]]
-    dice: random.Random
+    rng: random.Random
 
 
 def load_settings(sources: Sources) -> None:
-    """Return once the settings are known, however long that takes."""
+    """Load the settings, trying until the store or a peer has answered."""
     rounds = 0
     while True:
         peers = sources.peers()
-        asked = sources.dice.sample(peers, min(_PEERS_ASKED, len(peers)))
+        queried = sources.rng.sample(peers, min(_PEERS_PER_ROUND, len(peers)))
         spawn = sources.clock.spawn
-        tasks = [spawn(_ask_store, sources)]
-        tasks.extend(spawn(_ask_peer, sources, peer) for peer in asked)
+        tasks = [spawn(_load_from_store, sources)]
+        tasks.extend(spawn(_load_from_peer, sources, peer) for peer in queried)
         answers = [task.get() for task in tasks]
         if any(answers):
             return
-        if rounds % _LOG_EVERY == 0:
-            write(LOGGER, events.NOT_LOADED, asked=['object API', *asked])
+        if rounds % _ROUNDS_PER_LOG_LINE == 0:
+            write(LOGGER, events.NOT_LOADED, asked=['object API', *queried])
         rounds += 1
-        sources.clock.sleep(_PAUSE)
+        sources.clock.sleep(_RETRY_SECONDS)
 
 
-def _ask_store(sources: Sources) -> bool:
+def _load_from_store(sources: Sources) -> bool:
     try:
-        _read_bounded(sources.clock, sources.store, sources.table)
+        _read_store(sources.clock, sources.store, sources.table)
     except StoreError as error:
         LOGGER.debug('no list of the settings: %s', error)
         return False
@@ -70,7 +70,7 @@
     return True
 
 
-def _ask_peer(sources: Sources, peer: InstanceId) -> bool:
+def _load_from_peer(sources: Sources, peer: InstanceId) -> bool:
     try:
         known = sources.peer_sync.sync_with(peer)
     except LinkError:
@@ -80,18 +80,16 @@
     return known
 
 
-def _read_bounded(
-    clock: Clock, store: ObjectStore, table: SettingsTable
-) -> None:
-    with clock.timeout(_STORE_TIMEOUT, _tell_slow):
+def _read_store(clock: Clock, store: ObjectStore, table: SettingsTable) -> None:
+    with clock.timeout(_STORE_TIMEOUT_SECONDS, _make_timeout_error):
         found, _ = read_records(store)
     for stored in found:
         if stored.record is not None:
             table.apply_if_newer(stored.record)
 
 
-def _tell_slow() -> StoreError:
+def _make_timeout_error() -> StoreError:
     return StoreUnavailableError(
-        f'the object API gave no list in {_STORE_TIMEOUT:g} s',
+        f'the object API gave no list in {_STORE_TIMEOUT_SECONDS:g} s',
         'check the object API',
     )
--- a/guavagate/settings/_manager.py
+++ b/guavagate/settings/_manager.py
@@ -1,4 +1,4 @@
-"""The teams' settings in force on one instance, kept up by peers and store."""
+"""Keeps the teams' settings of one instance up to date."""
 
 import random
 from collections.abc import Callable
@@ -51,8 +51,8 @@
 class TeamSettingsManager:
     """Keeps the teams' settings in force; implements `runtime.Teams`.
 
-    Until the settings are known from the store or a peer there are none: an
-    instance that starts must not serve by what one lagging source says.
+    Until the settings are loaded there are none: an instance that starts must
+    not serve by the answer of a single stale source.
     """
 
     def __init__(
@@ -72,10 +72,10 @@
         self._store = store
         self._members = members
         self._decisions = decisions
-        self._known = False
+        self._loaded = False
         self._tasks: list[Task] = []
         self._subscribers: list[Callable[[TeamId], None]] = []
-        self._dice = random.Random(settings.id)
+        self._rng = random.Random(settings.id)
         self._broadcaster = Broadcaster(bus, self.table)
         self._freshness = Freshness(
             clock, parse_duration(settings.settings_limit)
@@ -87,7 +87,7 @@
             self.report,
             self._freshness.record_peer_contact,
         )
-        self._send_digest = self._make_digests()
+        self._send_digest = self._make_digest_sender()
         self._relay = Relay(
             clock,
             store,
@@ -95,12 +95,12 @@
             self.writer,
             self._is_relay,
             self._freshness.record_store_answer,
-            self._tell_zone,
+            self._send_to_zone,
         )
-        self.table.subscribe(self._pass_on_change)
+        self.table.subscribe(self._notify_subscribers)
 
     def start(self) -> None:
-        """Learn the settings, then follow their changes."""
+        """Load the settings, then follow their changes."""
         self._tasks = [self._clock.spawn(self._run)]
 
     def stop(self) -> None:
@@ -110,25 +110,25 @@
 
     def get(self, team: TeamId) -> TeamSettings | None:
         """Return the settings in force for a team."""
-        return self.table.get(team) if self._known else None
+        return self.table.get(team) if self._loaded else None
 
     def all(self) -> list[TeamSettings]:
         """Return every team's settings in force."""
-        return self.table.all() if self._known else []
+        return self.table.all() if self._loaded else []
 
     def subscribe(self, changed: Callable[[TeamId], None]) -> None:
-        """Call back, without blocking, after each change."""
+        """Register a non-blocking callback for changes."""
         self._subscribers.append(changed)
 
     def change(
-        self, wanted: ChangeRequest, limit: float = DEFAULT_LIMIT_SECONDS
+        self, request: ChangeRequest, limit: float = DEFAULT_LIMIT_SECONDS
     ) -> SettingsRecord:
-        """Have a change accepted and tell it to all instances.
+        """Write a change to the store and send it to all instances.
 
         Raises what `SettingsWriter.change` raises.
         """
-        record = self.writer.change(wanted, limit)
-        self._broadcaster.broadcast(record, self._peer_ids())
+        record = self.writer.change(request, limit)
+        self._broadcaster.broadcast(record, self._list_peers())
         self._clock.spawn(self.writer.delete_oldest, record)
         write(
             LOGGER,
@@ -141,8 +141,8 @@
         return record
 
     def unready_reasons(self) -> tuple[str, ...]:
-        """Return why this instance is not ready; nothing when it is."""
-        if not self._known:
+        """Return why this instance is not ready; empty if it is."""
+        if not self._loaded:
             return (
                 'settings: waiting for the object API at'
                 f' {self._settings.platform.object_api} or a peer that knows'
@@ -156,7 +156,7 @@
         return unreadable + self._freshness.unready_reasons()
 
     def report(self, team: TeamId | None) -> SettingsRevisions:
-        """Return what is in force here, for a peer or an operator."""
+        """Return the revisions in force here, for a peer or an operator."""
         revisions = self.table.revisions()
         if team is not None:
             revisions = {team: self.table.revision(team)}
@@ -164,41 +164,43 @@
             revisions={
                 name: int(revision) for name, revision in revisions.items()
             },
-            known=self._known,
+            known=self._loaded,
             is_relay=self._relay.is_active,
             heard_store=self._freshness.seconds_since_store(),
             heard_peers=self._freshness.seconds_since_peers(),
             waits_for=self.unready_reasons(),
-            unreadable=_plain(self.table.unreadable()),
+            unreadable=_to_integers(self.table.unreadable()),
         )
 
     def status(self, team: TeamId) -> list[InstanceStatus]:
-        """Return the revision in force on each instance, and who lags why."""
+        """Return each instance's revision in force, and why it lags."""
         return collect_status(
             self._bus,
             team,
             self._settings.id,
             self.report(team),
-            self._known_peers(),
+            self._list_known_peers(),
         )
 
     def _run(self) -> None:
-        self._learn()
-        self._known = True
+        self._load()
+        self._loaded = True
         write(LOGGER, events.LOADED, teams=len(self.table.records()))
         for record in self.table.records():
-            self._pass_on_change(record.team)
+            self._notify_subscribers(record.team)
         peer_sync = self._clock.spawn(self._peer_sync.run, self._send_digest)
         self._tasks.append(peer_sync)
         self._relay.run()
 
-    def _make_digests(self) -> SendDigest:
-        heard = self._peer_sync.handle_digest
+    def _make_digest_sender(self) -> SendDigest:
+        on_digest = self._peer_sync.handle_digest
         if isinstance(self._members, FactMembership):
-            return make_fact_sender(self._members, heard)
-        return make_message_sender(self._bus, self._peer_ids, self._dice, heard)
+            return make_fact_sender(self._members, on_digest)
+        return make_message_sender(
+            self._bus, self._list_peers, self._rng, on_digest
+        )
 
-    def _learn(self) -> None:
+    def _load(self) -> None:
         load_settings(
             Sources(
                 clock=self._clock,
@@ -206,13 +208,13 @@
                 table=self.table,
                 peer_sync=self._peer_sync,
                 freshness=self._freshness,
-                peers=self._peer_ids,
-                dice=self._dice,
+                peers=self._list_peers,
+                rng=self._rng,
             )
         )
 
-    def _pass_on_change(self, team: TeamId) -> None:
-        if not self._known:
+    def _notify_subscribers(self, team: TeamId) -> None:
+        if not self._loaded:
             return
         record = self.table.record(team)
         if record is not None:
@@ -223,16 +225,17 @@
                 f'{record.change.who}: {record.change.why}',
             )
         for changed in self._subscribers:
-            _call(changed, team)
+            _notify(changed, team)
 
     def _is_relay(self) -> bool:
         chosen = choose_relay(
             self._settings.availability_zone, self._members.alive()
         )
-        # Alone, or not yet seen as alive by itself: better one watch too many.
+        # None while no instance of the zone counts as alive, not even this
+        # one: an extra watch does less harm than a missing one.
         return chosen in {None, self._settings.id}
 
-    def _tell_zone(self, record: SettingsRecord) -> None:
+    def _send_to_zone(self, record: SettingsRecord) -> None:
         zone = self._settings.availability_zone
         self._broadcaster.broadcast(
             record,
@@ -244,28 +247,28 @@
             ],
         )
 
-    def _peer_ids(self) -> list[InstanceId]:
-        me = self._settings.id
-        return [peer.id for peer in self._members.alive() if peer.id != me]
+    def _list_peers(self) -> list[InstanceId]:
+        own_id = self._settings.id
+        return [peer.id for peer in self._members.alive() if peer.id != own_id]
 
-    def _known_peers(self) -> dict[InstanceId, bool]:
-        """Return every instance known, and whether it is alive."""
+    def _list_known_peers(self) -> dict[InstanceId, bool]:
+        """Return every known instance and whether it is alive."""
         known = {peer.id: False for peer in self._settings.peers}
         known.update({peer.id: True for peer in self._members.alive()})
         known.pop(self._settings.id, None)
         return known
 
 
-def _call(changed: Callable[[TeamId], None], team: TeamId) -> None:
-    # A subscriber that fails would end the task that brought the change, and
-    # with it every later change: the instance would serve by old settings and
-    # call itself ready.
+def _notify(changed: Callable[[TeamId], None], team: TeamId) -> None:
+    # An exception would end the task that received the change, and no later
+    # change would arrive: the instance would serve by old settings and still
+    # report itself ready.
     try:
         changed(team)
     except Exception as error:
         write(LOGGER, events.APPLY_FAILED, team=team, error=repr(error))
-        LOGGER.debug('not taken', exc_info=error)
+        LOGGER.debug('a subscriber failed', exc_info=error)
 
 
-def _plain(revisions: dict[TeamId, Revision]) -> dict[TeamId, int]:
+def _to_integers(revisions: dict[TeamId, Revision]) -> dict[TeamId, int]:
     return {team: int(revisions[team]) for team in revisions}
--- a/guavagate/settings/_messages.py
+++ b/guavagate/settings/_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other about settings."""
+"""Messages about settings between instances."""
 
 from guavagate.links import Message
 from guavagate.models import InstanceId, TeamId
@@ -6,19 +6,19 @@
 
 
 class SettingsTell(Message, frozen=True, kw_only=True):
-    """A revision for the receiver, who passes it on to `targets`."""
+    """A revision, which the receiver applies and forwards to `targets`."""
 
     record: SettingsRecord
     targets: tuple[InstanceId, ...] = ()
 
 
 class SettingsDigest(Message, frozen=True, kw_only=True):
-    """A hash over every team's revision: constant size, whatever is kept.
+    """A hash over all teams' revisions, of constant size.
 
     Parameters
     ----------
     known
-        False while the sender has not learnt the settings itself.
+        False until the sender has loaded the settings.
     """
 
     digest: int
@@ -26,7 +26,7 @@
 
 
 class SettingsRevisionsAsk(Message, frozen=True, kw_only=True):
-    """Asks for the revisions in force; `team` narrows it to one."""
+    """Requests the revisions in force, of one team if `team` is set."""
 
     team: TeamId | None = None
 
@@ -37,11 +37,11 @@
     Parameters
     ----------
     heard_store, heard_peers
-        Seconds since each was last heard; nothing when never.
+        Seconds since the last answer of each; None before the first.
     waits_for
-        Why the sender is not ready; empty when it is.
+        Why the sender is not ready; empty if it is.
     unreadable
-        Accepted revisions that the sender's release could not read.
+        Accepted revisions that the sender's release can't read.
     """
 
     revisions: dict[TeamId, int]
@@ -54,12 +54,12 @@
 
 
 class SettingsFetch(Message, frozen=True, kw_only=True):
-    """Asks for one team's record in force."""
+    """Requests the newest record of one team."""
 
     team: TeamId
 
 
 class SettingsFetched(Message, frozen=True, kw_only=True):
-    """The record asked for, if the sender has one."""
+    """The requested record, if the sender has one."""
 
     record: SettingsRecord | None = None
--- a/guavagate/settings/_paths.py
+++ b/guavagate/settings/_paths.py
@@ -1,7 +1,7 @@
 """Settings under paths, such as ``authority/deployments/consent-llm/weights``.
 
-The first part is the team; each further one is a key, or the id of an item of
-a list.
+The first part names the team. Each further part is a key of a table, or the id
+of an item in a list.
 """
 
 import tomllib
@@ -15,7 +15,7 @@
 
 
 def split_path(path: str) -> tuple[TeamId, tuple[str, ...]]:
-    """Return the team and the parts below it."""
+    """Return the team and the remaining parts of a path."""
     team, *parts = [part for part in path.split('/') if part] or ['']
     if not team:
         raise SettingsError(
@@ -26,28 +26,28 @@
 
 
 def find_value(toml: str, parts: tuple[str, ...]) -> Any:
-    """Return the value under a path of a team's text.
+    """Return the value at a path in a team's settings text.
 
     Raises
     ------
     SettingsError
-        Nothing is there; the remedy lists what is.
+        The path does not exist; the remedy lists the known names.
     """
     value: Any = tomllib.loads(toml)
     for part in parts:
-        value = _step(value, part)
+        value = _descend(value, part)
     return value
 
 
 def replace_value(toml: str, parts: tuple[str, ...], value: Any) -> str:
-    """Return the text with another value under a path.
+    """Return the text with the value at a path replaced.
 
-    Comments are lost: the text is written anew.
+    Comments are lost, because the whole text is rendered again.
 
     Raises
     ------
     SettingsError
-        The path leads nowhere; its last key may be new.
+        The path does not exist; only its last key may be new.
     """
     if not parts:
         raise SettingsError(
@@ -55,36 +55,40 @@
             'use `guavagate settings apply` for whole texts',
         )
     plain = tomllib.loads(toml)
-    holder: Any = plain
+    parent: Any = plain
     for part in parts[:-1]:
-        holder = _step(holder, part)
-    if not isinstance(holder, dict):
+        parent = _descend(parent, part)
+    if not isinstance(parent, dict):
         raise SettingsError(
             f'{parts[-1]!r} is an item of a list, not a key',
             'name a key of it, or apply the whole text',
         )
-    holder[parts[-1]] = value
+    parent[parts[-1]] = value
     return tomli_w.dumps(plain)
 
 
 def parse_value(text: str) -> Any:
-    """Return a value as TOML has it, or the text itself if it is none."""
+    """Return the value of a TOML expression, or the text itself."""
     try:
         return tomllib.loads(f'value = {text}')['value']
     except tomllib.TOMLDecodeError:
         return text
 
 
-def _step(value: Any, part: str) -> Any:
-    known = _list_parts(value)
+def _descend(value: Any, part: str) -> Any:
+    known = _list_children(value)
     if part in known:
         return known[part]
-    near = find_nearest(part, set(known))
-    hint = f'did you mean {near!r}?' if near else _tell_known(known)
+    suggestion = find_nearest(part, set(known))
+    hint = (
+        f'did you mean {suggestion!r}?'
+        if suggestion
+        else _describe_known(known)
+    )
     raise SettingsError(f'there is no {part!r} on this path', hint)
 
 
-def _list_parts(value: Any) -> dict[str, Any]:
+def _list_children(value: Any) -> dict[str, Any]:
     if isinstance(value, dict):
         return value
     if isinstance(value, list):
@@ -96,7 +100,7 @@
     return {}
 
 
-def _tell_known(known: dict[str, Any]) -> str:
+def _describe_known(known: dict[str, Any]) -> str:
     if not known:
         return 'the path ends before it'
     names = ', '.join(sorted(known))
--- a/guavagate/settings/_peer_sync.py
+++ b/guavagate/settings/_peer_sync.py
@@ -1,10 +1,11 @@
-"""Peers compare what is in force, and fetch what they lack.
+"""Reconciles the settings in force between peers (anti-entropy).
 
-Each instance sends a digest of constant size to a few random peers a
-second. Where two differ, the receiver asks for the revisions, fetches the
-newer ones and tells back what the sender lacks. Whoever missed a revision is
-thus found within a second or two, however it was missed: a dead instance in
-the tree, a pause, a gap in a watch, a store that is down or old.
+Every second each instance sends a digest of constant size to a few random
+peers. If it differs from the receiver's, the receiver requests the sender's
+revisions, fetches newer records and sends back those that the sender lacks. A
+missed revision is thus found within a second or two, whatever the cause: a
+dead instance in the broadcast tree, a paused process, a gap in a watch, or a
+store that is unavailable or stale.
 """
 
 from collections.abc import Callable
@@ -30,7 +31,7 @@
 
 
 class PeerSync:
-    """Compares this instance's settings with its peers'."""
+    """Synchronizes this instance's settings with its peers."""
 
     def __init__(
         self,
@@ -38,19 +39,19 @@
         bus: Bus,
         table: SettingsTable,
         report: Callable[[TeamId | None], SettingsRevisions],
-        heard: Callable[[], None],
+        on_contact: Callable[[], None],
     ) -> None:
         self._clock = clock
         self._bus = bus
         self._table = table
         self._report = report
-        self._heard = heard
-        self._busy: set[InstanceId] = set()
+        self._on_contact = on_contact
+        self._comparing: set[InstanceId] = set()
         bus.register(SettingsRevisionsAsk, self._handle_ask)
         bus.register(SettingsFetch, self._handle_fetch)
 
     def run(self, send: SendDigest) -> None:
-        """Send digests; never returns."""
+        """Send digests periodically; never returns."""
         while True:
             send(self._table.digest(), self._report(None).known)
             self._clock.sleep(DIGEST_INTERVAL_SECONDS)
@@ -58,36 +59,36 @@
     def handle_digest(
         self, sender: InstanceId, digest: int, known: bool
     ) -> None:
-        """Take in a peer's digest; does not block."""
+        """Handle a peer's digest without blocking."""
         if known:
-            self._heard()
-        if digest == self._table.digest() or sender in self._busy:
+            self._on_contact()
+        if digest == self._table.digest() or sender in self._comparing:
             return
-        self._busy.add(sender)
+        self._comparing.add(sender)
         self._clock.spawn(self._compare, sender)
 
     def sync_with(self, peer: InstanceId) -> bool:
-        """Fetch what a peer has newer; return whether it knew the settings.
+        """Exchange newer records; return whether the peer knew the settings.
 
         Raises
         ------
         LinkError
             The peer gave no answer.
         """
-        theirs = self._bus.request(
+        answer = self._bus.request(
             peer,
             SettingsRevisionsAsk(),
             SettingsRevisions,
             REQUEST_TIMEOUT_SECONDS,
         )
-        newest = {**theirs.revisions, **theirs.unreadable}
+        newest = {**answer.revisions, **answer.unreadable}
         for team, revision in sorted(newest.items()):
             if revision > self._table.newest_revision(team):
                 self._fetch(peer, team)
         for record in self._table.records():
             if record.revision > newest.get(record.team, 0):
                 self._bus.send(peer, SettingsTell(record=record))
-        return theirs.known
+        return answer.known
 
     def _fetch(self, peer: InstanceId, team: TeamId) -> None:
         fetched = self._bus.request(
@@ -100,10 +101,10 @@
         try:
             self.sync_with(sender)
         except LinkError:
-            # The next digest, of this peer or another, brings a new attempt.
+            # The next digest, from any peer, triggers another attempt.
             return
         finally:
-            self._busy.discard(sender)
+            self._comparing.discard(sender)
 
     def _handle_ask(
         self, sender: InstanceId, message: Message
--- a/guavagate/settings/_record.py
+++ b/guavagate/settings/_record.py
@@ -1,4 +1,4 @@
-"""One accepted revision of a team's settings, as the store keeps it."""
+"""The stored form of one accepted revision of a team's settings."""
 
 from typing import Final
 
@@ -11,8 +11,8 @@
 HISTORY_PREFIX: Final = 'settings-history/'
 
 
-# Each record carries this many earlier changes, and the store keeps as many
-# earlier texts: weeks for a team that changes daily, 3 KB in each record.
+# Earlier changes listed in each record, and earlier texts kept in the store.
+# Covers weeks for a team with daily changes, at 3 KB per record.
 HISTORY_LENGTH: Final = 20
 
 
@@ -22,9 +22,10 @@
     Parameters
     ----------
     change_id
-        Unique; its presence in the store proves that the change was accepted.
+        Unique id; its presence in the store proves that the change was
+        accepted.
     at
-        Wall-clock seconds.
+        Wall-clock time in seconds.
     """
 
     revision: Revision
@@ -40,9 +41,9 @@
     Parameters
     ----------
     toml
-        The text as the operator wrote it.
+        The settings text as the operator wrote it.
     earlier
-        The changes before this one, newest first, bounded.
+        Earlier changes, newest first, at most `HISTORY_LENGTH`.
     """
 
     team: TeamId
@@ -52,43 +53,43 @@
 
     @property
     def revision(self) -> Revision:
-        """Return the number that only ever grows within the team."""
+        """Return the revision number, which grows with each change."""
         return self.change.revision
 
 
 def has_change(record: SettingsRecord, change_id: str) -> bool:
-    """Return whether a change is part of this record or its past."""
+    """Return whether a record or its listed history has a change."""
     changes = (record.change, *record.earlier)
     return any(change.change_id == change_id for change in changes)
 
 
 def settings_path(team: TeamId) -> str:
-    """Return where a team's settings are kept."""
+    """Return the store path of a team's settings."""
     return f'{SETTINGS_PREFIX}{team}'
 
 
 def history_path(team: TeamId, revision: Revision) -> str:
-    """Return where a replaced revision is kept."""
+    """Return the store path of an earlier revision."""
     return f'{HISTORY_PREFIX}{team}/{revision}'
 
 
 def encode_record(record: SettingsRecord) -> bytes:
-    """Return the bytes that the store keeps."""
+    """Return a record's bytes for the store."""
     return msgspec.json.encode(record)
 
 
 def decode_record(value: bytes, path: str) -> SettingsRecord:
-    """Return the record in an object's bytes.
+    """Decode a record from an object's bytes.
 
     Raises
     ------
     StoreError
-        The object is no settings record.
+        The object is not a settings record.
     """
     try:
         return msgspec.json.decode(value, type=SettingsRecord)
     except msgspec.DecodeError as error:
         raise StoreError(
-            f'the object {path} is no settings record: {error}',
+            f'the object {path} is not a settings record: {error}',
             'write it through `guavagate settings apply`',
         ) from error
--- a/guavagate/settings/_relay.py
+++ b/guavagate/settings/_relay.py
@@ -1,7 +1,7 @@
-"""The one watch of an availability zone, held by one of its instances.
+"""Watches the settings in the store, on one instance per availability zone.
 
 A waiting watch counts as a call of the object API, whose rates grow more
-slowly than the fleet, so instances must not watch each for themselves.
+slowly than the fleet, so not every instance may watch the store itself.
 """
 
 import logging
@@ -31,19 +31,20 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# An instance alone hears the store no more often than this.
+# Longest time between two answers of the store to a watch.
 WATCH_TIMEOUT_SECONDS: Final = 5.0
-_RETRY_PAUSE: Final = 1.0
-_CHECK_PAUSE: Final = 1.0
-# A watch that silently misses changes is found out by listing again.
-_LIST_EVERY: Final = 300.0
+_RETRY_SECONDS: Final = 1.0
+_CHECK_INTERVAL_SECONDS: Final = 1.0
+# A new list finds changes that the watch missed without an error.
+_LIST_INTERVAL_SECONDS: Final = 300.0
 
 
 def choose_relay(zone: str, instances: list[PeerSettings]) -> InstanceId | None:
-    """Return who holds a zone's watch: rendezvous hashing over its instances.
+    """Return a zone's relay, by rendezvous hashing over its instances.
 
-    Needs no store and no agreement: while views of the membership differ, two
-    hold a watch or, for a moment, none does, and peers' digests bridge that.
+    This needs neither store nor consensus. While views of the membership
+    differ, two instances may watch or, for a moment, none; digests of peers
+    cover that gap.
     """
     candidates = [
         peer.id for peer in instances if peer.availability_zone == zone
@@ -52,14 +53,14 @@
 
 
 def read_records(store: ObjectStore) -> tuple[list[Stored], Revision]:
-    """Return every team's record in the store and the list's revision."""
+    """Return all teams' records in the store, and the list's revision."""
     objects, revision = store.list_under(SETTINGS_PREFIX)
     found = [_decode(item) for item in objects]
     return [stored for stored in found if stored is not None], revision
 
 
 class Relay:
-    """Follows the store while this instance is its zone's relay."""
+    """Watches the store while this instance is its zone's relay."""
 
     def __init__(
         self,
@@ -68,83 +69,84 @@
         table: SettingsTable,
         writer: SettingsWriter,
         is_chosen: Callable[[], bool],
-        heard: Callable[[], None],
-        learnt: Callable[[SettingsRecord], None],
+        on_answer: Callable[[], None],
+        on_revision: Callable[[SettingsRecord], None],
     ) -> None:
         self._clock = clock
         self._store = store
         self._table = table
         self._writer = writer
         self._is_chosen = is_chosen
-        self._heard = heard
-        self._learnt = learnt
+        self._on_answer = on_answer
+        self._on_revision = on_revision
         self.is_active = False
         self._failing = False
 
     def run(self) -> None:
-        """Follow the store whenever chosen; never returns."""
+        """Watch the store whenever chosen; never returns."""
         while True:
             if self._is_chosen():
-                self._set_active(now=True)
+                self._set_active(active=True)
                 self._follow()
             else:
-                self._set_active(now=False)
-                self._clock.sleep(_CHECK_PAUSE)
+                self._set_active(active=False)
+                self._clock.sleep(_CHECK_INTERVAL_SECONDS)
 
-    def _set_active(self, *, now: bool) -> None:
-        if now is not self.is_active:
-            self.is_active = now
+    def _set_active(self, *, active: bool) -> None:
+        if active is not self.is_active:
+            self.is_active = active
             write(
-                _LOGGER, events.RELAY_STARTED if now else events.RELAY_STOPPED
+                _LOGGER,
+                events.RELAY_STARTED if active else events.RELAY_STOPPED,
             )
 
     def _follow(self) -> None:
         try:
             self._list_and_watch()
         except WatchCompactedError:
-            # Changes were missed: the next round lists everything again.
+            # Changes were missed; the next round lists all records again.
             return
         except StoreError as error:
-            self._note_failure(error)
-            self._clock.sleep(_RETRY_PAUSE)
+            self._record_failure(error)
+            self._clock.sleep(_RETRY_SECONDS)
 
     def _list_and_watch(self) -> None:
-        found, since = read_records(self._store)
-        self._note_answer()
+        found, watched_to = read_records(self._store)
+        self._record_answer()
         for stored in found:
-            self._take(stored)
+            self._apply(stored)
         self._restore_lost(found)
-        list_again = self._clock.now() + _LIST_EVERY
+        list_again = self._clock.now() + _LIST_INTERVAL_SECONDS
         while self._is_chosen() and self._clock.now() < list_again:
             changes, reached = self._store.watch(
-                SETTINGS_PREFIX, since, WATCH_TIMEOUT_SECONDS
+                SETTINGS_PREFIX, watched_to, WATCH_TIMEOUT_SECONDS
             )
-            self._note_answer()
-            if reached < since:
-                # The store went back in time: its list tells how far.
+            self._record_answer()
+            if reached < watched_to:
+                # The store went back to an earlier state; list it again.
                 return
-            since = reached
+            watched_to = reached
             for change in changes:
-                self._take(_decode(change))
+                self._apply(_decode(change))
 
-    def _note_failure(self, error: StoreError) -> None:
-        # Once for an outage: it may last for hours, and is tried each second.
+    def _record_failure(self, error: StoreError) -> None:
+        # Log once per outage: it may last for hours with a retry each second.
         if not self._failing:
             write(_LOGGER, events.WATCH_FAILED, error=str(error))
         self._failing = True
 
-    def _note_answer(self) -> None:
-        self._heard()
+    def _record_answer(self) -> None:
+        self._on_answer()
         if self._failing:
             write(_LOGGER, events.WATCH_RECOVERED)
         self._failing = False
 
-    def _take(self, stored: Stored | None) -> None:
+    def _apply(self, stored: Stored | None) -> None:
         if stored is None or stored.record is None:
             return
         if stored.revision > self._table.newest_revision(stored.record.team):
             self._table.apply_if_newer(stored.record)
-            self._learnt(stored.record)
+            self._on_revision(stored.record)
 
     def _restore_lost(self, found: list[Stored]) -> None:
         in_store = {
@@ -163,6 +165,6 @@
     try:
         return Stored(decode_record(found.value, found.path), found.version)
     except StoreError as error:
-        # One team's broken object must not hold up the other teams.
+        # One team's invalid object must not block the other teams.
         write(_LOGGER, events.INVALID_RECORD, path=found.path, error=str(error))
         return None
--- a/guavagate/settings/_schema.py
+++ b/guavagate/settings/_schema.py
@@ -1,4 +1,4 @@
-"""The typed form of all settings."""
+"""The schema of all settings."""
 
 import enum
 from typing import Annotated, Literal
@@ -21,7 +21,7 @@
 
 
 class Role(enum.StrEnum):
-    """What the holder of a token may do within its team."""
+    """What the owner of a token may do within its team."""
 
     CALLER = 'caller'
     TRAINER = 'trainer'
@@ -31,11 +31,11 @@
 class _Settings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Base: keyword-only, unchangeable, unknown keys refused."""
+    """Base class: keyword-only, immutable, without unknown keys."""
 
 
 class PlatformSettings(_Settings, frozen=True, kw_only=True):
-    """Where the platform's object API and instance list are."""
+    """Access to the platform's object API and instance list."""
 
     object_api: Annotated[str, describe('Base URL of the object API', Kind.URL)]
     credentials_file: Annotated[
@@ -44,7 +44,7 @@
 
 
 class PeerSettings(_Settings, frozen=True, kw_only=True):
-    """A peer known at start, before the instance list has been read."""
+    """A peer that is known before the instance list has been read."""
 
     id: Annotated[InstanceId, describe('Id of the instance', Kind.ID)]
     availability_zone: Annotated[
@@ -60,7 +60,7 @@
 
 
 class OperatorSettings(_Settings, frozen=True, kw_only=True):
-    """An operator of the fleet: every team's subtree, and the instances."""
+    """A fleet operator, who may change all teams and instances."""
 
     id: Annotated[CallerId, describe('Name shown in the history', Kind.ID)]
     token_hash: Annotated[
@@ -118,7 +118,7 @@
 
 
 class DeploymentWeights(_Settings, frozen=True, kw_only=True):
-    """What the deployment weighs: staleness against trainer idle time."""
+    """Weights of a deployment: staleness against trainer idle time."""
 
     staleness: Annotated[
         float, describe('Weight of the age of samples', least=0)
@@ -138,7 +138,7 @@
 
 
 class DeploymentSettings(_Settings, frozen=True, kw_only=True):
-    """A model deployment: samplers, and the bounds for their samples."""
+    """A model deployment: its samplers and bounds for their samples."""
 
     id: Annotated[DeploymentId, describe('Id of the deployment', Kind.ID)]
     samplers: tuple[SamplerSettings, ...]
@@ -173,7 +173,7 @@
 
 
 class ServiceSettings(_Settings, frozen=True, kw_only=True):
-    """A plain service; `idempotent` lists the methods that may be repeated."""
+    """A plain service and its upstreams."""
 
     id: Annotated[ServiceId, describe('Id of the service', Kind.ID)]
     upstreams: tuple[UpstreamSettings, ...]
@@ -202,7 +202,7 @@
 
 
 class TeamSettings(_Settings, frozen=True, kw_only=True):
-    """All that one team declares: one object in the store."""
+    """All settings of one team, stored as one object."""
 
     team: Annotated[TeamId, describe('Id of the team', Kind.ID)]
     weight: Annotated[
--- a/guavagate/settings/_status.py
+++ b/guavagate/settings/_status.py
@@ -1,4 +1,4 @@
-"""The revision in force on each instance, collected from them all."""
+"""Collects the revision in force on each instance."""
 
 from typing import Final
 
@@ -13,21 +13,21 @@
     SettingsRevisionsAsk,
 )
 
-_TIMEOUT: Final = 2.0
-_AT_ONCE: Final = 32
-_OLD: Final = 5.0
+_TIMEOUT_SECONDS: Final = 2.0
+_MAX_CONCURRENT: Final = 32
+_PEERS_STALE_SECONDS: Final = 5.0
 
 
 class InstanceStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One instance's settings.
+    """The revision of one team's settings on one instance.
 
     Parameters
     ----------
     lag
-        Why it is behind, if it is.
+        Why the instance lags behind; empty if it does not.
     alive
-        False for a configured peer that no longer takes part; what it holds
-        serves nobody.
+        False for a configured peer that is no longer a live member; it serves
+        no requests.
     """
 
     instance: InstanceId
@@ -40,13 +40,13 @@
 def collect_status(
     bus: Bus,
     team: TeamId,
-    me: InstanceId,
-    mine: SettingsRevisions,
+    own_id: InstanceId,
+    own_answer: SettingsRevisions,
     peers: dict[InstanceId, bool],
 ) -> list[InstanceStatus]:
-    """Ask every instance; who gives no answer is named, not left out."""
+    """Query all instances; those without an answer are listed too."""
 
-    def ask(peer: InstanceId) -> SettingsRevisions | str:
+    def request_revisions(peer: InstanceId) -> SettingsRevisions | str:
         if not peers[peer]:
             return 'not alive: stopped, or this instance does not hear it'
         try:
@@ -54,30 +54,36 @@
                 peer,
                 SettingsRevisionsAsk(team=team),
                 SettingsRevisions,
-                _TIMEOUT,
+                _TIMEOUT_SECONDS,
             )
         except LinkError as error:
             return f'no answer: {error.problem}'
 
     names = sorted(peers)
-    answers = dict(zip(names, Pool(_AT_ONCE).map(ask, names), strict=True))
-    answers[me] = mine
+    answers = dict(
+        zip(
+            names,
+            Pool(_MAX_CONCURRENT).map(request_revisions, names),
+            strict=True,
+        )
+    )
+    answers[own_id] = own_answer
     newest = max(
         _revision(answer, team)
         for answer in answers.values()
         if isinstance(answer, SettingsRevisions)
     )
-    judged = [
-        _judge(instance, answers[instance], team, newest)
+    statuses = [
+        _make_status(instance, answers[instance], team, newest)
         for instance in sorted(answers)
     ]
     return [
-        msgspec.structs.replace(one, alive=peers.get(one.instance, True))
-        for one in judged
+        msgspec.structs.replace(status, alive=peers.get(status.instance, True))
+        for status in statuses
     ]
 
 
-def _judge(
+def _make_status(
     instance: InstanceId,
     answer: SettingsRevisions | str,
     team: TeamId,
@@ -88,7 +94,7 @@
     revision = _revision(answer, team)
     lag = '; '.join(answer.waits_for)
     if not lag and revision < newest:
-        lag = _tell_lag(answer, newest)
+        lag = _explain_lag(answer, newest)
     return InstanceStatus(
         instance=instance,
         revision=revision,
@@ -97,9 +103,9 @@
     )
 
 
-def _tell_lag(answer: SettingsRevisions, newest: Revision) -> str:
-    heard = answer.heard_peers
-    if heard is None or heard > _OLD:
+def _explain_lag(answer: SettingsRevisions, newest: Revision) -> str:
+    seconds = answer.heard_peers
+    if seconds is None or seconds > _PEERS_STALE_SECONDS:
         return f'has not heard a peer lately, so lacks revision {newest}'
     return f'revision {newest} is on its way'
 
--- a/guavagate/settings/_table.py
+++ b/guavagate/settings/_table.py
@@ -1,4 +1,4 @@
-"""The settings in force on this instance: one revision for each team."""
+"""Stores the settings in force on this instance, one revision per team."""
 
 import logging
 from collections.abc import Callable
@@ -18,14 +18,14 @@
 
 
 class ParsedRecord(msgspec.Struct, frozen=True):
-    """A team's record with its settings parsed."""
+    """A team's record with the parsed settings."""
 
     record: SettingsRecord
     settings: TeamSettings
 
 
 class SettingsTable:
-    """Holds the newest accepted revision of each team; it never goes down."""
+    """Stores each team's newest accepted revision, which never decreases."""
 
     def __init__(self) -> None:
         self._teams: dict[TeamId, ParsedRecord] = {}
@@ -38,7 +38,7 @@
         return found.settings if found else None
 
     def all(self) -> list[TeamSettings]:
-        """Return every team's settings in force, by team."""
+        """Return all teams' settings in force, sorted by team."""
         return [self._teams[team].settings for team in sorted(self._teams)]
 
     def record(self, team: TeamId) -> SettingsRecord | None:
@@ -47,7 +47,7 @@
         return found.record if found else None
 
     def records(self) -> list[SettingsRecord]:
-        """Return every record in force, by team."""
+        """Return all records in force, sorted by team."""
         return [self._teams[team].record for team in sorted(self._teams)]
 
     def revision(self, team: TeamId) -> Revision:
@@ -68,25 +68,25 @@
         }
 
     def newest(self, team: TeamId) -> SettingsRecord | None:
-        """Return the newest record seen, readable here or not."""
+        """Return the newest received record, readable or not."""
         return self._unreadable.get(team) or self.record(team)
 
     def newest_revision(self, team: TeamId) -> Revision:
-        """Return the newest revision seen, 0 for an unknown team."""
+        """Return the newest received revision, 0 for an unknown team."""
         record = self.newest(team)
         return record.revision if record else Revision(0)
 
     def subscribe(self, changed: Callable[[TeamId], None]) -> None:
-        """Call back, without blocking, after each change."""
+        """Register a non-blocking callback for changes."""
         self._subscribers.append(changed)
 
     def apply_if_newer(self, record: SettingsRecord) -> bool:
         """Put a record in force if it is newer; return whether it was.
 
-        An older one comes from a late message, a store that answers from an
-        old copy or a relay that slept: taking it would undo an accepted
-        change. Comparing revisions is enough, because each revision of a team
-        is written by one conditional update.
+        An older record comes from a late message, from a store that answers
+        from a stale replica or from a relay that was paused. Applying it would
+        undo an accepted change. Comparing revisions is enough, because each
+        revision of a team is written by one conditional update.
         """
         if record.revision <= self.newest_revision(record.team):
             return False
@@ -95,7 +95,7 @@
                 record.toml, settings_path(record.team)
             )
         except SettingsError as error:
-            self._refuse(record, error)
+            self._record_unreadable(record, error)
             return False
         self._unreadable.pop(record.team, None)
         self._teams[record.team] = ParsedRecord(record, settings)
@@ -113,13 +113,15 @@
 
     def digest(self) -> int:
         """Return a hash over every team's revision."""
-        held = {**self.revisions(), **self.unreadable()}
-        lines = (f'{team}={held[team]}' for team in sorted(held))
+        newest = {**self.revisions(), **self.unreadable()}
+        lines = (f'{team}={newest[team]}' for team in sorted(newest))
         return xxhash.xxh64_intdigest('\n'.join(lines).encode())
 
-    def _refuse(self, record: SettingsRecord, error: SettingsError) -> None:
-        # A newer release may know keys that this one does not. The revision
-        # is remembered, or every peer would be asked for it each second.
+    def _record_unreadable(
+        self, record: SettingsRecord, error: SettingsError
+    ) -> None:
+        # A newer release may know keys that this one does not. Without the
+        # record, this instance would fetch the revision again each second.
         self._unreadable[record.team] = record
         write(
             LOGGER,
--- a/guavagate/settings/_value_kinds.py
+++ b/guavagate/settings/_value_kinds.py
@@ -1,4 +1,4 @@
-"""What a settings value means beyond its type: durations, addresses, ids."""
+"""Kinds of text values in settings, such as durations and addresses."""
 
 import enum
 import ipaddress
@@ -11,15 +11,15 @@
 from guavagate.exceptions import SettingsError
 from guavagate.util.units import parse_duration
 
-_ID: Final = re.compile('[A-Za-z0-9][A-Za-z0-9._-]{0,63}')
-_HASH: Final = re.compile('sha256:[0-9a-f]{64}')
+_ID_PATTERN: Final = re.compile('[A-Za-z0-9][A-Za-z0-9._-]{0,63}')
+_TOKEN_HASH_PATTERN: Final = re.compile('sha256:[0-9a-f]{64}')
 _MAX_PORT: Final = 65535
-# TOML knows infinity; no number of ours means anything beyond this.
-_MOST: Final = 1_000_000
+# TOML allows infinity; no number in the settings is useful beyond this.
+_MAX_NUMBER: Final = 1_000_000
 
 
 class Kind(enum.StrEnum):
-    """The kinds of text that settings hold."""
+    """The kinds of text values in settings."""
 
     ID = 'id'
     DURATION = 'duration'
@@ -41,33 +41,33 @@
     Parameters
     ----------
     text
-        What the field says, for docs/settings.md.
+        Description of the field for docs/settings.md.
     kind
-        What the text in it means.
+        Kind of a text value.
     above, least
-        Exclusive or inclusive lower bound of a number.
+        Exclusive and inclusive lower bound of a number.
     """
     if above is not None:
-        return msgspec.Meta(description=text, gt=above, le=_MOST)
+        return msgspec.Meta(description=text, gt=above, le=_MAX_NUMBER)
     if least is not None:
-        return msgspec.Meta(description=text, ge=least, le=_MOST)
+        return msgspec.Meta(description=text, ge=least, le=_MAX_NUMBER)
     extra = {'kind': kind} if kind else None
     return msgspec.Meta(description=text, extra=extra)
 
 
 def check_kind(kind: Kind, text: str) -> None:
-    """Raise when the text is not of the kind.
+    """Check that a text is of a kind.
 
     Raises
     ------
     SettingsError
-        Its remedy shows an example.
+        The text is not; the remedy shows an example.
     """
     _CHECKS[kind](text)
 
 
 def _check_id(text: str) -> None:
-    if not _ID.fullmatch(text):
+    if not _ID_PATTERN.fullmatch(text):
         raise SettingsError(
             f'{text!r} is not an id',
             'use 1 to 64 letters, digits, dots, dashes or underscores,'
@@ -104,7 +104,7 @@
 
 
 def _check_token_hash(text: str) -> None:
-    if not _HASH.fullmatch(text):
+    if not _TOKEN_HASH_PATTERN.fullmatch(text):
         raise SettingsError(
             'this is not the hash of a token',
             'make a token and its hash with `guavagate token`, and write the'
@@ -126,7 +126,9 @@
 
 def _check_duration(text: str) -> None:
     if parse_duration(text) <= 0:
-        raise SettingsError(f'{text!r} is no time at all', 'write more than 0')
+        raise SettingsError(
+            f'{text!r} is not more than 0', 'write a longer duration'
+        )
 
 
 _CHECKS: Final[dict[Kind, Callable[[str], object]]] = {
--- a/guavagate/settings/_writer.py
+++ b/guavagate/settings/_writer.py
@@ -1,4 +1,4 @@
-"""Changes a team's settings: checked, conditional, settled when in doubt."""
+"""Writes changes of a team's settings to the store."""
 
 import logging
 import uuid
@@ -39,19 +39,19 @@
 DEFAULT_LIMIT_SECONDS: Final = 10.0
 # The object API holds values up to a megabyte.
 MAX_OBJECT_BYTES: Final = 1_000_000
-_PAUSE: Final = 0.2
-_NONE: Final = Revision(0)
+_RETRY_SECONDS: Final = 0.2
+_NO_REVISION: Final = Revision(0)
 
 
 class ChangeRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A change that an operator wants.
+    """A change that an operator requests.
 
     Parameters
     ----------
     base
-        The revision that the operator saw and edited; 0 for a new team.
+        The revision that the operator edited; 0 for a new team.
     change_id
-        Repeating a change under the same id never applies it twice.
+        Repeating a change with the same id never applies it twice.
     """
 
     team: TeamId
@@ -71,11 +71,11 @@
     @property
     def revision(self) -> Revision:
         """Return the record's revision, 0 when there is none."""
-        return self.record.revision if self.record else _NONE
+        return self.record.revision if self.record else _NO_REVISION
 
 
 class SettingsWriter:
-    """Writes settings to the store on behalf of operators."""
+    """Writes settings to the store for operators."""
 
     def __init__(
         self, clock: Clock, store: ObjectStore, table: SettingsTable
@@ -85,45 +85,47 @@
         self._table = table
 
     def change(
-        self, wanted: ChangeRequest, limit: float = DEFAULT_LIMIT_SECONDS
+        self, request: ChangeRequest, limit: float = DEFAULT_LIMIT_SECONDS
     ) -> SettingsRecord:
-        """Have a change accepted; it is in force here on return.
+        """Write a change; it is in force on this instance on return.
 
         Parameters
         ----------
         limit
-            Seconds to go on trying when the store does not answer.
+            Seconds to retry while the store does not answer.
 
         Raises
         ------
         SettingsProblemsError
-            The text is not acceptable.
+            The text is invalid.
         SettingsConflictError
             Another operator changed the settings since `base`.
         SettingsUnsureError
-            The store may have taken the change; nobody can tell yet.
+            The store may or may not have accepted the change.
         StoreUnavailableError
-            Certainly not accepted.
+            The change was certainly not accepted.
         """
-        _check(wanted)
-        if not wanted.change_id:
-            wanted = msgspec.structs.replace(wanted, change_id=uuid.uuid4().hex)
-        attempt = _Attempt(self._clock, self._store, self._table, wanted)
+        _check_request(request)
+        if not request.change_id:
+            request = msgspec.structs.replace(
+                request, change_id=uuid.uuid4().hex
+            )
+        attempt = _Attempt(self._clock, self._store, self._table, request)
         accepted = attempt.run(limit)
         self._table.apply_if_newer(accepted)
         return accepted
 
     def read(self, team: TeamId) -> Stored:
-        """Return what the store holds now."""
+        """Return the record that is now in the store."""
         return read_record(self._store, team)
 
     def read_revision(self, team: TeamId, revision: Revision) -> SettingsRecord:
-        """Return an earlier revision whose text is still kept.
+        """Return an earlier revision whose text is still stored.
 
         Raises
         ------
         SettingsError
-            It is no longer, or not yet, kept.
+            It is no longer, or not yet, stored.
         """
         current = self._table.record(team)
         if current is not None and current.revision == revision:
@@ -141,21 +143,21 @@
         )
 
     def delete_oldest(self, record: SettingsRecord) -> None:
-        """Delete the text that an accepted change pushes out of the history."""
+        """Delete the text that a new record drops from the history."""
         oldest = Revision(record.revision - HISTORY_LENGTH - 1)
         if oldest <= 0:
             return
         try:
             self._store.delete(history_path(record.team, oldest), None)
         except StoreError as error:
-            _LOGGER.debug('old settings stay in the store: %s', error)
+            _LOGGER.debug('could not delete an old revision: %s', error)
 
     def restore(self, newer: SettingsRecord, stored: Stored) -> bool:
         """Write an accepted record back to a store that has lost it.
 
-        A store that merely answers from an old copy refuses the condition, so
-        trying is safe; a store set back to an old copy would otherwise hand
-        the earlier settings to every instance started after.
+        If the store only answers from a stale replica, it rejects the
+        condition, so trying is safe. If it was reset to a backup, every
+        instance that starts later would get the earlier settings.
         """
         try:
             self._store.put(
@@ -174,59 +176,59 @@
 
 
 class _Attempt:
-    """One change, tried until the store's answer is certain."""
+    """One change, retried until its outcome is certain."""
 
     def __init__(
         self,
         clock: Clock,
         store: ObjectStore,
         table: SettingsTable,
-        wanted: ChangeRequest,
+        request: ChangeRequest,
     ) -> None:
         self._clock = clock
         self._store = store
         self._table = table
-        self._wanted = wanted
-        self._unsure = False
-        self._last: StoreError | None = None
+        self._request = request
+        self._uncertain = False
+        self._last_error: StoreError | None = None
 
     def run(self, limit: float) -> SettingsRecord:
-        """Try until accepted, refused or out of time."""
-        until = self._clock.now() + limit
+        """Retry until the change is accepted, rejected or out of time."""
+        deadline = self._clock.now() + limit
         while True:
             accepted = self._try_once()
             if accepted is not None:
                 return accepted
-            if self._clock.now() + _PAUSE > until:
-                raise self._give_up()
-            self._clock.sleep(_PAUSE)
+            if self._clock.now() + _RETRY_SECONDS > deadline:
+                raise self._make_error()
+            self._clock.sleep(_RETRY_SECONDS)
 
     def _try_once(self) -> SettingsRecord | None:
         try:
-            stored = read_record(self._store, self._wanted.team)
+            stored = read_record(self._store, self._request.team)
         except StoreUnavailableError as error:
-            self._last = error
+            self._last_error = error
             return None
-        if self._is_behind(stored):
+        if self._is_stale(stored):
             return None
         record = stored.record
-        if record is not None and has_change(record, self._wanted.change_id):
+        if record is not None and has_change(record, self._request.change_id):
             return record
-        if stored.revision != self._wanted.base:
+        if stored.revision != self._request.base:
             raise SettingsConflictError(
-                self._wanted.team,
-                self._wanted.base,
+                self._request.team,
+                self._request.base,
                 record.change if record else None,
                 record.toml if record else '',
             )
         return self._put(stored)
 
-    def _is_behind(self, stored: Stored) -> bool:
-        """Return whether the store answered from an old copy."""
-        in_force = self._table.record(self._wanted.team)
+    def _is_stale(self, stored: Stored) -> bool:
+        """Return whether the store lacks an accepted revision."""
+        in_force = self._table.record(self._request.team)
         if in_force is None or stored.revision >= in_force.revision:
             return False
-        self._last = StoreUnavailableError(
+        self._last_error = StoreUnavailableError(
             f'the store shows revision {stored.revision}, but'
             f' {in_force.revision} has been accepted',
             'wait until the object API answers from its newest copy',
@@ -236,12 +238,12 @@
         return True
 
     def _put(self, stored: Stored) -> SettingsRecord | None:
-        record = _next_record(self._wanted, stored, self._clock.wall())
+        record = _next_record(self._request, stored, self._clock.wall())
         _check_size(record)
         try:
-            self._keep_past(stored)
+            self._archive(stored)
         except StoreUnavailableError as error:
-            self._last = error
+            self._last_error = error
             return None
         try:
             self._store.put(
@@ -250,38 +252,38 @@
                 stored.version,
             )
         except StoreConflictError as error:
-            # Another operator's change, or our own whose answer was lost:
-            # the next read shows which.
-            self._last = error
+            # Either another operator's change or this one, whose answer was
+            # lost; the next read shows which.
+            self._last_error = error
             return None
         except StoreUnavailableError as error:
-            self._unsure = True
-            self._last = error
+            self._uncertain = True
+            self._last_error = error
             return None
         return record
 
-    def _keep_past(self, stored: Stored) -> None:
-        """Keep the text that is about to be replaced.
+    def _archive(self, stored: Stored) -> None:
+        """Store the text that is about to be replaced.
 
-        Before, not after: a writer that died in between would leave a
-        revision without its text, and a rollback to it impossible.
+        This comes before the change: if the process died in between, the
+        earlier text would be lost and a rollback to it impossible.
         """
         if stored.record is None:
             return
         path = history_path(stored.record.team, stored.revision)
         try:
-            self._store.put(path, encode_record(stored.record), _NONE)
+            self._store.put(path, encode_record(stored.record), _NO_REVISION)
         except StoreConflictError:
             return
 
-    def _give_up(self) -> SettingsError | StoreError:
-        problem = self._last.problem if self._last else 'no answer'
-        if self._unsure:
+    def _make_error(self) -> SettingsError | StoreError:
+        problem = self._last_error.problem if self._last_error else 'no answer'
+        if self._uncertain:
             return SettingsUnsureError(
                 f'the store may or may not have taken the change of'
-                f' {self._wanted.team!r}: {problem}',
+                f' {self._request.team!r}: {problem}',
                 'repeat it with the same change id, which never applies it'
-                f' twice: {self._wanted.change_id}',
+                f' twice: {self._request.change_id}',
             )
         return StoreUnavailableError(
             f'the change was not accepted: {problem}', 'try again later'
@@ -293,7 +295,7 @@
     path = settings_path(team)
     found = store.get(path)
     if found is None:
-        return Stored(None, _NONE)
+        return Stored(None, _NO_REVISION)
     return Stored(decode_record(found.value, path), found.version)
 
 
@@ -307,35 +309,35 @@
         )
 
 
-def _check(wanted: ChangeRequest) -> None:
-    settings = parse_team_settings(wanted.toml, settings_path(wanted.team))
-    if settings.team != wanted.team:
+def _check_request(request: ChangeRequest) -> None:
+    settings = parse_team_settings(request.toml, settings_path(request.team))
+    if settings.team != request.team:
         raise SettingsError(
             f'the text is of the team {settings.team!r}, its path of'
-            f' {wanted.team!r}',
+            f' {request.team!r}',
             'write it under its own path, or mend `team`',
         )
-    if not wanted.why.strip():
+    if not request.why.strip():
         raise SettingsError(
-            'the change says no reason', 'give one, for the history'
+            'the change has no reason', 'give one, for the history'
         )
 
 
 def _next_record(
-    wanted: ChangeRequest, stored: Stored, at: float
+    request: ChangeRequest, stored: Stored, at: float
 ) -> SettingsRecord:
     earlier: tuple[Change, ...] = ()
     if stored.record is not None:
         earlier = (stored.record.change, *stored.record.earlier)
     return SettingsRecord(
-        team=wanted.team,
-        toml=wanted.toml,
+        team=request.team,
+        toml=request.toml,
         change=Change(
             revision=Revision(stored.revision + 1),
-            change_id=wanted.change_id,
-            who=wanted.who,
+            change_id=request.change_id,
+            who=request.who,
             at=at,
-            why=wanted.why,
+            why=request.why,
         ),
         earlier=earlier[:HISTORY_LENGTH],
     )
