--- a/guavagate/operators/__init__.py
+++ b/guavagate/operators/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP: settings under paths, status, explain, drain, health."""
+"""The operators' HTTP API: settings, status, explanations and drains."""
 
 from guavagate.operators._answers import ErrorBody, ErrorDetail
 from guavagate.operators._base import OperatorServices
--- a/guavagate/operators/_answers.py
+++ b/guavagate/operators/_answers.py
@@ -1,4 +1,4 @@
-"""JSON answers and errors of the operators' routes."""
+"""Writes JSON responses and errors of the operators' API."""
 
 import difflib
 from typing import Any
@@ -25,14 +25,14 @@
 class ErrorDetail(
     msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True
 ):
-    """Why something was refused, and what the operator can do.
+    """Why a request failed, and what the operator can do.
 
     Parameters
     ----------
     other
-        The change that a conflict met.
+        The accepted change that a request conflicts with.
     toml
-        The text in force in its place.
+        The settings text that this change put in force.
     """
 
     code: str
@@ -44,13 +44,13 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """The body of a refusal."""
+    """The body of an error response."""
 
     error: ErrorDetail
 
 
 def write_json(response: falcon.Response, body: Any, status: int = 200) -> None:
-    """Answer with a typed message."""
+    """Respond with a struct encoded as JSON."""
     response.status = status
     response.content_type = falcon.MEDIA_JSON
     response.data = msgspec.json.encode(body)
@@ -62,24 +62,24 @@
     error: GuavagateError,
     params: dict[str, Any],
 ) -> None:
-    """Answer with what went wrong; an error handler for falcon."""
-    detail, status = _describe(error)
+    """Respond with an error, in the form of a falcon error handler."""
+    detail, status = _convert_error(error)
     write_json(response, ErrorBody(detail), status)
     if status == falcon.http_status_to_code(falcon.HTTP_401):
         response.set_header('WWW-Authenticate', 'Bearer')
 
 
 def diff_texts(old: str, new: str, old_name: str, new_name: str) -> str:
-    """Return a unified diff of two settings texts."""
+    """Return the unified diff of two settings texts."""
     lines = difflib.unified_diff(
         old.splitlines(), new.splitlines(), old_name, new_name, lineterm=''
     )
     return '\n'.join(lines)
 
 
-def _describe(error: GuavagateError) -> tuple[ErrorDetail, int]:
+def _convert_error(error: GuavagateError) -> tuple[ErrorDetail, int]:
     if isinstance(error, RefusalError):
-        return _detail(error, error.reason), error.status
+        return _make_detail(error, error.reason), error.status
     if isinstance(error, SettingsConflictError):
         detail = ErrorDetail(
             code='conflict',
@@ -97,20 +97,20 @@
             problems=tuple(error.problems),
         )
         return detail, 422
-    return _describe_plain(error)
+    return _convert_plain_error(error)
 
 
-def _describe_plain(error: GuavagateError) -> tuple[ErrorDetail, int]:
+def _convert_plain_error(error: GuavagateError) -> tuple[ErrorDetail, int]:
     if isinstance(error, SettingsUnsureError):
-        return _detail(error, 'unsure'), 503
+        return _make_detail(error, 'unsure'), 503
     if isinstance(error, SettingsError):
-        return _detail(error, 'invalid_settings'), 422
+        return _make_detail(error, 'invalid_settings'), 422
     if isinstance(error, StoreError):
-        return _detail(error, 'store_unavailable'), 503
+        return _make_detail(error, 'store_unavailable'), 503
     if isinstance(error, LinkError):
-        return _detail(error, 'no_answer'), 504
-    return _detail(error, 'internal'), 500
+        return _make_detail(error, 'no_answer'), 504
+    return _make_detail(error, 'internal'), 500
 
 
-def _detail(error: GuavagateError, code: str) -> ErrorDetail:
+def _make_detail(error: GuavagateError, code: str) -> ErrorDetail:
     return ErrorDetail(code=code, message=error.problem, remedy=error.remedy)
--- a/guavagate/operators/_base.py
+++ b/guavagate/operators/_base.py
@@ -1,4 +1,4 @@
-"""What all operators' resources share: their parts, and who asks."""
+"""Provides the services, authentication and errors of all resources."""
 
 import dataclasses
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class OperatorServices:
-    """The parts that the operators' routes answer from."""
+    """The services that the operators' routes use."""
 
     authenticator: Authenticator
     teams: TeamSettingsManager
@@ -27,12 +27,12 @@
     collector: ReportCollector
 
     def identify(self, request: falcon.Request) -> Identity:
-        """Return the operator who asks.
+        """Return the identity of the operator who sent a request.
 
         Raises
         ------
         RefusalError
-            No token, or not an operator's.
+            The token is missing, unknown or not an operator's.
         """
         identity = self.authenticator.identify(request.auth)
         identity.require(Role.OPERATOR)
@@ -47,10 +47,10 @@
 def handle_errors(
     responder: '_Responder[_Resource, _Params]',
 ) -> '_Responder[_Resource, _Params]':
-    """Answer guavagate's errors in the operators' form.
+    """Convert guavagate's errors to error responses for operators.
 
-    Callers get OpenAI's error body from the same app, so this can't be one of
-    falcon's handlers.
+    This is no error handler of falcon, because the same app responds to
+    callers with OpenAI's error body.
     """
 
     def respond(
--- a/guavagate/operators/_collect.py
+++ b/guavagate/operators/_collect.py
@@ -1,4 +1,4 @@
-"""Collects the reports of all instances."""
+"""Collects reports from all instances and starts drains."""
 
 import enum
 import logging
@@ -23,14 +23,14 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-_TIMEOUT: Final = 2.0
-_AT_ONCE: Final = 32
+_TIMEOUT_SECONDS: Final = 2.0
+_MAX_PARALLEL_REQUESTS: Final = 32
 
 _Answer = TypeVar('_Answer', bound=Message)
 
 
 class ReportKind(enum.Enum):
-    """What is asked for."""
+    """A kind of report."""
 
     INSTANCE = 'instance'
     SAMPLERS = 'samplers'
@@ -39,13 +39,13 @@
 
 
 class ReportAsk(Message, frozen=True, kw_only=True):
-    """Asks an instance for one of its reports."""
+    """Requests one report from an instance."""
 
     matter: str
 
 
 class ReportAnswer(Message, frozen=True, kw_only=True):
-    """The report asked for; the others are empty."""
+    """Contains the requested report; the other fields are empty."""
 
     instance: InstanceReport | None = None
     samplers: tuple[SamplerReport, ...] = ()
@@ -54,24 +54,24 @@
 
 
 class DrainAsk(Message, frozen=True, kw_only=True):
-    """Asks an instance to begin a planned stop."""
+    """Requests that an instance begins a planned stop."""
 
     who: str
 
 
 class DrainBegun(Message, frozen=True, kw_only=True):
-    """The planned stop has begun."""
+    """Confirms that the planned stop has begun."""
 
 
 class CollectedReports(msgspec.Struct, frozen=True, kw_only=True):
-    """All answers, and why others are missing."""
+    """All received reports, and why others are missing."""
 
     answers: dict[InstanceId, ReportAnswer]
     missing: dict[InstanceId, str]
 
 
 class ReportCollector:
-    """Answers peers' questions, and asks them all."""
+    """Requests reports from all peers, and answers the requests of peers."""
 
     def __init__(
         self, runtime: Runtime, reports: LocalReports, series: SeriesRecorder
@@ -79,64 +79,73 @@
         self._runtime = runtime
         self._reports = reports
         self._series = series
-        runtime.bus.register(ReportAsk, self._handle_ask)
+        runtime.bus.register(ReportAsk, self._handle_report_request)
         runtime.bus.register(DrainAsk, self._handle_drain)
 
-    def collect(self, matter: ReportKind) -> CollectedReports:
-        """Return every instance's report; the missing ones are named."""
+    def collect(self, kind: ReportKind) -> CollectedReports:
+        """Return the reports of all instances, or why they are missing."""
         me = self._runtime.settings.id
         peers = [
             peer.id for peer in self._runtime.members.alive() if peer.id != me
         ]
-        asked = Pool(_AT_ONCE).map(lambda peer: self._ask(peer, matter), peers)
-        answers = {me: self._answer(matter)}
+        replies = Pool(_MAX_PARALLEL_REQUESTS).map(
+            lambda peer: self._request_report(peer, kind), peers
+        )
+        answers = {me: self._make_report(kind)}
         missing: dict[InstanceId, str] = {}
-        for peer, answer in zip(peers, asked, strict=True):
-            if isinstance(answer, ReportAnswer):
-                answers[peer] = answer
+        for peer, reply in zip(peers, replies, strict=True):
+            if isinstance(reply, ReportAnswer):
+                answers[peer] = reply
             else:
-                missing[peer] = answer
+                missing[peer] = reply
         return CollectedReports(answers=answers, missing=missing)
 
-    def drain(self, instance: InstanceId, who: str) -> None:
-        """Have an instance begin a planned stop.
+    def drain(self, instance: InstanceId, operator: str) -> None:
+        """Start a planned stop of an instance.
 
         Raises
         ------
         LinkError
-            It did not answer.
+            The instance did not respond.
         """
         if instance == self._runtime.settings.id:
-            self._begin_drain(who, instance)
+            self._start_drain(operator, instance)
             return
         self._runtime.bus.request(
-            instance, DrainAsk(who=who), DrainBegun, _TIMEOUT
+            instance, DrainAsk(who=operator), DrainBegun, _TIMEOUT_SECONDS
         )
 
-    def _begin_drain(self, who: str, through: InstanceId) -> None:
-        write(_LOGGER, DRAIN_REQUESTED, who=who, through=through)
+    def _start_drain(self, operator: str, requested_by: InstanceId) -> None:
+        write(_LOGGER, DRAIN_REQUESTED, who=operator, through=requested_by)
         self._reports.start_drain()
 
-    def _ask(self, peer: InstanceId, matter: ReportKind) -> ReportAnswer | str:
+    def _request_report(
+        self, peer: InstanceId, kind: ReportKind
+    ) -> ReportAnswer | str:
         try:
             return self._runtime.bus.request(
-                peer, ReportAsk(matter=matter.value), ReportAnswer, _TIMEOUT
+                peer,
+                ReportAsk(matter=kind.value),
+                ReportAnswer,
+                _TIMEOUT_SECONDS,
             )
         except LinkError as error:
             return error.problem
 
-    def _answer(self, matter: ReportKind) -> ReportAnswer:
-        if matter is ReportKind.INSTANCE:
+    def _make_report(self, kind: ReportKind) -> ReportAnswer:
+        if kind is ReportKind.INSTANCE:
             return ReportAnswer(instance=self._reports.describe_instance())
-        if matter is ReportKind.SAMPLERS:
+        if kind is ReportKind.SAMPLERS:
             return ReportAnswer(samplers=tuple(self._reports.list_samplers()))
-        if matter is ReportKind.RUNS:
+        if kind is ReportKind.RUNS:
             return ReportAnswer(runs=tuple(self._reports.list_runs()))
         return ReportAnswer(series=tuple(self._series.list_series()))
 
-    def _handle_ask(self, sender: InstanceId, message: Message) -> ReportAnswer:
-        return self._answer(ReportKind(expect(message, ReportAsk).matter))
+    def _handle_report_request(
+        self, sender: InstanceId, message: Message
+    ) -> ReportAnswer:
+        return self._make_report(ReportKind(expect(message, ReportAsk).matter))
 
     def _handle_drain(self, sender: InstanceId, message: Message) -> DrainBegun:
-        self._begin_drain(expect(message, DrainAsk).who, sender)
+        self._start_drain(expect(message, DrainAsk).who, sender)
         return DrainBegun()
--- a/guavagate/operators/_fleet.py
+++ b/guavagate/operators/_fleet.py
@@ -1,4 +1,4 @@
-"""Instances, samplers, deployments, runs, decisions and drains."""
+"""Resources for instances, samplers, runs, metrics, drains and decisions."""
 
 from typing import Any
 
@@ -19,25 +19,25 @@
 
 
 class _Resource:
-    def __init__(self, parts: OperatorServices) -> None:
-        self._parts = parts
+    def __init__(self, services: OperatorServices) -> None:
+        self._services = services
 
 
 class InstancesBody(msgspec.Struct, frozen=True, kw_only=True):
-    """All instances, those without an answer too."""
+    """All instances, including those that did not respond."""
 
     instances: tuple[InstanceReport, ...]
 
 
 class SamplersBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Samplers by team and deployment; `missing` instances gave no answer."""
+    """Samplers by team and deployment; `missing` instances did not respond."""
 
     samplers: tuple[SamplerReport, ...]
     missing: dict[InstanceId, str]
 
 
 class RunsBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Runs by team; `missing` instances gave no answer."""
+    """Runs by team; `missing` instances did not respond."""
 
     runs: tuple[RunReport, ...]
     missing: dict[InstanceId, str]
@@ -51,14 +51,14 @@
 
 
 class DrainBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The planned stop has begun."""
+    """Confirms that the planned stop has begun."""
 
     instance: InstanceId
     state: str = 'draining'
 
 
 class DeploymentReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A deployment, summed over its samplers."""
+    """A deployment with the totals of its samplers."""
 
     team: TeamId
     deployment: DeploymentId
@@ -71,25 +71,25 @@
 
 
 class DeploymentsBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Deployments by team; `missing` instances gave no answer."""
+    """Deployments by team; `missing` instances did not respond."""
 
     deployments: tuple[DeploymentReport, ...]
     missing: dict[InstanceId, str]
 
 
 class InstancesResource(_Resource):
-    """All instances with their views, roles, load and repairs."""
+    """All instances with their state, roles, load and repairs."""
 
     @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
-        """List them."""
-        self._parts.identify(request)
-        found = self._parts.collector.collect(ReportKind.INSTANCE)
+        """List the instances."""
+        self._services.identify(request)
+        collected = self._services.collector.collect(ReportKind.INSTANCE)
         reports = [
             answer.instance
-            for answer in found.answers.values()
+            for answer in collected.answers.values()
             if answer.instance is not None
         ]
         reports += [
@@ -97,9 +97,9 @@
                 instance=instance,
                 availability_zone=ZoneId(''),
                 state='no answer',
-                waits_for=(why,),
+                waits_for=(problem,),
             )
-            for instance, why in found.missing.items()
+            for instance, problem in collected.missing.items()
         ]
         reports.sort(key=lambda report: report.instance)
         write_json(response, InstancesBody(instances=tuple(reports)))
@@ -112,10 +112,10 @@
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
-        """List them."""
-        identity = self._parts.identify(request)
-        found = self._parts.collector.collect(ReportKind.SAMPLERS)
-        samplers = _list_samplers(found)
+        """List the samplers."""
+        identity = self._services.identify(request)
+        collected = self._services.collector.collect(ReportKind.SAMPLERS)
+        samplers = _list_samplers(collected)
         write_json(
             response,
             SamplersBody(
@@ -124,7 +124,7 @@
                     for report in samplers
                     if identity.can_access_team(report.team)
                 ),
-                missing=found.missing,
+                missing=collected.missing,
             ),
         )
 
@@ -136,20 +136,20 @@
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
-        """List them with the sums over their samplers."""
-        identity = self._parts.identify(request)
-        found = self._parts.collector.collect(ReportKind.SAMPLERS)
-        samplers = _list_samplers(found)
+        """List the deployments with the totals of their samplers."""
+        identity = self._services.identify(request)
+        collected = self._services.collector.collect(ReportKind.SAMPLERS)
+        samplers = _list_samplers(collected)
         deployments = [
-            _sum_up(team.team, deployment.id, samplers)
-            for team in self._parts.teams.all()
+            _summarize(team.team, deployment.id, samplers)
+            for team in self._services.teams.all()
             if identity.can_access_team(team.team)
             for deployment in team.deployments
         ]
         write_json(
             response,
             DeploymentsBody(
-                deployments=tuple(deployments), missing=found.missing
+                deployments=tuple(deployments), missing=collected.missing
             ),
         )
 
@@ -161,11 +161,15 @@
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
-        """List them."""
-        identity = self._parts.identify(request)
-        found = self._parts.collector.collect(ReportKind.RUNS)
+        """List the runs."""
+        identity = self._services.identify(request)
+        collected = self._services.collector.collect(ReportKind.RUNS)
         runs = sorted(
-            (run for answer in found.answers.values() for run in answer.runs),
+            (
+                run
+                for answer in collected.answers.values()
+                for run in answer.runs
+            ),
             key=lambda run: (run.team, run.run),
         )
         write_json(
@@ -174,27 +178,27 @@
                 runs=tuple(
                     run for run in runs if identity.can_access_team(run.team)
                 ),
-                missing=found.missing,
+                missing=collected.missing,
             ),
         )
 
 
 class SeriesResource(_Resource):
-    """The last minutes of all instances, for `guavagate report`."""
+    """The recent metrics of all instances, for `guavagate report`."""
 
     @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
-        """Return them."""
-        self._parts.identify(request).require_fleet_operator()
-        found = self._parts.collector.collect(ReportKind.SERIES)
+        """Return the series by instance."""
+        self._services.identify(request).require_fleet_operator()
+        collected = self._services.collector.collect(ReportKind.SERIES)
         instances = {
             instance: answer.series
-            for instance, answer in found.answers.items()
+            for instance, answer in collected.answers.items()
         }
         write_json(
-            response, SeriesBody(instances=instances, missing=found.missing)
+            response, SeriesBody(instances=instances, missing=collected.missing)
         )
 
 
@@ -209,10 +213,10 @@
         instance: str,
     ) -> None:
         """Have an instance begin one; it ends when its work has."""
-        identity = self._parts.identify(request)
+        identity = self._services.identify(request)
         identity.require_fleet_operator()
         name = InstanceId(instance)
-        self._parts.collector.drain(name, identity.caller)
+        self._services.collector.drain(name, identity.caller)
         write_json(response, DrainBody(instance=name), 202)
 
 
@@ -223,12 +227,12 @@
     def on_get(
         self, request: falcon.Request, response: falcon.Response, **names: Any
     ) -> None:
-        """Return them from all instances, oldest first."""
-        identity = self._parts.identify(request)
+        """Return the decisions of all instances, oldest first."""
+        identity = self._services.identify(request)
         subject = str(names['subject'])
         if subject.startswith('settings/'):
             identity.require_team(TeamId(subject.split('/')[1]))
-        explanation = self._parts.explainer.explain(subject)
+        explanation = self._services.explainer.explain(subject)
         if not explanation.decisions and not explanation.missing:
             raise RefusalError(
                 f'no instance knows a decision about {subject!r}',
@@ -240,29 +244,37 @@
         write_json(response, explanation)
 
 
-def _list_samplers(found: CollectedReports) -> list[SamplerReport]:
+def _list_samplers(collected: CollectedReports) -> list[SamplerReport]:
     return sorted(
-        (one for answer in found.answers.values() for one in answer.samplers),
+        (
+            report
+            for answer in collected.answers.values()
+            for report in answer.samplers
+        ),
         key=lambda report: (report.team, report.deployment, report.sampler),
     )
 
 
-def _sum_up(
+def _summarize(
     team: TeamId, deployment: DeploymentId, samplers: list[SamplerReport]
 ) -> DeploymentReport:
-    own = [
+    matching = [
         report
         for report in samplers
         if (report.team, report.deployment) == (team, deployment)
     ]
-    versions = {report.version for report in own if report.version is not None}
+    versions = {
+        report.version for report in matching if report.version is not None
+    }
     return DeploymentReport(
         team=team,
         deployment=deployment,
-        samplers=len(own),
-        serving=sum(report.state.value == 'serving' for report in own),
-        running=sum(report.running for report in own),
-        slots=sum(report.slots for report in own),
-        queued=sum({one.pool: one.pool_queued for one in own}.values()),
+        samplers=len(matching),
+        serving=sum(report.state.value == 'serving' for report in matching),
+        running=sum(report.running for report in matching),
+        slots=sum(report.slots for report in matching),
+        queued=sum(
+            {report.pool: report.pool_queued for report in matching}.values()
+        ),
         versions=tuple(sorted(versions)),
     )
--- a/guavagate/operators/_reports.py
+++ b/guavagate/operators/_reports.py
@@ -1,4 +1,4 @@
-"""What operators are shown of instances, samplers and runs."""
+"""Reports of instances, partitions, samplers and runs for operators."""
 
 from typing import Protocol
 
@@ -28,16 +28,18 @@
 
 
 class InstanceReport(msgspec.Struct, frozen=True, kw_only=True):
-    """One instance.
+    """The state of one instance.
 
     Parameters
     ----------
     state
         ``ready``, ``not ready``, ``draining`` or ``no answer``.
     waits_for
-        Why it is not ready.
+        Why the instance is not ready or did not respond.
+    homes
+        The pools whose queue owner is this instance.
     repairs
-        What it is repairing now, in words.
+        Descriptions of the repairs in progress.
     """
 
     instance: InstanceId
@@ -53,13 +55,15 @@
 
 
 class SamplerReport(msgspec.Struct, frozen=True, kw_only=True):
-    """One sampler as its home sees it.
+    """One sampler as the queue owner of its pool sees it.
 
     Parameters
     ----------
+    home
+        The queue owner.
     pool, pool_queued
-        The pool that it is in, and the requests that wait there for any of
-        its samplers.
+        The pool of the sampler, and the requests queued there for any sampler
+        of the pool.
     """
 
     team: TeamId
@@ -76,16 +80,18 @@
 
 
 class RunReport(msgspec.Struct, frozen=True, kw_only=True):
-    """One trainer's run as its primary sees it.
+    """A run of a trainer as its primary sees it.
 
     Parameters
     ----------
     step, wanted, finished
-        The first step that is not yet delivered whole, and its samples.
+        The first step that is not completely delivered, and how many samples
+        it needs and has.
     steps
-        Steps in work.
+        The number of steps in progress.
     stale
-        Samples that were too old and have been generated again.
+        The number of samples that were generated again because their weights
+        were too old.
     """
 
     team: TeamId
@@ -101,16 +107,16 @@
 
 
 class LocalReports(Protocol):
-    """What this instance itself knows; the daemon provides it."""
+    """Describes this instance; the daemon provides the implementation."""
 
     def describe_instance(self) -> InstanceReport:
-        """Return this instance."""
+        """Return the report of this instance."""
 
     def list_samplers(self) -> list[SamplerReport]:
-        """Return the samplers whose home is here."""
+        """Return the samplers of the pools whose queue owner is here."""
 
     def list_runs(self) -> list[RunReport]:
-        """Return the runs whose primary is here."""
+        """Return the runs whose primary is on this instance."""
 
     def start_drain(self) -> None:
-        """Begin a planned stop, as SIGTERM does, without waiting for it."""
+        """Begin a planned stop, as SIGTERM does, and return at once."""
--- a/guavagate/operators/_routes.py
+++ b/guavagate/operators/_routes.py
@@ -1,4 +1,4 @@
-"""The operators' routes."""
+"""Adds the routes of the operators' API."""
 
 from typing import Final
 
@@ -10,24 +10,24 @@
 PREFIX: Final = '/v1/operators'
 
 
-def add_routes(app: falcon.App, parts: OperatorServices) -> None:
-    """Add every operators' route; all ask for an operator's bearer token."""
+def add_routes(app: falcon.App, services: OperatorServices) -> None:
+    """Add all routes; each requires the bearer token of an operator."""
     team = '/settings/{team}'
     routes = {
-        '/settings': _settings.TeamsResource(parts),
-        team: _settings.TeamResource(parts),
-        f'{team}/check': _settings.CheckResource(parts),
-        f'{team}/diff': _settings.DiffResource(parts),
-        f'{team}/history': _settings.HistoryResource(parts),
-        f'{team}/rollback': _settings.RollbackResource(parts),
-        f'{team}/status': _settings.StatusResource(parts),
-        '/instances': _fleet.InstancesResource(parts),
-        '/instances/{instance}/drain': _fleet.DrainResource(parts),
-        '/samplers': _fleet.SamplersResource(parts),
-        '/deployments': _fleet.DeploymentsResource(parts),
-        '/runs': _fleet.RunsResource(parts),
-        '/series': _fleet.SeriesResource(parts),
-        '/explain/{subject:path}': _fleet.ExplainResource(parts),
+        '/settings': _settings.TeamsResource(services),
+        team: _settings.TeamResource(services),
+        f'{team}/check': _settings.CheckResource(services),
+        f'{team}/diff': _settings.DiffResource(services),
+        f'{team}/history': _settings.HistoryResource(services),
+        f'{team}/rollback': _settings.RollbackResource(services),
+        f'{team}/status': _settings.StatusResource(services),
+        '/instances': _fleet.InstancesResource(services),
+        '/instances/{instance}/drain': _fleet.DrainResource(services),
+        '/samplers': _fleet.SamplersResource(services),
+        '/deployments': _fleet.DeploymentsResource(services),
+        '/runs': _fleet.RunsResource(services),
+        '/series': _fleet.SeriesResource(services),
+        '/explain/{subject:path}': _fleet.ExplainResource(services),
     }
     for path, resource in routes.items():
         app.add_route(PREFIX + path, resource)
--- a/guavagate/operators/_settings.py
+++ b/guavagate/operators/_settings.py
@@ -1,4 +1,4 @@
-"""Settings under paths, one subtree for each team."""
+"""Resources for the settings of teams."""
 
 from typing import Final
 
@@ -19,11 +19,11 @@
 )
 from guavagate.web import decode_body, read_body
 
-_MAX_BODY: Final = 1_000_000
+_MAX_BODY_BYTES: Final = 1_000_000
 
 
 class SettingsPut(msgspec.Struct, frozen=True, kw_only=True):
-    """A change that an operator sends."""
+    """A change of settings, as an operator sends it."""
 
     toml: str
     base: Revision
@@ -32,13 +32,13 @@
 
 
 class SettingsCheck(msgspec.Struct, frozen=True, kw_only=True):
-    """A text to be checked and not applied."""
+    """A settings text to check without applying it."""
 
     toml: str
 
 
 class SettingsRollback(msgspec.Struct, frozen=True, kw_only=True):
-    """A wish to have an earlier revision's text in force again."""
+    """A request to put the text of an earlier revision in force again."""
 
     to: Revision
     base: Revision
@@ -55,14 +55,14 @@
 
 
 class HistoryBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The changes that are kept, newest first."""
+    """The stored changes, newest first."""
 
     team: TeamId
     changes: tuple[Change, ...]
 
 
 class DiffBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The difference between two revisions, as a unified diff."""
+    """The unified diff of two revisions."""
 
     team: TeamId
     old: Revision
@@ -71,7 +71,7 @@
 
 
 class StatusBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The revision in force on each instance; `everywhere` among the alive."""
+    """The revision on each instance; `everywhere` considers live ones only."""
 
     team: TeamId
     newest: Revision
@@ -87,39 +87,41 @@
 
 
 class TeamsResource:
-    """The teams whose settings the operator may see."""
+    """The teams whose settings the operator may read."""
 
-    def __init__(self, parts: OperatorServices) -> None:
-        self._parts = parts
+    def __init__(self, services: OperatorServices) -> None:
+        self._services = services
 
     @handle_errors
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
-        """List them."""
-        identity = self._parts.identify(request)
+        """List the teams with their newest changes."""
+        identity = self._services.identify(request)
         write_json(
             response,
             [
                 TeamBody(team=record.team, change=record.change)
-                for record in self._parts.teams.table.records()
+                for record in self._services.teams.table.records()
                 if identity.can_access_team(record.team)
             ],
         )
 
 
 class _TeamResource:
-    def __init__(self, parts: OperatorServices) -> None:
-        self._parts = parts
-
-    def _enter(self, request: falcon.Request, team: str) -> tuple[TeamId, str]:
-        """Return the team and the operator's name, or refuse."""
-        identity = self._parts.identify(request)
+    def __init__(self, services: OperatorServices) -> None:
+        self._services = services
+
+    def _authorize(
+        self, request: falcon.Request, team: str
+    ) -> tuple[TeamId, str]:
+        """Return the team and the operator's name, or raise a refusal."""
+        identity = self._services.identify(request)
         identity.require_team(TeamId(team))
         return TeamId(team), identity.caller
 
-    def _in_force(self, team: TeamId) -> SettingsRecord:
-        record = self._parts.teams.table.record(team)
+    def _read_current(self, team: TeamId) -> SettingsRecord:
+        record = self._services.teams.table.record(team)
         if record is None:
             raise RefusalError(
                 f'no settings of the team {team!r} are in force',
@@ -129,10 +131,12 @@
             )
         return record
 
-    def _past(self, team: TeamId, revision: int | None) -> SettingsRecord:
+    def _read_revision(
+        self, team: TeamId, revision: int | None
+    ) -> SettingsRecord:
         if revision is None:
-            return self._in_force(team)
-        writer = self._parts.teams.writer
+            return self._read_current(team)
+        writer = self._services.teams.writer
         return writer.read_revision(team, Revision(revision))
 
 
@@ -143,52 +147,56 @@
     def on_get(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
-        """Return those in force, or of `revision`."""
-        known, _ = self._enter(request, team)
-        record = self._past(known, request.get_param_as_int('revision'))
-        write_json(response, _show(record))
+        """Return the settings in force, or those of the query's `revision`."""
+        team_id, _ = self._authorize(request, team)
+        record = self._read_revision(
+            team_id, request.get_param_as_int('revision')
+        )
+        write_json(response, _make_body(record))
 
     @handle_errors
     def on_put(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
-        """Change them; accepted is in force."""
-        known, who = self._enter(request, team)
-        body = decode_body(read_body(request, _MAX_BODY), SettingsPut)
-        record = self._parts.teams.change(
+        """Change the settings; once accepted, they are in force."""
+        team_id, operator = self._authorize(request, team)
+        body = decode_body(read_body(request, _MAX_BODY_BYTES), SettingsPut)
+        record = self._services.teams.change(
             ChangeRequest(
-                team=known,
+                team=team_id,
                 toml=body.toml,
                 base=body.base,
-                who=who,
+                who=operator,
                 why=body.why,
                 change_id=body.change_id,
             )
         )
-        write_json(response, _show(record))
+        write_json(response, _make_body(record))
 
 
 class CheckResource(_TeamResource):
-    """Checks a text without applying it."""
+    """Checks a settings text without applying it."""
 
     @handle_errors
     def on_post(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
-        """Return the difference to what is in force, or every problem."""
-        known, _ = self._enter(request, team)
-        text = decode_body(read_body(request, _MAX_BODY), SettingsCheck).toml
-        parse_team_settings(text, settings_path(known))
-        record = self._parts.teams.table.record(known)
+        """Return the diff to the settings in force, or all problems."""
+        team_id, _ = self._authorize(request, team)
+        text = decode_body(
+            read_body(request, _MAX_BODY_BYTES), SettingsCheck
+        ).toml
+        parse_team_settings(text, settings_path(team_id))
+        record = self._services.teams.table.record(team_id)
         revision = record.revision if record else Revision(0)
-        old = record.toml if record else ''
+        old_text = record.toml if record else ''
         write_json(
             response,
             DiffBody(
-                team=known,
+                team=team_id,
                 old=revision,
                 new=Revision(revision + 1),
-                diff=diff_texts(old, text, f'revision {revision}', 'new'),
+                diff=diff_texts(old_text, text, f'revision {revision}', 'new'),
             ),
         )
 
@@ -200,21 +208,25 @@
     def on_get(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
-        """Return what changed from `old` (the one before) to `new`."""
-        known, _ = self._enter(request, team)
-        new = self._past(known, request.get_param_as_int('new'))
-        before = request.get_param_as_int('old', default=new.revision - 1)
-        text = self._past(known, before).toml if before > 0 else ''
+        """Return the diff from `old`, by default the one before `new`."""
+        team_id, _ = self._authorize(request, team)
+        new = self._read_revision(team_id, request.get_param_as_int('new'))
+        old_revision = request.get_param_as_int('old', default=new.revision - 1)
+        old_text = (
+            self._read_revision(team_id, old_revision).toml
+            if old_revision > 0
+            else ''
+        )
         write_json(
             response,
             DiffBody(
-                team=known,
-                old=Revision(before),
+                team=team_id,
+                old=Revision(old_revision),
                 new=new.revision,
                 diff=diff_texts(
-                    text,
+                    old_text,
                     new.toml,
-                    f'revision {before}',
+                    f'revision {old_revision}',
                     f'revision {new.revision}',
                 ),
             ),
@@ -228,35 +240,37 @@
     def on_get(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
-        """Return the changes that are kept, newest first."""
-        known, _ = self._enter(request, team)
-        record = self._in_force(known)
+        """Return the stored changes, newest first."""
+        team_id, _ = self._authorize(request, team)
+        record = self._read_current(team_id)
         changes = (record.change, *record.earlier)
-        write_json(response, HistoryBody(team=known, changes=changes))
+        write_json(response, HistoryBody(team=team_id, changes=changes))
 
 
 class RollbackResource(_TeamResource):
-    """Puts an earlier revision's text in force, as a new revision."""
+    """Puts the text of an earlier revision in force as a new revision."""
 
     @handle_errors
     def on_post(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
-        """Roll back."""
-        known, who = self._enter(request, team)
-        body = decode_body(read_body(request, _MAX_BODY), SettingsRollback)
-        past = self._past(known, body.to)
-        record = self._parts.teams.change(
+        """Roll back to the revision in the body."""
+        team_id, operator = self._authorize(request, team)
+        body = decode_body(
+            read_body(request, _MAX_BODY_BYTES), SettingsRollback
+        )
+        target = self._read_revision(team_id, body.to)
+        record = self._services.teams.change(
             ChangeRequest(
-                team=known,
-                toml=past.toml,
+                team=team_id,
+                toml=target.toml,
                 base=body.base,
-                who=who,
+                who=operator,
                 why=f'back to revision {body.to}: {body.why}',
                 change_id=body.change_id,
             )
         )
-        write_json(response, _show(record))
+        write_json(response, _make_body(record))
 
 
 class StatusResource(_TeamResource):
@@ -266,27 +280,27 @@
     def on_get(
         self, request: falcon.Request, response: falcon.Response, team: str
     ) -> None:
-        """Return it, and who lags why."""
-        known, _ = self._enter(request, team)
-        instances = self._parts.teams.status(known)
-        revisions = [one.revision for one in instances]
-        newest = max(found for found in revisions if found is not None)
+        """Return the revisions, and why instances lag behind."""
+        team_id, _ = self._authorize(request, team)
+        instances = self._services.teams.status(team_id)
+        revisions = [each.revision for each in instances]
+        newest = max(each for each in revisions if each is not None)
         if not newest:
-            self._in_force(known)
+            self._read_current(team_id)
         write_json(
             response,
             StatusBody(
-                team=known,
+                team=team_id,
                 newest=newest,
                 everywhere=all(
-                    one.revision == newest for one in instances if one.alive
+                    each.revision == newest for each in instances if each.alive
                 ),
                 instances=tuple(instances),
             ),
         )
 
 
-def _show(record: SettingsRecord) -> SettingsBody:
+def _make_body(record: SettingsRecord) -> SettingsBody:
     return SettingsBody(
         team=record.team, toml=record.toml, change=record.change
     )
--- a/tests/operators_bench.py
+++ b/tests/operators_bench.py
@@ -1,4 +1,4 @@
-"""Instances with the operators' routes, for tests of HTTP and commands."""
+"""Provides instances with the operators' API, for tests of it and the CLI."""
 
 from typing import Any
 
@@ -50,14 +50,14 @@
 
 
 class Reports:
-    """What the daemon would say of itself."""
+    """Fixed reports in place of the daemon's."""
 
     def __init__(self, instance: str) -> None:
         self.instance = InstanceId(instance)
         self.drained = False
 
     def describe_instance(self) -> InstanceReport:
-        """Return this instance."""
+        """Return the report of this instance."""
         return InstanceReport(
             instance=self.instance,
             availability_zone=ZoneId('ilala-hall'),
@@ -90,7 +90,7 @@
         ]
 
     def start_drain(self) -> None:
-        """Note that it was asked for."""
+        """Record that a drain was requested."""
         self.drained = True
 
 
@@ -116,7 +116,7 @@
         json: Any = None,
         body: bytes | None = None,
     ) -> testing.Result:
-        """Send one request and wait, in virtual time, for its answer."""
+        """Send one request and wait, in virtual time, for its response."""
         task = self.clock.spawn(
             lambda: self.clients['i0'].simulate_request(
                 method,
@@ -133,7 +133,7 @@
     def apply(
         self, team: str, token: str, base: int, text: str, as_: str = ''
     ) -> testing.Result:
-        """Change a team's settings."""
+        """Put a team's settings."""
         return self.call(
             'PUT',
             f'/v1/operators/settings/{team}',
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of log lines and of the decisions kept beside them."""
+"""Tests log lines and the decisions stored in memory."""
 
 import io
 import json
@@ -14,8 +14,8 @@
 
 
 @pytest.fixture(autouse=True)
-def _restore() -> Iterator[None]:
-    """Leave the logger as it was for the other tests."""
+def _restore_logger() -> Iterator[None]:
+    """Restore the logger for the other tests."""
     logger = logging.getLogger('guavagate')
     before = (list(logger.handlers), logger.level, logger.propagate)
     yield
@@ -31,8 +31,8 @@
     return lines.getvalue()
 
 
-def test_a_decision_is_one_line_for_people_and_machines() -> None:
-    """Both forms name event, choice, reason and the alternatives."""
+def test_a_decision_is_logged_on_one_line_in_both_formats() -> None:
+    """Both formats contain the event, subject and reason of a decision."""
     human = _record('human')
     assert 'INFO GG1000 decided subject=req-1 kind=sampler' in human
     assert 'reason="least loaded"' in human
@@ -43,7 +43,7 @@
 
 
 def test_a_failure_is_logged_with_its_traceback() -> None:
-    """The human form has it below the line, the other inside it."""
+    """The human format has it below the line, the JSON format inside."""
     for log_format in ('human', 'json'):
         lines = io.StringIO()
         set_up_logging(log_format, stream=lines)
@@ -55,8 +55,8 @@
         assert (lines.getvalue().count('\n') == 1) == (log_format == 'json')
 
 
-def test_the_newest_decisions_are_kept() -> None:
-    """The ring forgets the oldest, also of a subject that has many."""
+def test_the_oldest_decisions_are_discarded() -> None:
+    """The buffer drops the oldest, also those of a subject with many."""
     recent = RecentDecisions(PausedClock(), InstanceId('i1'), capacity=10)
     recent.record('old', 'k', 'c', 'r')
     for number in range(12):
@@ -69,8 +69,8 @@
     assert len(recent) == 10
 
 
-def test_long_texts_are_cut() -> None:
-    """A caller can't fill the memory through an id or a reason."""
+def test_long_texts_are_truncated() -> None:
+    """Long ids and reasons from callers cannot fill the memory."""
     recent = RecentDecisions(PausedClock(), InstanceId('i1'))
     many = {f's{number}': 'x' * 10_000 for number in range(1000)}
     recent.record('q' * 10_000, 'k', 'c' * 10_000, 'r' * 10_000, many)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' HTTP, judged by what an operator receives."""
+"""Tests the operators' HTTP API by the responses that operators receive."""
 
 import pytest
 
@@ -16,19 +16,19 @@
 
 @pytest.fixture
 def bench() -> Bench:
-    """Return instances on which two teams have settings."""
-    made = Bench()
+    """Return instances with the settings of two teams."""
+    created = Bench()
     for team, token in (('authority', TEAM_TOKEN), ('trust', OTHER_TOKEN)):
-        answer = made.apply(team, FLEET_TOKEN, 0, team_text(team, token))
+        answer = created.apply(team, FLEET_TOKEN, 0, team_text(team, token))
         assert answer.status_code == 200
-    made.clock.advance(3)
-    return made
+    created.clock.advance(3)
+    return created
 
 
-def test_a_change_comes_with_its_history_and_can_be_undone(
+def test_a_settings_change_is_recorded_and_can_be_rolled_back(
     bench: Bench,
 ) -> None:
-    """Change, look, roll back: each step is a revision with a reason."""
+    """A change and its rollback each make a revision with a reason."""
     text = team_text('authority', TEAM_TOKEN, 3)
     changed = bench.apply('authority', TEAM_TOKEN, 1, text)
     assert changed.json['change']['revision'] == 2
@@ -36,13 +36,13 @@
     diff = bench.call('GET', f'{_SETTINGS}/authority/diff', TEAM_TOKEN)
     assert '-weight = 1' in diff.json['diff']
     assert '+weight = 3' in diff.json['diff']
-    back = bench.call(
+    rollback = bench.call(
         'POST',
         f'{_SETTINGS}/authority/rollback',
         TEAM_TOKEN,
         {'to': 1, 'base': 2, 'why': 'too much'},
     )
-    assert back.json['toml'] == team_text('authority', TEAM_TOKEN)
+    assert rollback.json['toml'] == team_text('authority', TEAM_TOKEN)
     history = bench.call('GET', f'{_SETTINGS}/authority/history', TEAM_TOKEN)
     reasons = [each['why'] for each in history.json['changes']]
     assert reasons == ['back to revision 1: too much', 'a test', 'a test']
@@ -51,8 +51,8 @@
     assert len(status.json['instances']) == 3
 
 
-def test_a_conflict_shows_the_other_change(bench: Bench) -> None:
-    """The later of two operators gets 409 with who, why and the new text."""
+def test_a_conflict_response_contains_the_other_change(bench: Bench) -> None:
+    """The later of two operators gets 409 with the other's change and text."""
     text = team_text('authority', TEAM_TOKEN, 3)
     assert bench.apply('authority', TEAM_TOKEN, 1, text).status_code == 200
     refused = bench.apply('authority', FLEET_TOKEN, 1, text)
@@ -63,8 +63,8 @@
     assert error['remedy']
 
 
-def test_every_problem_of_a_text_is_in_the_answer(bench: Bench) -> None:
-    """Two mistakes give two problems; nothing is applied."""
+def test_all_problems_of_a_settings_text_are_reported(bench: Bench) -> None:
+    """A text with two errors gives two problems and is not applied."""
     text = 'team = "authority"\nwieght = 2\ncallers = 4\n'
     refused = bench.apply('authority', TEAM_TOKEN, 1, text)
     assert refused.status_code == 422
@@ -94,32 +94,33 @@
         ('GET', '/v1/operators/series'),
     ],
 )
-def test_a_token_of_one_team_opens_nothing_of_another(
+def test_a_team_token_gives_no_access_to_another_team(
     bench: Bench, method: str, path: str
 ) -> None:
-    """Whatever is sent: 403 with the team's token, 401 with an unknown."""
+    """The token of another team gets 403, an unknown token gets 401."""
     assert bench.call(method, path, TEAM_TOKEN, {}).status_code == 403
     assert bench.call(method, path, 'guess', {}).status_code == 401
 
 
-def test_lists_are_narrowed_to_the_team(bench: Bench) -> None:
-    """A team sees its own samplers, runs and settings, the fleet sees all."""
+def test_lists_contain_only_the_operators_own_team(bench: Bench) -> None:
+    """A team operator sees its team's rows, a fleet operator sees all."""
     for path, key in (('samplers', 'samplers'), ('runs', 'runs')):
         own = bench.call('GET', f'/v1/operators/{path}', OTHER_TOKEN)
-        everything = bench.call('GET', f'/v1/operators/{path}')
+        complete = bench.call('GET', f'/v1/operators/{path}')
         assert all(row['team'] == 'trust' for row in own.json[key])
-        assert len(own.json[key]) < len(everything.json[key])
+        assert len(own.json[key]) < len(complete.json[key])
     own = bench.call('GET', _SETTINGS, OTHER_TOKEN)
     assert [row['team'] for row in own.json] == ['trust']
     deployments = bench.call('GET', '/v1/operators/deployments').json
     assert [row['running'] for row in deployments['deployments']] == [9, 9]
 
 
-def test_a_silent_instance_is_named_not_left_out(bench: Bench) -> None:
-    """One of three is paused: the lists say that its part is missing.
+def test_an_instance_that_does_not_respond_is_listed_as_missing(
+    bench: Bench,
+) -> None:
+    """Lists name an instance that is paused.
 
-    An operator who is shown two of three instances' samplers without a word
-    would take the third's for gone.
+    Without its name, an operator would believe that its samplers were removed.
     """
     bench.fleet.world.hosts[InstanceId('i2')].pause()
     samplers = bench.call('GET', '/v1/operators/samplers')
@@ -131,13 +132,13 @@
         'no answer',
     ]
     bench.recents['i1'].record('req-1', 'sampler', 's1', 'least loaded')
-    told = bench.call('GET', '/v1/operators/explain/req-1')
-    assert told.json['decisions'][0]['reason'] == 'least loaded'
-    assert list(told.json['missing']) == ['i2']
+    explained = bench.call('GET', '/v1/operators/explain/req-1')
+    assert explained.json['decisions'][0]['reason'] == 'least loaded'
+    assert list(explained.json['missing']) == ['i2']
 
 
-def test_a_drain_reaches_the_instance(bench: Bench) -> None:
-    """The request goes to any instance, the planned stop to the named one."""
+def test_a_drain_request_reaches_the_named_instance(bench: Bench) -> None:
+    """Any instance accepts the request and forwards it to the named one."""
     answer = bench.call('POST', '/v1/operators/instances/i1/drain')
     assert answer.status_code == 202
     assert bench.reports['i1'].drained
@@ -152,14 +153,14 @@
 def test_a_malformed_body_is_refused(
     bench: Bench, body: bytes, status: int
 ) -> None:
-    """The answer has a remedy, and nothing is applied."""
+    """The response contains a remedy."""
     refused = bench.call('PUT', f'{_SETTINGS}/authority', TEAM_TOKEN, body=body)
     assert refused.status_code == status
     assert refused.json['error']['remedy']
 
 
-def test_metrics_and_their_last_minutes(bench: Bench) -> None:
-    """Prometheus reads the values; operators get what they were."""
+def test_metrics_and_their_recent_series_are_served(bench: Bench) -> None:
+    """Prometheus reads current values; operators read the last minutes."""
     exposition = bench.call('GET', '/metrics').text
     assert 'guavagate_members{instance="i0"} 3' in exposition
     bench.clock.advance(60)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Tests of what one instance tells operators of itself."""
+"""Tests the reports of one instance for operators."""
 
 import os
 import signal
@@ -17,23 +17,23 @@
 
 @pytest.fixture(name='path')
 def start_path() -> Iterator[Path]:
-    """Start one instance with its stand-ins."""
+    """Start one instance with stand-ins for the platform."""
     running = Path()
     yield running
     running.stop()
 
 
 def _reports(path: Path) -> LiveReports:
-    held = [
+    owned = [
         OwnedPartition(PartitionId(number), Epoch(2)) for number in range(2)
     ]
     instance = path.instance
     hosted = instance.driver._hosted
-    return LiveReports(instance.runtime, instance, hosted, lambda: held)
+    return LiveReports(instance.runtime, instance, hosted, lambda: owned)
 
 
 def test_an_instance_reports_roles_samplers_and_runs(path: Path) -> None:
-    """Its own partitions, the samplers of its pools, the runs it leads."""
+    """Reports its partitions, its pools' samplers and the runs it leads."""
     run = '/v1/runs/plan-batches'
     path.ask_json(f'{run}/versions', {'version': 1}, _TRAINER)
     group = {'group_id': 'g', 'prompt': 'p', 'samples': 2, 'max_tokens': 4}
@@ -41,32 +41,36 @@
     path.ask_json(f'{run}/steps', step, _TRAINER)
     reports = _reports(path)
     described = reports.describe_instance()
-    roles = [one.role for one in described.partitions]
+    roles = [each.role for each in described.partitions]
     assert roles == ['primary', 'primary']
     assert described.state == 'ready'
-    told = reports.list_runs()[0]
-    assert (told.team, told.run, told.version) == ('trust', 'plan-batches', 1)
-    assert (told.step, told.wanted) == ('one', 2)
-    samplers = {one.sampler: one for one in reports.list_samplers()}
+    run_report = reports.list_runs()[0]
+    assert (run_report.team, run_report.run, run_report.version) == (
+        'trust',
+        'plan-batches',
+        1,
+    )
+    assert (run_report.step, run_report.wanted) == ('one', 2)
+    samplers = {each.sampler: each for each in reports.list_samplers()}
     assert set(samplers) == {'s0', 's1'}
-    assert all(one.slots == 4 for one in samplers.values())
+    assert all(each.slots == 4 for each in samplers.values())
 
 
-def test_a_sampler_that_gives_no_report_is_shown_as_gone(path: Path) -> None:
-    """An engine stops; the operator sees which, not a shorter list."""
+def test_a_sampler_without_a_report_is_listed_as_gone(path: Path) -> None:
+    """The sampler of a stopped engine stays in the list, as gone."""
     path.engines[0].stop()
     path.instance.reports.reports().clear()
-    states = {one.state for one in _reports(path).list_samplers()}
+    states = {each.state for each in _reports(path).list_samplers()}
     assert UpstreamState.GONE in states
 
 
 def test_a_second_drain_sends_no_second_signal(
     path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two operators drain one instance, and no request is cut.
+    """Two operators drain one instance without aborting its requests.
 
     The first signal begins a planned stop; a second one ends the process at
-    once, with all that it is answering.
+    once and aborts the requests in flight.
     """
     sent: list[tuple[int, int]] = []
     monkeypatch.setattr(os, 'kill', lambda *args: sent.append(args))
@@ -77,12 +81,14 @@
     assert reports.describe_instance().state == 'draining'
 
 
-def test_gauges_follow_what_is_known(path: Path) -> None:
-    """The exposition has the pools at home here, and the process."""
+def test_gauges_show_the_pools_and_the_process(path: Path) -> None:
+    """The metrics contain the pools that this instance owns."""
     metrics = Metrics()
     _reports(path).refresh(metrics)
     refresh_process(metrics)
-    shown = metrics.render('')[0].decode()
-    assert 'guavagate_queued_requests{pool="trust/coach-models/0"} 0' in shown
-    assert 'guavagate_partitions_led 2' in shown
-    assert 'process_resident_memory_bytes' in shown
+    exposition = metrics.render('')[0].decode()
+    assert (
+        'guavagate_queued_requests{pool="trust/coach-models/0"} 0' in exposition
+    )
+    assert 'guavagate_partitions_led 2' in exposition
+    assert 'process_resident_memory_bytes' in exposition
