--- a/guavagate/membership/_detector.py
+++ b/guavagate/membership/_detector.py
@@ -127,10 +127,11 @@
         ]
 
     def may_have_local_fault(self, now: float) -> bool:
-        """Return whether this instance receives nothing from any member.
+        """Return whether this instance has lately received nothing at all.
 
-        The fault is then probably its own. With only one other member the two
-        cases can't be distinguished, and the other member counts as failed.
+        The fault is then probably its own, and it accuses no member until
+        `LOCAL_FAULT_LIMIT_SECONDS` have passed. With only one other member the
+        two cases can't be distinguished, and the other counts as failed.
         """
         if (
             not ISOLATED_AFTER_SECONDS
--- a/guavagate/membership/_join.py
+++ b/guavagate/membership/_join.py
@@ -17,7 +17,8 @@
 # assume that its predecessor still does its work. Announcing to eighty takes
 # 0.3 s, with 100 bytes each, once per process.
 ANNOUNCE_BATCH: Final = 32
-# Instances that become known later did not know the predecessor.
+# Instances that become known later are not announced to: they don't show which
+# members the predecessor worked with.
 ANNOUNCE_SECONDS: Final = 3.0
 _FIRST_PAGE: Final = InstanceId('')
 
--- a/guavagate/membership/_table.py
+++ b/guavagate/membership/_table.py
@@ -45,7 +45,7 @@
         return len(self.accusers) >= CONFIRMATIONS
 
     def reachable(self) -> bool:
-        """Return whether requests may go to it, as to a leaving one."""
+        """Return whether requests may go to it; a leaving member counts."""
         return self.state is not MemberState.DEAD
 
 
--- a/tests/links/test_stalled_connection.py
+++ b/tests/links/test_stalled_connection.py
@@ -93,7 +93,7 @@
 
 
 def test_a_slow_peer_keeps_its_connection(peers: Peers) -> None:
-    """The handler takes longer than the limit for a stalled connection.
+    """The handler runs longer than the limit for a stalled connection.
 
     The peer's heartbeat shows that the connection works. Replacing it would
     only add load to a slow peer.
