--- a/guavagate/operators/_collect.py
+++ b/guavagate/operators/_collect.py
@@ -84,14 +84,16 @@
 
     def collect(self, kind: ReportKind) -> CollectedReports:
         """Return the reports of all instances, or why they are missing."""
-        me = self._runtime.settings.id
+        own_id = self._runtime.settings.id
         peers = [
-            peer.id for peer in self._runtime.members.alive() if peer.id != me
+            peer.id
+            for peer in self._runtime.members.alive()
+            if peer.id != own_id
         ]
         replies = Pool(_MAX_PARALLEL_REQUESTS).map(
             lambda peer: self._request_report(peer, kind), peers
         )
-        answers = {me: self._make_report(kind)}
+        answers = {own_id: self._make_report(kind)}
         missing: dict[InstanceId, str] = {}
         for peer, reply in zip(peers, replies, strict=True):
             if isinstance(reply, ReportAnswer):
--- a/guavagate/operators/_fleet.py
+++ b/guavagate/operators/_fleet.py
@@ -203,7 +203,7 @@
 
 
 class DrainResource(_Resource):
-    """Planned stops."""
+    """Planned stops of instances."""
 
     @handle_errors
     def on_post(
@@ -212,7 +212,7 @@
         response: falcon.Response,
         instance: str,
     ) -> None:
-        """Have an instance begin one; it ends when its work has."""
+        """Start a planned stop, which ends when the instance has no work."""
         identity = self._services.identify(request)
         identity.require_fleet_operator()
         name = InstanceId(instance)
@@ -221,7 +221,7 @@
 
 
 class ExplainResource(_Resource):
-    """The decisions about an id."""
+    """The decisions about an id, such as that of a request."""
 
     @handle_errors
     def on_get(
