--- a/guavagate/integrations/__init__.py
+++ b/guavagate/integrations/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to the systems outside, one folder each."""
+"""Adapters to external systems, one package for each."""
--- a/guavagate/integrations/_errors.py
+++ b/guavagate/integrations/_errors.py
@@ -1,4 +1,4 @@
-"""The error body that upstreams answer with."""
+"""Converts error responses of upstreams to exceptions."""
 
 from typing import Final
 
@@ -16,20 +16,20 @@
 
 
 class ErrorBody(msgspec.Struct):
-    """What an error says."""
+    """The code and message of an error."""
 
     code: str = ''
     message: str = ''
 
 
 class ErrorAnswer(msgspec.Struct):
-    """An error's body."""
+    """The body of an error response."""
 
     error: ErrorBody = msgspec.field(default_factory=ErrorBody)
 
 
 def read_error_code(data: bytes) -> str:
-    """Return the code of an error body, or nothing."""
+    """Return the code of an error body, or an empty string."""
     try:
         return msgspec.json.decode(data, type=ErrorAnswer).error.code
     except msgspec.MsgspecError:
@@ -37,17 +37,19 @@
 
 
 def make_error(address: str, status: int, data: bytes) -> UpstreamError:
-    """Return the error that an upstream's refusal stands for.
+    """Return the exception for an error response.
 
-    A bare 503 may come from something between us and an upstream that has
-    started; only one that says why is known to be "not started".
+    A 503 without a code may come from a proxy in front of an upstream that
+    has started the request. Only a known code proves that it has not.
     """
     code = read_error_code(data)
     if status == _UNAVAILABLE and code == LEAVING_CODE:
-        return UpstreamLeavingError(f'{address} leaves', 'ask another upstream')
+        return UpstreamLeavingError(
+            f'{address} is leaving', 'use another upstream'
+        )
     if status == _UNAVAILABLE and code in NOT_STARTED_CODES:
         return UpstreamNotStartedError(
-            f'{address} is {code}', 'ask another upstream'
+            f'{address} is {code}', 'use another upstream'
         )
     return UpstreamError(
         f'{address} answered {status} {code}',
@@ -56,8 +58,8 @@
 
 
 def make_malformed_error(address: str, error: Exception) -> UpstreamError:
-    """Return the error of an answer that can't be read."""
+    """Return the exception for a response that cannot be decoded."""
     return UpstreamError(
-        f'{address} sent what is no answer ({error})',
-        'check that the address speaks this protocol',
+        f'{address} sent a malformed response ({error})',
+        'check that the server at this address uses this protocol',
     )
--- a/guavagate/integrations/_http.py
+++ b/guavagate/integrations/_http.py
@@ -1,9 +1,9 @@
-"""HTTP exchanges with upstreams that tell "not sent" from "maybe run".
+"""HTTP client that separates requests not sent from those that may have run.
 
-The library repeats a request of an idempotent method by itself when the
-connection breaks. The settings may declare such a method as not repeatable,
-and a repeat would run it twice; so the library's own repeats are off here and
-whoever asked decides.
+When a connection breaks, the library repeats requests of idempotent methods.
+The settings may declare such a method as not repeatable, and a repetition
+would run it twice. The library's retries are therefore off, and the sender
+decides.
 """
 
 import contextlib
@@ -20,9 +20,8 @@
 from guavagate.exceptions import UpstreamError, UpstreamNotStartedError
 
 CONNECT_SECONDS: Final = 1.0
-# A connection that has been idle for longer may have been forgotten by
-# something on the way: it goes silent instead of being refused, and the
-# request would wait for its whole time limit.
+# A firewall or balancer may drop the state of a connection that is idle for
+# longer. A request on it would get no reset and wait for its whole time limit.
 IDLE_SECONDS: Final = 10.0
 IDLE_CONNECTIONS: Final = 8
 MAX_CONNECTIONS: Final = 100_000
@@ -31,11 +30,11 @@
 
 
 class _ConnectError(Exception):
-    """The connection was not made, so nothing was sent."""
+    """The connection was not established, so nothing was sent."""
 
 
 class _Pool(ConnectionPool):
-    """Connections to one address, with a bound on idle ones."""
+    """Connections to one address, with a limit on idle ones."""
 
     def __init__(
         self, clock: Clock, max_idle: int, host: str, port: int
@@ -50,16 +49,16 @@
             connection_timeout=CONNECT_SECONDS,
             network_timeout=None,  # type: ignore[arg-type]
         )
-        # The library repeats up to `size` + 1 times; this switches it off.
+        # The library tries up to `size` + 1 times; -1 switches retries off.
         self.size = -1
         self._clock = clock
         self._max_idle = max_idle
         self._idle_since: dict[socket.socket, float] = {}
-        # Tasks that wait for a connection: nothing of theirs has been sent.
+        # Tasks that wait for a connection and so have sent nothing.
         self.connecting: set[gevent.Greenlet] = set()
 
     def return_socket(self, sock: socket.socket) -> None:
-        """Keep the connection for reuse, or close it."""
+        """Put the connection back for reuse, or close it."""
         if self._socket_queue.qsize() >= self._max_idle:
             self.release_socket(sock)
             return
@@ -67,7 +66,7 @@
         super().return_socket(sock)
 
     def _is_socket_alive(self, sock: socket.socket | None) -> bool:
-        """Refuse connections that are closed or were idle for long."""
+        """Return whether the connection is open and was not idle too long."""
         if sock is None:
             return False
         since = self._idle_since.pop(sock, 0)
@@ -76,7 +75,7 @@
         return super()._is_socket_alive(sock)
 
     def _create_socket(self) -> socket.socket:
-        """Connect; a failure here is certainly before any byte was sent."""
+        """Connect; on a failure here, nothing has been sent."""
         task = gevent.getcurrent()
         self.connecting.add(task)
         try:
@@ -89,7 +88,7 @@
 
 
 class _Client(HTTPClient):
-    """The library's client over our pool."""
+    """The library's client with a pool of this module."""
 
     def __init__(self, clock: Clock, address: str, max_idle: int) -> None:
         host, _, port = address.rpartition(':')
@@ -99,7 +98,7 @@
 
 
 class Connections:
-    """All connections of one adapter, by address."""
+    """The connections of one adapter, by address."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -116,23 +115,23 @@
         timeout: float,
         reuse: bool = True,
     ) -> Response:
-        """Send one request, once, and wait for the answer's headers.
+        """Send a request once and wait for the headers of its response.
 
         Parameters
         ----------
         timeout
-            Seconds until the headers must be there.
+            Seconds until the headers must have arrived.
         reuse
-            Whether a kept connection may carry it. A kept connection that its
-            peer closes at this moment leaves the outcome unknown, so requests
-            that may not be repeated get a connection of their own.
+            Whether the request may use an idle connection. If the upstream
+            closes it at that moment, the outcome is unknown, so requests that
+            must not be repeated get a new connection.
 
         Raises
         ------
         UpstreamNotStartedError
-            No connection was made; nothing was sent.
+            No connection was established; nothing was sent.
         UpstreamError
-            Some of the request may have gone out.
+            Part of the request may have been sent.
         """
         client = self._client(address, reuse=reuse)
         connecting = client.pool.connecting
@@ -153,17 +152,17 @@
             connecting.discard(gevent.getcurrent())
 
     def read(self, address: str, answer: Response, timeout: float) -> bytes:
-        """Read a whole body; a cut one raises `UpstreamError`."""
+        """Read the complete body; a cut one raises `UpstreamError`."""
         with _translate_errors(address), self._limit_time(address, timeout):
             return bytes(answer.read())
 
     def read_until(
         self, end: bytes, address: str, answer: Response, timeout: float
     ) -> bytes:
-        """Read a stream up to an end mark; nothing at its clean end.
+        """Read a stream up to a delimiter; return nothing at its clean end.
 
-        This runs once for each streamed event, so it has no context managers
-        but the clock's.
+        This runs for each streamed event, so for speed it uses no context
+        manager but the clock's.
         """
         try:
             with self._limit_time(address, timeout):
@@ -178,7 +177,7 @@
         self._clients.clear()
 
     def _client(self, address: str, *, reuse: bool) -> _Client:
-        """Return the client of an address."""
+        """Return the client for an address."""
         client = self._clients.get((address, reuse))
         if client is None:
             client = _Client(
@@ -190,7 +189,7 @@
     def _limit_time(
         self, address: str, timeout: float
     ) -> contextlib.AbstractContextManager[None]:
-        """Bound a wait for an upstream."""
+        """Limit the wait for an upstream."""
         return self.clock.timeout(
             timeout, _make_timeout_error_factory(address, timeout)
         )
@@ -199,7 +198,7 @@
 def _make_timeout_error_factory(
     address: str, timeout: float
 ) -> Callable[[], UpstreamError]:
-    """Return what makes the error of a silent upstream."""
+    """Return a factory of the error for an unresponsive upstream."""
 
     def make() -> UpstreamError:
         return UpstreamError(
@@ -212,7 +211,7 @@
 
 @contextlib.contextmanager
 def _translate_errors(address: str) -> Iterator[None]:
-    """Turn transport errors into ours by whether bytes may have gone out."""
+    """Translate transport errors by whether data may have been sent."""
     try:
         yield
     except _ConnectError as error:
@@ -225,8 +224,8 @@
 
 
 def _make_broken_error(address: str, error: Exception) -> UpstreamError:
-    """Return the error of an exchange that broke off."""
+    """Return the error for an interrupted exchange."""
     return UpstreamError(
-        f'{address} broke the exchange off ({error})',
+        f'the exchange with {address} was interrupted ({error})',
         'check the upstream; whether it ran the request is unknown',
     )
--- a/guavagate/integrations/instance_list/_poller.py
+++ b/guavagate/integrations/instance_list/_poller.py
@@ -1,4 +1,4 @@
-"""Asks for the list now and then, and hands it to the membership."""
+"""Polls the platform's instance list for the membership."""
 
 import logging
 import random
@@ -22,10 +22,10 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# The list only finds instances that nobody has told of; at 330 instances
-# this is 11 reads a second of the platform's 2,000.
+# The list only discovers instances that no member has announced. With 330
+# instances this interval takes 11 of the platform's 2,000 reads a second.
 POLL_INTERVAL_SECONDS: Final = 30.0
-# Until the first list is read; doubled after each failure.
+# Until the first list has been read; doubled after each failure.
 FIRST_INTERVAL_SECONDS: Final = 1.0
 _CALL_TIMEOUT_SECONDS: Final = 2.0
 _OK: Final = 200
@@ -34,12 +34,12 @@
 
 
 class InstanceListPoller:
-    """Polls in a task of its own, at jittered times.
+    """Polls the list in its own task, with jitter.
 
     Parameters
     ----------
     handle_list
-        Called with each list that was read, without blocking.
+        Called with each list that is not empty; must not block.
     """
 
     def __init__(
@@ -56,23 +56,23 @@
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Begin to poll."""
+        """Start to poll."""
         self._task = self._clock.spawn(self._run)
 
     def stop(self) -> None:
-        """End the task."""
+        """Stop polling."""
         if self._task is not None:
             self._task.kill()
 
     def poll(self) -> list[ListedInstance] | None:
-        """Return the list, or nothing when the platform gives none."""
+        """Return the list, or `None` if it cannot be read."""
         call = Call(
             method='GET', path='/v1/instances', timeout=_CALL_TIMEOUT_SECONDS
         )
         try:
             answer = self._transport(call)
         except (NotSentError, NoAnswerError) as error:
-            _LOGGER.debug('the instance list was not read: %s', error)
+            _LOGGER.debug('Failed to read the instance list: %s', error)
             return None
         if answer.status != _OK:
             return None
@@ -93,12 +93,14 @@
     try:
         entries = msgspec.json.decode(body, type=ListBody).instances
     except msgspec.MsgspecError as error:
-        _LOGGER.debug('the instance list can not be read: %s', error)
+        _LOGGER.debug('The instance list is malformed: %s', error)
         return None
     listed = []
     for entry in entries:
         try:
             listed.append(msgspec.json.decode(entry, type=ListedInstance))
         except msgspec.MsgspecError as error:
-            _LOGGER.debug('an entry of the list was left out: %s', error)
+            _LOGGER.debug(
+                'Skipped a malformed entry of the instance list: %s', error
+            )
     return listed
--- a/guavagate/integrations/instance_list/models.py
+++ b/guavagate/integrations/instance_list/models.py
@@ -1,4 +1,4 @@
-"""The instance list's protocol, as it is on the wire."""
+"""Messages of the instance list's protocol."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class ListedInstance(msgspec.Struct, frozen=True, kw_only=True):
-    """One instance that the platform lists."""
+    """An instance in the platform's list."""
 
     id: InstanceId
     availability_zone: ZoneId
@@ -17,7 +17,7 @@
     state: str = 'live'
 
     def to_peer(self) -> PeerSettings:
-        """Return the instance as its peers know it."""
+        """Return the instance as peer settings."""
         return PeerSettings(
             id=self.id,
             availability_zone=self.availability_zone,
@@ -28,6 +28,6 @@
 
 
 class ListBody(msgspec.Struct, frozen=True):
-    """The whole list; entries that can't be read are left out."""
+    """The list, with its entries still encoded: some may be malformed."""
 
     instances: list[msgspec.Raw]
--- a/guavagate/integrations/model_engine/__init__.py
+++ b/guavagate/integrations/model_engine/__init__.py
@@ -1,4 +1,4 @@
-"""Speaks to model engines over HTTP with server-sent events."""
+"""Client for model engines over HTTP with server-sent events."""
 
 from guavagate.integrations.model_engine._client import HttpModelEngine
 from guavagate.integrations.model_engine.models import (
--- a/guavagate/integrations/model_engine/_client.py
+++ b/guavagate/integrations/model_engine/_client.py
@@ -1,4 +1,4 @@
-"""The adapter from the engine port to HTTP."""
+"""Implements the engine port over HTTP."""
 
 import contextlib
 import logging
@@ -35,17 +35,17 @@
 
 
 class HttpModelEngine:
-    """Speaks to all engines of one instance.
+    """Client for all engines that an instance uses.
 
     Parameters
     ----------
     clock
-        Bounds every wait.
+        Limits every wait.
 
     Attributes
     ----------
     dropped
-        Pieces dropped because they belonged to another exchange.
+        Number of pieces dropped because they belong to another exchange.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -61,14 +61,14 @@
     ) -> Iterator[Piece]:
         """Stream the pieces; iterate to the end, or close to cancel.
 
-        Nothing is sent before the first piece is asked for.
+        Nothing is sent before the first iteration.
 
         Raises
         ------
         UpstreamNotStartedError
-            The engine certainly has not started.
+            The engine has not started.
         UpstreamError
-            It may have: the stream is broken, silent or not whole.
+            It may have: the stream broke, stalled or is incomplete.
         """
         running = True
         stream = self._stream(address, generation, token_timeout)
@@ -91,14 +91,14 @@
         )
 
     def order(self, address: str, order: EngineOrder, timeout: float) -> None:
-        """Give an order; a refused one raises `UpstreamError`."""
+        """Send an order; a rejected one raises `UpstreamError`."""
         body = msgspec.json.encode(order)
         self._request(address, 'POST', const.PATH_ORDERS, body, dict, timeout)
 
     def cache_events(
         self, address: str, since: int, timeout: float
     ) -> CacheEvents:
-        """Return the cache events from a number on; numbers have gaps."""
+        """Return the cache events from a number on; numbers may have gaps."""
         path = f'{const.PATH_CACHE_EVENTS}{since}'
         return self._request(address, 'GET', path, b'', CacheEvents, timeout)
 
@@ -134,7 +134,7 @@
         generation: Generation,
         token_timeout: float,
     ) -> Iterator[Piece]:
-        """Yield the events that belong to the exchange."""
+        """Yield the pieces that belong to the exchange."""
         checker = StreamChecker(address, generation)
         for event in self._read_events(address, answer, token_timeout):
             if event.id != generation.exchange:
@@ -148,7 +148,7 @@
                 return
         raise UpstreamError(
             f'{address} ended its stream without a terminal event',
-            'ask again from the last piece received',
+            'resume from the last piece received',
         )
 
     def _read_events(
@@ -166,16 +166,16 @@
             yield decode_event(address, data)
 
     def _drain(self, address: str, answer: Response) -> None:
-        """Read the rest, so that the connection can be used again."""
+        """Read the rest of the response, so that its connection is reusable."""
         try:
             self._connections.read(address, answer, const.DRAIN_TIMEOUT_SECONDS)
         except UpstreamError as error:
-            _LOGGER.debug('Connection not kept: %s', error)
+            _LOGGER.debug('Connection not reused: %s', error)
 
     def _record_stray(
         self, address: str, generation: Generation, event: StreamEvent
     ) -> None:
-        """Count a piece of another exchange."""
+        """Count and log a piece of another exchange."""
         self.dropped += 1
         _LOGGER.warning(
             'Dropped a piece of exchange %s that %s sent to exchange %s',
@@ -187,7 +187,7 @@
     def _raise_error(
         self, address: str, answer: Response, timeout: float
     ) -> NoReturn:
-        """Raise for an answer that is no stream."""
+        """Raise the exception for an error response."""
         data = self._connections.read(address, answer, timeout)
         raise make_error(address, answer.status_code, data)
 
@@ -200,7 +200,7 @@
         kind: type[_Answer],
         timeout: float,
     ) -> _Answer:
-        """Send a small request and decode its answer."""
+        """Send a request and decode its JSON response."""
         answer = self._connections.send(
             address, method, path, body=body, timeout=timeout
         )
@@ -213,7 +213,7 @@
             raise make_malformed_error(address, error) from error
 
     def _cancel(self, address: str, exchange: str) -> None:
-        """Tell the engine to stop an exchange; it may be gone already."""
+        """Cancel an exchange, which may have ended already."""
         path = f'{const.PATH_CANCEL}{quote(exchange, safe="")}'
         try:
             self._request(
--- a/guavagate/integrations/model_engine/_wire.py
+++ b/guavagate/integrations/model_engine/_wire.py
@@ -1,4 +1,4 @@
-"""Encodes requests and checks each streamed event."""
+"""Encodes requests and validates streamed events."""
 
 import msgspec
 
@@ -12,7 +12,7 @@
 
 
 def encode_request(generation: Generation) -> bytes:
-    """Return a generation as the engine's request body."""
+    """Return the request body for a generation."""
     body = msgspec.to_builtins(generation)
     body['request_id'] = body.pop('exchange')
     body['stream'] = True
@@ -20,7 +20,7 @@
 
 
 def decode_event(address: str, data: bytes) -> StreamEvent:
-    """Return one event; a malformed one raises `UpstreamError`."""
+    """Return an event; a malformed one raises `UpstreamError`."""
     try:
         return _EVENT.decode(data)
     except msgspec.MsgspecError as error:
@@ -28,14 +28,14 @@
 
 
 class StreamChecker:
-    """Checks that a stream's pieces are whole and state their version.
+    """Checks that no piece of a stream is missing or lacks its version.
 
     Parameters
     ----------
     address
-        Named in errors.
+        The engine's address, for error messages.
     generation
-        What was asked for.
+        The requested generation.
     """
 
     def __init__(self, address: str, generation: Generation) -> None:
@@ -45,7 +45,7 @@
         self._strays = 0
 
     def record_stray(self) -> None:
-        """Note a piece of another exchange."""
+        """Record that a piece of another exchange arrived."""
         self._strays += 1
 
     def read_piece(self, event: StreamEvent) -> Piece:
@@ -54,12 +54,12 @@
         Raises
         ------
         UpstreamError
-            It states no version, or a piece before it went missing.
+            The event lacks the version, or an earlier piece is missing.
         """
         if event.weight_version is None or not event.choices:
             raise UpstreamError(
-                f'{self._address} does not say which version made its text',
-                'have the engine state weight_version on each event',
+                f'{self._address} does not state which version made its text',
+                'configure the engine to send weight_version in each event',
             )
         choice = event.choices[0]
         self._tokens += event.usage.tokens
@@ -74,17 +74,17 @@
         )
 
     def _check_gap(self, total: int | None) -> None:
-        """Compare the engine's count so far with what has arrived.
+        """Compare the engine's token count with the tokens received.
 
-        When two streams were crossed, our missing piece went to the other
-        one: the caller would see a gap although the terminal event is there.
-        It must be found before the next piece is passed on, or a resume from
-        there would keep the gap. Without a count, a stray piece alone makes
-        what follows doubtful.
+        If an engine mixes up two streams, a piece of this one goes to the
+        other, and the text has a gap although the terminal event arrives. The
+        gap must be found before the next piece is passed on, because a resume
+        after that piece would keep it. Without a count, any piece of another
+        exchange counts as a gap.
         """
         gap = self._strays > 0 if total is None else total != self._tokens
         if gap:
             raise UpstreamError(
-                f'{self._address} left out a piece of {self._exchange}',
+                f'{self._address} omitted a piece of {self._exchange}',
                 'resume from the last piece received',
             )
--- a/guavagate/integrations/model_engine/const.py
+++ b/guavagate/integrations/model_engine/const.py
@@ -1,4 +1,4 @@
-"""Names and limits of the engines' protocol."""
+"""Names and limits of the model engine protocol."""
 
 from typing import Final
 
@@ -8,7 +8,7 @@
 PATH_ORDERS: Final = '/orders'
 PATH_CACHE_EVENTS: Final = '/cache/events?since='
 
-# Engines send one data line for each event and end it by an empty line.
+# Each event is one data line, followed by an empty line.
 EVENT_END: Final = b'\n\n'
 DATA_PREFIX: Final = b'data: '
 DONE_MARKER: Final = b'[DONE]'
@@ -16,5 +16,5 @@
 CANCEL_TIMEOUT_SECONDS: Final = 2.0
 DRAIN_TIMEOUT_SECONDS: Final = 0.2
 
-# Engines name a cached prefix by a digest over whole blocks of the prompt.
+# Engines identify a cached prefix by a digest over complete prompt blocks.
 PREFIX_BLOCK_CHARS: Final = 64
--- a/guavagate/integrations/model_engine/models.py
+++ b/guavagate/integrations/model_engine/models.py
@@ -1,4 +1,4 @@
-"""The engines' protocol, as it is on the wire."""
+"""Messages of the model engine protocol."""
 
 import msgspec
 import xxhash
@@ -7,14 +7,14 @@
 
 
 class Choice(msgspec.Struct):
-    """One choice of a streamed event."""
+    """A choice in a streamed event."""
 
     text: str = ''
     finish_reason: str | None = None
 
 
 class Usage(msgspec.Struct):
-    """Tokens of one event; `completion_tokens` are all so far."""
+    """Tokens of one event; `completion_tokens` is the total so far."""
 
     tokens: int = 0
     cached_tokens: int = 0
@@ -22,7 +22,7 @@
 
 
 class StreamEvent(msgspec.Struct):
-    """One server-sent event; an engine may leave the version out."""
+    """A server-sent event; an engine may omit the version."""
 
     id: str
     choices: list[Choice]
@@ -31,7 +31,7 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """A prefix that an engine has stored or evicted; numbers have gaps."""
+    """A prefix that an engine stored or evicted; `seq` may have gaps."""
 
     seq: int
     kind: str
@@ -39,14 +39,14 @@
 
 
 class CacheEvents(msgspec.Struct):
-    """Cache events and the number to ask from next."""
+    """Cache events, and the number to request from next."""
 
     next: int
     events: list[CacheEvent]
 
 
 def compute_prefix_ids(prompt: str) -> list[str]:
-    """Return the ids of a prompt's prefixes, the shortest first."""
+    """Return the ids of a prompt's prefixes, shortest first."""
     ids = []
     digest = xxhash.xxh64()
     for end in range(PREFIX_BLOCK_CHARS, len(prompt) + 1, PREFIX_BLOCK_CHARS):
--- a/guavagate/integrations/plain_service/__init__.py
+++ b/guavagate/integrations/plain_service/__init__.py
@@ -1,4 +1,4 @@
-"""Speaks to the upstreams of plain services over HTTP."""
+"""Client for the upstreams of plain services over HTTP."""
 
 from guavagate.integrations.plain_service._client import HttpPlainService
 
--- a/guavagate/integrations/plain_service/_client.py
+++ b/guavagate/integrations/plain_service/_client.py
@@ -1,4 +1,4 @@
-"""The adapter from the plain services' port to HTTP."""
+"""Implements the plain service port over HTTP."""
 
 import logging
 
@@ -22,17 +22,17 @@
 
 
 class HttpPlainService:
-    """Speaks to the upstreams of all plain services of one instance.
+    """Client for the upstreams of all plain services of an instance.
 
     Parameters
     ----------
     clock
-        Bounds every wait.
+        Limits every wait.
 
     Attributes
     ----------
     dropped
-        Answers dropped because they belonged to another exchange.
+        Number of answers dropped because they belong to another exchange.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -46,14 +46,14 @@
         request: ServiceRequest,
         timeout: float,
     ) -> ServiceAnswer:
-        """Send the request once and return the whole answer.
+        """Send the request once and return the complete answer.
 
         Raises
         ------
         UpstreamNotStartedError
-            The upstream certainly has not started.
+            The upstream has not started the request.
         UpstreamError
-            It may have run.
+            The request may have run.
         """
         deadline = self._clock.now() + timeout
         answer = self._connections.send(
@@ -96,7 +96,7 @@
     def _check_exchange(
         self, address: str, exchange: RequestId, answer: Response
     ) -> None:
-        """Drop an answer that names another exchange than ours."""
+        """Raise an error if the answer names another exchange."""
         named = answer.get(HEADER_EXCHANGE)
         if named is None or named == exchange:
             return
@@ -109,12 +109,12 @@
         )
         raise UpstreamError(
             f'{address} answered exchange {named} instead of {exchange}',
-            'check what lies between here and the upstream',
+            'check the proxies in front of the upstream',
         )
 
 
 def _make_headers(request: ServiceRequest) -> dict[str, str]:
-    """Return the headers to send; repeated ones become one list."""
+    """Return the headers to send; repeated ones are joined by commas."""
     headers: dict[str, str] = {}
     for name, value in drop_hop_by_hop(request.headers):
         existing = headers.get(name)
@@ -126,7 +126,7 @@
 
 
 def _raise_not_started(address: str, body: bytes) -> None:
-    """Raise when a 503 says that the upstream has not started."""
+    """Raise if a 503 states that the upstream has not started."""
     error = make_error(address, 503, body)
     if isinstance(error, UpstreamNotStartedError):
         raise error
--- a/guavagate/integrations/plain_service/const.py
+++ b/guavagate/integrations/plain_service/const.py
@@ -1,11 +1,11 @@
-"""Names of the plain services' protocol."""
+"""Names of the plain service protocol."""
 
 from typing import Final
 
 PATH_REPORT: Final = '/report'
 
-# These belong to one connection and are not passed on (RFC 9110, 7.6.1); the
-# client's library sets its own.
+# Hop-by-hop headers (RFC 9110, 7.6.1) and those that the client library sets
+# itself; they are not forwarded.
 CONNECTION_HEADERS: Final = frozenset(
     (
         'connection',
--- a/guavagate/integrations/plain_service/models.py
+++ b/guavagate/integrations/plain_service/models.py
@@ -1,4 +1,4 @@
-"""What an answer of a plain service carries besides its own content."""
+"""Removes hop-by-hop headers from messages of plain services."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 
 
 def drop_hop_by_hop(headers: Iterable[tuple[str, str]]) -> HeaderPairs:
-    """Return the headers that do not belong to one connection alone."""
+    """Return the end-to-end headers, which are to be forwarded."""
     pairs = list(headers)
     named = {
         token.strip().lower()
--- a/guavagate/integrations/scoring_service/__init__.py
+++ b/guavagate/integrations/scoring_service/__init__.py
@@ -1,4 +1,4 @@
-"""Speaks to scoring services over HTTP."""
+"""Client for scoring services over HTTP."""
 
 from guavagate.integrations.scoring_service._client import HttpScoringService
 
--- a/guavagate/integrations/scoring_service/_client.py
+++ b/guavagate/integrations/scoring_service/_client.py
@@ -1,4 +1,4 @@
-"""The adapter from the scoring port to HTTP."""
+"""Implements the scoring port over HTTP."""
 
 import msgspec
 
@@ -15,12 +15,12 @@
 
 
 class HttpScoringService:
-    """Speaks to all scoring services of one instance.
+    """Client for all scoring services of an instance.
 
     Parameters
     ----------
     clock
-        Bounds every wait.
+        Limits every wait.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -39,16 +39,16 @@
         Raises
         ------
         UpstreamNotStartedError
-            The service certainly has not started.
+            The service has not started the request.
         UpstreamError
-            It failed, was too late, or answered for another sample.
+            It failed, timed out, or scored another sample.
         """
-        wanted = ScoreRequest(sample_id, prompt, text)
+        request = ScoreRequest(sample_id, prompt, text)
         answer = self._connections.send(
             address,
             'POST',
             const.PATH_SCORE,
-            body=msgspec.json.encode(wanted),
+            body=msgspec.json.encode(request),
             headers={'Content-Type': 'application/json'},
             timeout=timeout,
         )
@@ -62,7 +62,7 @@
         if score.sample_id != sample_id:
             raise UpstreamError(
                 f'{address} scored {score.sample_id} instead of {sample_id}',
-                'ask again; check what lies between here and the service',
+                'retry; check the proxies in front of the service',
             )
         return score.score
 
--- a/guavagate/integrations/scoring_service/const.py
+++ b/guavagate/integrations/scoring_service/const.py
@@ -1,4 +1,4 @@
-"""Names of the scoring services' protocol."""
+"""Names of the scoring service protocol."""
 
 from typing import Final
 
--- a/guavagate/integrations/scoring_service/models.py
+++ b/guavagate/integrations/scoring_service/models.py
@@ -1,4 +1,4 @@
-"""The scoring services' protocol, as it is on the wire."""
+"""Messages of the scoring service protocol."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class ScoreRequest(msgspec.Struct):
-    """What is to be scored."""
+    """A sample to score."""
 
     sample_id: SampleId
     prompt: str
@@ -14,7 +14,7 @@
 
 
 class ScoreAnswer(msgspec.Struct):
-    """A score, with the sample that it is for."""
+    """The score of a sample."""
 
     sample_id: SampleId
     score: float
--- a/guavagate/integrations/weight_store/__init__.py
+++ b/guavagate/integrations/weight_store/__init__.py
@@ -1,4 +1,4 @@
-"""Asks weight stores over HTTP which versions they hold."""
+"""Client that looks up weight versions in weight stores."""
 
 from guavagate.integrations.weight_store._client import HttpWeightStore
 
--- a/guavagate/integrations/weight_store/_client.py
+++ b/guavagate/integrations/weight_store/_client.py
@@ -1,4 +1,4 @@
-"""The adapter from the weight store's port to HTTP."""
+"""Implements the weight store port over HTTP."""
 
 import msgspec
 
@@ -12,12 +12,12 @@
 
 
 class HttpWeightStore:
-    """Speaks to weight stores.
+    """Client for weight stores.
 
     Parameters
     ----------
     clock
-        Bounds every wait.
+        Limits every wait.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -30,12 +30,12 @@
         version: WeightVersion,
         timeout: float,
     ) -> WeightObject | None:
-        """Return the version's entry, or nothing when it is not there.
+        """Return the entry of a version, or `None` if it does not exist.
 
         Raises
         ------
         UpstreamError
-            The store gave no usable answer.
+            The store sent no valid response.
         """
         path = f'{const.PATH_WEIGHTS}/{run}/{version}/entry'
         answer = self._connections.send(address, 'GET', path, timeout=timeout)
--- a/guavagate/integrations/weight_store/const.py
+++ b/guavagate/integrations/weight_store/const.py
@@ -1,4 +1,4 @@
-"""Names of the weight stores' protocol."""
+"""Names of the weight store protocol."""
 
 from typing import Final
 
--- a/guavagate/integrations/weight_store/models.py
+++ b/guavagate/integrations/weight_store/models.py
@@ -1,10 +1,10 @@
-"""The weight stores' protocol, as it is on the wire."""
+"""Messages of the weight store protocol."""
 
 import msgspec
 
 
 class WeightEntry(msgspec.Struct):
-    """What ``GET …/{version}/entry`` answers."""
+    """The response to ``GET …/{version}/entry``."""
 
     size: int
     fetches_per_second: float = 0
