--- a/guavagate/integrations/object_api/__init__.py
+++ b/guavagate/integrations/object_api/__init__.py
@@ -1,7 +1,7 @@
-"""Speaks to the platform's object API over HTTP.
+"""Client for the platform's object API.
 
-Its client over HTTP is a module of its own: the library behind it takes a sixth
-of a start, and a process that reaches the store another way does without it.
+The package does not import `transport`: loading its HTTP library takes a sixth
+of the start time, and a process with another transport does not need it.
 """
 
 from guavagate.integrations.object_api._call_metrics import measure_calls
--- a/guavagate/integrations/object_api/_call_metrics.py
+++ b/guavagate/integrations/object_api/_call_metrics.py
@@ -1,4 +1,4 @@
-"""Measures calls to the store."""
+"""Measures the duration of calls to the store."""
 
 from typing import Final
 
@@ -6,17 +6,17 @@
 from guavagate.integrations.object_api.models import Answer, Call, Transport
 from guavagate.metrics import Metrics, names
 
-# What may take longer is a watch, which waits for changes.
+# Calls with a longer timeout are watches, which wait for changes.
 LONGEST_CALL_SECONDS: Final = 2.0
 
 
 def measure_calls(
     carry: Transport, metrics: Metrics, clock: Clock
 ) -> Transport:
-    """Return the same way to the store, with each call's time observed."""
+    """Return a transport that records the duration of each call."""
 
     def carry_timed(call: Call) -> Answer:
-        began = clock.now()
+        began_at = clock.now()
         outcome = 'failed'
         try:
             answer = carry(call)
@@ -25,7 +25,7 @@
             if call.timeout <= LONGEST_CALL_SECONDS:
                 metrics.observe(
                     names.STORE_SECONDS,
-                    clock.now() - began,
+                    clock.now() - began_at,
                     method=call.method,
                     outcome=outcome,
                 )
--- a/guavagate/integrations/object_api/_circuit_breaker.py
+++ b/guavagate/integrations/object_api/_circuit_breaker.py
@@ -1,10 +1,10 @@
-"""Holds calls back while the platform gives no answers.
+"""Circuit breaker that rejects calls while the platform does not answer.
 
-Load pattern: an outage of hours. Without it each call of each instance waits
-out its time limit, tasks pile up behind, and the platform's return meets all
-of them at once. One call at a time probes, at jittered times that grow up to
-a few seconds, so 330 instances together probe about a hundred times a second
-and each finds the platform back within seconds.
+Load pattern: an outage of hours. Without the breaker each call waits for its
+time limit, tasks pile up, and all of them call at once when the platform
+returns. Instead one call at a time probes the platform, at jittered intervals
+that grow to a few seconds. 330 instances then send about a hundred probes a
+second in total, and each detects the platform's return within seconds.
 """
 
 import random
@@ -16,7 +16,7 @@
 
 
 class CircuitBreaker:
-    """Closed while calls succeed; time is an argument, seconds."""
+    """A circuit breaker, closed while calls succeed; times in seconds."""
 
     def __init__(
         self,
@@ -30,21 +30,21 @@
         self._probe_at: float | None = None
 
     def is_open(self) -> bool:
-        """Return whether calls are held back."""
+        """Return whether calls are rejected."""
         return self._probe_at is not None
 
     def admit(self, now: float) -> float:
-        """Return 0 when a call may go, else seconds until a probe may."""
+        """Return 0 to admit a call, else the seconds until the next probe."""
         if self._probe_at is None:
             return 0
         if now < self._probe_at:
             return self._probe_at - now
-        # Others wait while this one probes.
+        # Other calls are rejected while this one probes.
         self._probe_at = now + self._interval
         return 0
 
     def record_success(self) -> bool:
-        """Note an answer; return whether this ends an outage."""
+        """Record an answer; return whether it ends an outage."""
         ended = self.is_open()
         self._failures = 0
         self._interval = MIN_PROBE_INTERVAL_SECONDS
@@ -52,7 +52,7 @@
         return ended
 
     def record_failure(self, now: float) -> bool:
-        """Note a failure; return whether this starts an outage."""
+        """Record a failure; return whether it starts an outage."""
         self._failures += 1
         if self._failures < FAILURE_THRESHOLD:
             return False
--- a/guavagate/integrations/object_api/_client.py
+++ b/guavagate/integrations/object_api/_client.py
@@ -1,4 +1,4 @@
-"""The adapter from the store port to the platform's object API."""
+"""Implements the store port with the platform's object API."""
 
 import logging
 import random
@@ -39,7 +39,7 @@
 _NOT_FOUND: Final = 404
 _CONFLICT: Final = 409
 _GONE: Final = 410
-# A watch may answer a little after its time; then it counts as lost.
+# Time after a watch's timeout within which its answer must arrive.
 _WATCH_GRACE_SECONDS: Final = 2.0
 
 _PRIORITIES: Final = (
@@ -58,11 +58,11 @@
     Parameters
     ----------
     transport
-        Carries one call; `make_http_transport` makes one.
+        Makes one call; see `make_http_transport`.
     fleet_size
-        How many instances share the platform's rate now.
+        Returns how many instances share the platform's rates.
     rng
-        Draws the jitter.
+        Source of the jitter.
     """
 
     def __init__(
@@ -78,11 +78,11 @@
         self._known_versions = KnownVersions()
 
     def is_down(self) -> bool:
-        """Return whether calls are held back as the platform is down."""
+        """Return whether calls are rejected because the platform is down."""
         return self._client.is_down()
 
     def get(self, path: str) -> StoredObject | None:
-        """Return the object, or nothing; never an older one than before."""
+        """Return the object or `None`; never a version older than known."""
         answer = self._read(_make_target(path), classify(path))
         if answer.status == _NOT_FOUND:
             self._confirm_missing(path)
@@ -113,14 +113,14 @@
     def put(
         self, path: str, value: bytes, expected: Revision | None
     ) -> Revision:
-        """Write if the object's version is as expected (0: not there)."""
+        """Write if the version is as expected; 0 expects no object."""
         answer = self._write('PUT', path, value, expected)
         version = _decode(answer, WrittenBody).version
         self._known_versions.record(path, version)
         return version
 
     def delete(self, path: str, expected: Revision | None) -> None:
-        """Delete under the same condition."""
+        """Delete the object if its version is as expected."""
         answer = self._write('DELETE', path, b'', expected)
         version = _decode(answer, WrittenBody).version
         self._known_versions.record(path, version, present=False)
@@ -128,7 +128,7 @@
     def watch(
         self, prefix: str, since: Revision, timeout: float
     ) -> tuple[list[StoreChange], Revision]:
-        """Wait for changes after a revision; may return none."""
+        """Wait for changes after a revision; return none on a timeout."""
         query = urlencode(
             {'prefix': prefix, 'since': since, 'timeout': timeout}
         )
@@ -180,8 +180,8 @@
         if answer.status == _CONFLICT:
             self._record_conflict(path, answer)
             raise StoreConflictError(
-                f'{path} has another version than {expected}',
-                'read it and decide again',
+                f'{path} does not have the expected version {expected}',
+                'read it again and retry',
             )
         _require_status(answer, _OK)
         return answer
@@ -192,9 +192,9 @@
             self._known_versions.record(path, current)
 
     def _confirm_missing(self, path: str) -> None:
-        """Believe that an object is gone only from a copy that is not old.
+        """Raise an error if a "not found" answer may be stale.
 
-        An answer "not found" carries no revision; a list does.
+        The answer carries no revision, so a list, which does, is read too.
         """
         if not self._known_versions.is_present(path):
             return
@@ -205,7 +205,7 @@
 
 
 def classify(path: str) -> Priority:
-    """Return the priority of calls about a path."""
+    """Return the priority of calls for a path."""
     for prefix, priority in _PRIORITIES:
         if path.startswith(prefix):
             return priority
@@ -230,8 +230,8 @@
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.MsgspecError as error:
         raise StoreUnavailableError(
-            f'the platform sent what is no answer ({error})',
-            'check what the object API address leads to',
+            f'the platform sent a malformed answer ({error})',
+            'check which server listens at the object API address',
         ) from error
 
 
@@ -239,6 +239,6 @@
     write(_LOGGER, fleet.STORE_STALE, path=path)
     return StoreUnavailableError(
         f'the platform answered for {path} from an old copy',
-        'ask again later; nothing older than what was seen is taken',
+        'retry later; versions older than known are rejected',
         may_be_written=False,
     )
--- a/guavagate/integrations/object_api/_peer_selector.py
+++ b/guavagate/integrations/object_api/_peer_selector.py
@@ -1,9 +1,9 @@
-"""Which peer makes this instance's calls to the store.
+"""Selects the peers that make this instance's calls to the store.
 
-What cuts an instance off from the store often cuts it off from some peers as
-well, which others still see alive. A call through such a peer waits out its
-time limit, so whoever answered last is asked again, and one that gave no
-answer is left alone for a while.
+A network partition between an instance and the store often separates it from
+some peers too, which other members still see alive. A call through such a peer
+waits for its time limit. The peer that answered last is therefore preferred,
+and one that failed is avoided for a while.
 """
 
 import random
@@ -13,12 +13,12 @@
 from guavagate.clock import Clock
 from guavagate.models import InstanceId
 
-# Longer than most partitions of single machines last.
+# Most network partitions of single machines are shorter.
 AVOID_SECONDS: Final = 10.0
 
 
 class PeerSelector:
-    """Remembers who answered and who did not."""
+    """Ranks peers by whether they answered."""
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         self._clock = clock
@@ -27,11 +27,11 @@
         self._avoided_until: dict[InstanceId, float] = {}
 
     def has_working_peer(self) -> bool:
-        """Return whether some peer is known to answer."""
+        """Return whether a peer is known to answer."""
         return self._last_working is not None
 
     def rank(self, peers: Sequence[InstanceId]) -> list[InstanceId]:
-        """Return the peers to ask, the best first, the silent ones last."""
+        """Return the peers, the last one to answer first, failed ones last."""
         now = self._clock.now()
         shuffled = list(peers)
         self._random.shuffle(shuffled)
@@ -44,12 +44,12 @@
         )
 
     def record_answer(self, peer: InstanceId) -> None:
-        """Note that a peer made a call."""
+        """Record that a peer made a call."""
         self._avoided_until.pop(peer, None)
         self._last_working = peer
 
     def record_failure(self, peer: InstanceId) -> None:
-        """Note that a peer gave no answer, or could not reach the store."""
+        """Record that a peer did not answer or could not reach the store."""
         self._avoided_until[peer] = self._clock.now() + AVOID_SECONDS
         if self._last_working == peer:
             self._last_working = None
--- a/guavagate/integrations/object_api/_peers.py
+++ b/guavagate/integrations/object_api/_peers.py
@@ -1,14 +1,14 @@
-"""A way to the store through a peer, when it turns this instance away.
+"""Calls the store through a peer while the direct route fails.
 
-The store may refuse some machines, or be cut off from them, while it serves
-all others. Such an instance would not hear of a new configuration and could
-accept and list nothing, though it is otherwise sound.
+The store may reject some machines, or be unreachable from them, while it serves
+all others. Such an instance would receive no new configuration and could accept
+no jobs and list no results, though it works otherwise.
 
-A way that is silent shows by time alone: a watch that waits would wait on, and
-each other call for its time limit. So while something waits and nothing else
-has been answered, a cheap call tries the way. When it fails, all that waits is
-let go at once, to be asked again through a peer, and the peers are asked until
-the way works again.
+A stalled route shows no error: a watch would wait on, and each other call would
+wait for its time limit. While calls wait and none has been answered, a cheap
+call therefore probes the route. If it fails, all waiting calls fail at once, so
+that they are repeated through a peer, and calls use peers until the direct
+route works again.
 """
 
 import logging
@@ -38,38 +38,38 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Between two looks at the way, and how long it may be silent before it is
-# tried. With the time limit of a try, what waits on a silent way is let go
-# after 0.7 s at most; TCP's own probes take 3 s, and a step of four seconds
-# whose results can not be listed for two is late.
+# Interval between checks of the direct route, and the time without an answer
+# after which it is probed. With the probe's timeout, calls on a stalled route
+# fail after 0.7 s at most. TCP keepalive takes 3 s, and a step of four seconds
+# is late if its results cannot be listed for two.
 CHECK_INTERVAL_SECONDS: Final = 0.2
 STALLED_SECONDS: Final = 0.25
-# A try waits for five usual answers within these bounds: a store that answers
-# slowly is not lost, and what it carries out must not be given up for that.
+# A probe's timeout is a multiple of the usual latency, within these bounds. A
+# slow store is not lost, and calls that it is running must not fail for that.
 MIN_PROBE_TIMEOUT_SECONDS: Final = 0.25
 MAX_PROBE_TIMEOUT_SECONDS: Final = 0.6
 PROBE_TIMEOUT_FACTOR: Final = 5
 LATENCY_SMOOTHING: Final = 0.5
-# While the way is lost; each try has its price.
+# While the direct route is lost; each probe has a cost.
 PROBE_INTERVAL_SECONDS: Final = 0.5
-# Where nothing urgent waits, calls go through peers meanwhile, and ninety
-# instances that try their ways twice a second cost more than that.
+# Where nothing urgent waits. Ninety instances that probe twice a second cost
+# more than the calls that go through peers meanwhile.
 IDLE_PROBE_INTERVAL_SECONDS: Final = 2.0
 PEER_GRACE_SECONDS: Final = 0.5
-# A peer that is sound answers within some milliseconds.
+# A working peer answers within milliseconds.
 SEARCH_TIMEOUT_SECONDS: Final = 0.2
 _MAX_SEARCHED_PEERS: Final = 4
 _MAX_TRIED_PEERS: Final = 2
 
 
 class StoreCall(Message, frozen=True, kw_only=True):
-    """A call to the store, made by a peer."""
+    """Asks a peer to make a call to the store."""
 
     call: Call
 
 
 class StoreAnswer(Message, frozen=True, kw_only=True):
-    """What the store answered the peer; `sent` is false when it was not."""
+    """The store's answer; `sent` is false if the call has not run."""
 
     answer: Answer | None = None
     sent: bool = True
@@ -77,15 +77,15 @@
 
 
 class PeerFallback:
-    """Carries calls directly, or through a peer while that fails.
+    """Makes calls directly, or through a peer while that fails.
 
     Parameters
     ----------
     probe_path
-        A cheap read; what it finds does not matter.
+        Object to read as a probe; the status is ignored.
     is_urgent
-        Whether what waits here is urgent; without it the way is not tried
-        while it works, as each try has its price.
+        Returns whether urgent calls wait here. Otherwise the route is not
+        probed while it works, because each probe has a cost.
     """
 
     def __init__(
@@ -116,16 +116,16 @@
         bus.register(StoreCall, self._serve)
 
     def start(self) -> None:
-        """Watch over the direct way from now on."""
+        """Start to check the direct route."""
         self._clock.spawn(self._check_periodically)
 
     def carry(self, call: Call) -> Answer:
-        """Make one call, by whichever way works."""
+        """Make a call by whichever route works."""
         if self._direct_route_lost:
             try:
                 return self._call_through_peers(call)
             except NotSentError as error:
-                _LOGGER.debug('no peer made the call: %s', error)
+                _LOGGER.debug('No peer made the call: %s', error)
         try:
             answer = self._call_directly(call)
         except NotSentError as error:
@@ -137,7 +137,7 @@
         return answer
 
     def _call_directly(self, call: Call) -> Answer:
-        """Make a call that is let go when the way is lost meanwhile."""
+        """Make a call that fails at once if the direct route is lost."""
         began_at = self._clock.now()
         result: AsyncResult = AsyncResult()
         self._waiting[result] = self._clock.spawn(self._run_call, result, call)
@@ -192,10 +192,10 @@
             self._record_answer(self._probe, self._probed_at)
 
     def _fail_waiting_calls(self, problem: str) -> None:
-        """Have what waits on the lost way be asked again, through a peer.
+        """Fail the calls that wait on the lost route, for repetition by a peer.
 
-        Only once the probe has failed: a single call that was refused may be
-        one too many, and asking everything again would add to that.
+        Only a failed probe leads here: a single rejected call may have
+        exceeded the rate, and repeating all calls would exceed it further.
         """
         waiting = list(self._waiting) if self._direct_route_lost else []
         for result in waiting:
@@ -236,7 +236,7 @@
     def _call_peer(
         self, peer: InstanceId, call: Call
     ) -> tuple[Answer | None, str]:
-        """Return a peer's answer, or why it has certainly not made the call."""
+        """Return a peer's answer, or why the call has not run."""
         timeout = call.timeout + PEER_GRACE_SECONDS
         message = StoreCall(call=call)
         try:
@@ -255,9 +255,9 @@
         return None, reply.problem
 
     def _find_peer(self) -> None:
-        """Try some peers at once with the cheap call; the first one serves.
+        """Probe several peers at once and wait for the first to answer.
 
-        Each caller that comes meanwhile waits for the same search.
+        Calls that arrive meanwhile wait for the same search.
         """
         if self._searching is None:
             self._searching = Event()
@@ -273,13 +273,13 @@
         try:
             answer, _ = self._call_peer(peer, self._probe)
         except (LinkRefusedError, NoAnswerError) as error:
-            _LOGGER.debug('%s has no way to the store: %s', peer, error)
+            _LOGGER.debug('%s has no route to the store: %s', peer, error)
         else:
             if answer is not None:
                 found.set()
 
     def _serve(self, _: InstanceId, message: Message) -> StoreAnswer:
-        """Make a peer's call, by the direct way only."""
+        """Make a peer's call, by the direct route only."""
         call = expect(message, StoreCall).call
         try:
             return StoreAnswer(answer=self._direct(call))
@@ -290,4 +290,4 @@
 
 
 def _make_timeout_error() -> NoAnswerError:
-    return NoAnswerError('the store is silent')
+    return NoAnswerError('the store does not answer')
--- a/guavagate/integrations/object_api/_retrying_client.py
+++ b/guavagate/integrations/object_api/_retrying_client.py
@@ -1,4 +1,4 @@
-"""Makes calls within the rate, the circuit and the time limits."""
+"""Client with retries, a call rate limit and a circuit breaker."""
 
 import logging
 import random
@@ -37,10 +37,10 @@
 
 
 class Rates(msgspec.Struct, frozen=True):
-    """What the platform gives to the whole fleet, in calls a second.
+    """Calls per second that the platform grants to the fleet.
 
-    `longest_probe` is the longest pause, in seconds, between two tries of a
-    store that gives no answers.
+    `longest_probe` is the longest interval, in seconds, between two probes of
+    a store that does not answer.
     """
 
     reads: float = const.FLEET_READS_PER_SECOND
@@ -49,19 +49,19 @@
 
 
 DEFAULT_RATES: Final = Rates()
-# Of the store's rates; the rest is for instances that do not know of each
-# other yet.
+# Share of the store's rates to use. The rest is a reserve for instances that
+# have not discovered each other yet.
 RATE_SHARE: Final = 0.8
 MAX_PROBE_SECONDS: Final = 0.6
 
 
 class RetryingClient:
-    """One instance's calls to the platform.
+    """Makes one instance's calls to the platform.
 
     Parameters
     ----------
     fleet_size
-        How many instances share the platform's rate; 0 when not known.
+        Returns how many instances share the rates; 0 if unknown.
     """
 
     def __init__(
@@ -84,20 +84,21 @@
         self._writes = TokenBucket(rates.writes / size, now)
 
     def is_down(self) -> bool:
-        """Return whether calls are held back as the platform is down."""
+        """Return whether calls are rejected because the platform is down."""
         return self._circuit.is_open()
 
     def call(self, call: Call, priority: Priority, deadline: float) -> Answer:
-        """Make a call; repeat it while that is safe and in time.
+        """Make a call and retry it while that is safe and in time.
 
-        A read is repeated after any failure; a write only when it was
-        certainly not seen, as one that took effect would meet its own
-        version in the repetition and be taken for another's.
+        A read is retried after any failure, a write only if the platform has
+        certainly not run it. The retry of a write that took effect would
+        conflict with its own version, as if another writer had won.
 
         Raises
         ------
         StoreUnavailableError
-            No answer in time; says whether a write may have taken effect.
+            No answer arrived in time; `may_be_written` tells whether a write
+            may have taken effect.
         """
         until = self._clock.now() + deadline
         backoff = _MIN_BACKOFF_SECONDS
@@ -109,8 +110,8 @@
             wait = backoff * self._random.uniform(0.5, 1)
             if answer is not None:
                 wait = max(wait, answer.retry_after)
-            repeat = call.method == _READ or not problem.may_be_written
-            if not repeat or self._clock.now() + wait >= until:
+            may_retry = call.method == _READ or not problem.may_be_written
+            if not may_retry or self._clock.now() + wait >= until:
                 raise problem
             self._clock.sleep(wait)
             backoff = min(backoff * 2, _MAX_BACKOFF_SECONDS)
@@ -118,35 +119,35 @@
     def _wait_for_admission(
         self, call: Call, priority: Priority, until: float
     ) -> None:
-        """Wait for the circuit and the rate; give up at the deadline."""
+        """Check the circuit breaker, then wait for the rate limit."""
         if self._circuit.admit(self._clock.now()) > 0:
-            raise _make_not_sent_error('the platform gives no answers')
-        budget = self._reads if call.method == _READ else self._writes
+            raise _make_not_sent_error('the platform does not answer')
+        bucket = self._reads if call.method == _READ else self._writes
         rates = self._rates
         rate = rates.reads if call.method == _READ else rates.writes
-        budget.change_rate(rate / max(self._fleet_size(), 1), self._clock.now())
+        bucket.change_rate(rate / max(self._fleet_size(), 1), self._clock.now())
         while True:
             now = self._clock.now()
-            wait = budget.take(priority, now)
+            wait = bucket.take(priority, now)
             if wait == 0:
                 return
             if now + wait >= until:
-                raise _make_not_sent_error('the rate of calls is used up')
+                raise _make_not_sent_error('the call rate is used up')
             self._clock.sleep(wait)
 
     def _get_fleet_size(self) -> int:
-        # One that knows of few others, as at its start, must not take the
-        # whole rate for its own.
+        # An instance that knows few others, as at its start, must not use the
+        # entire rate.
         return max(self._fleet_size(), const.MIN_FLEET_SIZE)
 
     def _call_once(
         self, call: Call
     ) -> tuple[Answer | None, StoreUnavailableError]:
-        """Make the call once; return what came, or what it means."""
+        """Make the call once; return the answer and the error to raise."""
         try:
             answer = self._transport(call)
         except DirectRouteLostError as error:
-            # It says nothing of the platform, which a peer may well reach.
+            # This is no failure of the platform: a peer may reach it.
             return None, _make_unavailable_error(
                 str(error), may_be_written=True
             )
@@ -167,7 +168,7 @@
         if self._circuit.record_success():
             self._resume_slowly()
         return answer, _make_unavailable_error(
-            'the platform refuses more calls', may_be_written=False
+            'the platform rejects further calls', may_be_written=False
         )
 
     def _record_failure(self) -> None:
@@ -175,15 +176,15 @@
             write(_LOGGER, fleet.STORE_DOWN)
 
     def _resume_slowly(self) -> None:
-        """Start from an empty budget when an outage ends.
+        """Empty the token buckets when an outage ends.
 
-        What waited for hours would else come from all instances within the
-        same second; so it comes at the rate that the platform can take,
-        partitions first.
+        Calls that waited for hours would otherwise arrive from all instances
+        within a second. They now arrive at the platform's rate, partitions
+        first.
         """
         write(_LOGGER, fleet.STORE_UP)
-        for budget in (self._reads, self._writes):
-            budget.empty(self._clock.now())
+        for bucket in (self._reads, self._writes):
+            bucket.empty(self._clock.now())
 
 
 def _make_unavailable_error(
@@ -207,14 +208,14 @@
     reads: float,
     writes: float,
 ) -> RetryingClient:
-    """Return a caller that keeps to its share of the store's rates.
+    """Return a client that keeps to its share of the store's rates.
 
     Parameters
     ----------
     count_members
-        Returns how many instances share them.
+        Returns how many instances share the rates.
     reads, writes
-        Calls a second that all of them may make together.
+        Calls per second that all instances together may make.
     """
     rates = Rates(reads * RATE_SHARE, writes * RATE_SHARE, MAX_PROBE_SECONDS)
     return RetryingClient(
--- a/guavagate/integrations/object_api/_token_bucket.py
+++ b/guavagate/integrations/object_api/_token_bucket.py
@@ -1,16 +1,17 @@
-"""One instance's share of the platform's call rate, by priority.
+"""Token bucket that limits an instance's calls, by priority.
 
-Load pattern: an availability zone goes, and each partition of it is taken over
-while settings and status are written as always. Without priorities, status
-takes the rate that takeovers wait for. The bucket's lower part is kept for
-what is more urgent; grounds: takeovers need a burst of about ten writes.
+Load pattern: an availability zone fails and all its partitions are taken over,
+while settings and status are written as usual. Without priorities, status
+writes use up the rate that takeovers wait for. The lower part of the bucket is
+therefore reserved for more urgent calls: takeovers need a burst of about ten
+writes.
 """
 
 from typing import Final
 
 from guavagate.integrations.object_api.models import Priority
 
-# The share of the bucket that must be left after a call is admitted.
+# Share of the bucket that must remain after a call is admitted.
 _RESERVED_SHARES: Final[dict[Priority, float]] = {
     Priority.RECORDS: 0,
     Priority.SETTINGS: 0.3,
@@ -21,12 +22,12 @@
 
 
 class TokenBucket:
-    """A token bucket; time is an argument, seconds.
+    """A token bucket; times are in seconds.
 
     Parameters
     ----------
     rate
-        Calls a second that this instance may make.
+        Calls per second that this instance may make.
     """
 
     def __init__(self, rate: float, now: float) -> None:
@@ -35,14 +36,14 @@
         self._refilled_at = now
 
     def change_rate(self, rate: float, now: float) -> None:
-        """Take another rate; what is left is kept within its burst."""
+        """Change the rate; remaining tokens are capped at the new burst."""
         if rate != self._rate:
             self._refill(now)
             self._rate = rate
             self._tokens = min(self._tokens, self._get_capacity())
 
     def take(self, priority: Priority, now: float) -> float:
-        """Return 0 when admitted, else seconds until it may be."""
+        """Admit a call and return 0, or return the seconds to wait."""
         self._refill(now)
         floor = _RESERVED_SHARES[priority] * self._get_capacity()
         missing = floor + 1 - self._tokens
@@ -52,7 +53,7 @@
         return missing / self._rate
 
     def empty(self, now: float) -> None:
-        """Start from nothing, so that a return of the platform is slow."""
+        """Remove all tokens, so that calls resume gradually."""
         self._tokens = 0
         self._refilled_at = now
 
--- a/guavagate/integrations/object_api/const.py
+++ b/guavagate/integrations/object_api/const.py
@@ -1,4 +1,4 @@
-"""Names and figures of the object API's protocol."""
+"""Names and limits of the object API protocol."""
 
 from typing import Final
 
@@ -6,13 +6,13 @@
 HEADER_EXPECTED: Final = 'X-Expected-Version'
 HEADER_RETRY_AFTER: Final = 'Retry-After'
 
-# What the platform gives to the whole fleet, less a fifth that covers the
-# instances that differ on how many they are.
+# The rates that the platform grants the fleet, less a fifth, because instances
+# may disagree on the fleet's size.
 FLEET_READS_PER_SECOND: Final = 1600.0
 FLEET_WRITES_PER_SECOND: Final = 240.0
 MIN_FLEET_SIZE: Final = 9
 
-# It answers in milliseconds; one that takes longer is slow, and a call is
-# given up before the caller's own limits are.
+# The platform answers in milliseconds. Calls time out before the deadlines of
+# their callers.
 CALL_SECONDS: Final = 2.0
 DEADLINE_SECONDS: Final = 5.0
--- a/guavagate/integrations/object_api/models.py
+++ b/guavagate/integrations/object_api/models.py
@@ -1,4 +1,4 @@
-"""The object API's protocol, as it is on the wire."""
+"""Messages of the object API protocol."""
 
 import enum
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 
 class Call(msgspec.Struct, frozen=True, kw_only=True):
-    """One call; `timeout` in seconds covers the whole answer."""
+    """A call; `timeout` in seconds covers the complete answer."""
 
     method: str
     path: str
@@ -19,7 +19,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     body: bytes = b''
@@ -31,19 +31,19 @@
 
 
 class NotSentError(Exception):
-    """No connection was made, so the platform has not seen the call."""
+    """The platform has not run the call, which may be repeated."""
 
 
 class NoAnswerError(Exception):
-    """The platform may have acted on the call."""
+    """No answer arrived; the platform may have run the call."""
 
 
 class DirectRouteLostError(NoAnswerError):
-    """The way failed while the call waited; there may be another one."""
+    """The direct route failed during the call; a peer may reach the store."""
 
 
 class Priority(enum.IntEnum):
-    """Whose calls go first when the rate or the platform is short."""
+    """Priority of a call when the call rate is limited; lower goes first."""
 
     RECORDS = 0
     SETTINGS = 1
@@ -51,13 +51,13 @@
 
 
 class WrittenBody(msgspec.Struct, frozen=True):
-    """What answers a write, or a conflict."""
+    """The response to a write, or to a conflict."""
 
     version: Revision
 
 
 class ObjectBody(msgspec.Struct, frozen=True):
-    """One object of a list; the value is base64."""
+    """An object in a list; the value is sent in base64."""
 
     path: str
     value: bytes
@@ -72,7 +72,7 @@
 
 
 class ChangeBody(msgspec.Struct, frozen=True):
-    """One change that a watch reports."""
+    """A change that a watch reports."""
 
     path: str
     value: bytes | None
@@ -80,7 +80,7 @@
 
 
 class WatchBody(msgspec.Struct, frozen=True):
-    """What a watch reports."""
+    """The changes that a watch reports."""
 
     revision: Revision
     changes: list[ChangeBody]
--- a/guavagate/integrations/object_api/pool_transport.py
+++ b/guavagate/integrations/object_api/pool_transport.py
@@ -1,4 +1,4 @@
-"""Carries calls to the object API over kept connections."""
+"""Transport of object API calls over pooled connections."""
 
 import functools
 from typing import Final
@@ -17,10 +17,10 @@
 
 
 def make_pool_transport(address: str, pool: ConnectionPool) -> Transport:
-    """Return what carries one call to the store.
+    """Return a transport to the store at an address.
 
-    A refusal, 429 or 503, promises that nothing was done, as a connection
-    that can't be made does.
+    Statuses 429 and 503 guarantee that the call has not run, as a failure to
+    connect does.
     """
     return functools.partial(_carry, address, pool)
 
--- a/guavagate/integrations/object_api/transport.py
+++ b/guavagate/integrations/object_api/transport.py
@@ -1,4 +1,4 @@
-"""Carries calls to the object API over HTTP."""
+"""Transport of object API calls over HTTP."""
 
 from typing import Final
 from urllib.parse import urlsplit
@@ -22,7 +22,7 @@
 def make_http_transport(
     base_url: str, credential: str, clock: Clock
 ) -> Transport:
-    """Return what carries calls to the platform at a base URL."""
+    """Return a transport to the platform at a base URL."""
     parts = urlsplit(base_url)
     address = f'{parts.hostname}:{parts.port or _HTTP_PORT}'
     connections = Connections(clock)
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -295,21 +295,21 @@
         'tests/feeds',
     ),
     Safeguard(
-        'a slow store is not taken for lost',
+        'a slow store is not considered lost',
         'guavagate/integrations/object_api/_peers.py',
         'PROBE_TIMEOUT_FACTOR: Final = 5',
         'PROBE_TIMEOUT_FACTOR: Final = 0',
         'tests/integrations',
     ),
     Safeguard(
-        'bytes on an idle connection end it',
+        'an idle connection with unread data is not reused',
         'guavagate/http1/_client.py',
         '        return not poller.poll(0)\n',
         '        return True\n',
         'tests/http1/test_pool.py',
     ),
     Safeguard(
-        'a stop takes the connections that wait',
+        'a stop accepts pending connections',
         'guavagate/http1/_server.py',
         '            self._server.do_handle(*pending)\n',
         '            pending[0].close()\n',
@@ -323,7 +323,7 @@
         'tests/http1/test_stop.py',
     ),
     Safeguard(
-        'an answer that closes says so',
+        'a response that ends the connection announces it',
         'guavagate/http1/_exchange.py',
         '            self._connection.discard_body()\n'
         '            and not self._connection.is_closing()\n',
--- a/tests/integrations/__init__.py
+++ b/tests/integrations/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of integrations."""
+"""Tests of the adapters to external systems."""
--- a/tests/integrations/test_peers.py
+++ b/tests/integrations/test_peers.py
@@ -1,4 +1,4 @@
-"""Calls to the store through a peer, when this instance is turned away."""
+"""Tests of calls to the store through a peer."""
 
 import pytest
 
@@ -18,18 +18,18 @@
 _WATCH = Call(method='GET', path='/objects/k?watch=1', timeout=15)
 
 
-class _Routes:
-    """Three instances; some are turned away by the store."""
+class _Fleet:
+    """Three instances; the store rejects some of them."""
 
     def __init__(self) -> None:
         self.world = World()
-        self.turned_away: dict[str, Exception] = {}
-        self.cut: set[str] = set()
+        self.rejections: dict[str, Exception] = {}
+        self.stalled: set[str] = set()
         self.calls: list[str] = []
         self.probes: list[str] = []
-        self.routes: dict[str, PeerFallback] = {}
-        self.needed = True
-        self.slow = float(0)
+        self.fallbacks: dict[str, PeerFallback] = {}
+        self.urgent = True
+        self.latency = float(0)
         for name in 'abc':
             self.world.add(name)
         for name in 'abc':
@@ -44,171 +44,170 @@
                 self.probes.append(name)
             else:
                 self.calls.append(name)
-            if name in self.cut:
+            if name in self.stalled:
                 clock.sleep(call.timeout)
                 raise NoAnswerError('silent')
-            if name in self.turned_away:
-                raise self.turned_away[name]
-            clock.sleep(5 if call.path == _WATCH.path else self.slow)
+            if name in self.rejections:
+                raise self.rejections[name]
+            clock.sleep(5 if call.path == _WATCH.path else self.latency)
             return Answer(status=200)
 
-        self.routes[name] = PeerFallback(
+        self.fallbacks[name] = PeerFallback(
             carry,
             self.world.bus(name),
             self.world.hosts[InstanceId(name)].clock,
             lambda: [InstanceId(each) for each in 'abc' if each != name],
             _PROBE,
-            lambda: self.needed,
+            lambda: self.urgent,
         )
-        self.routes[name].start()
+        self.fallbacks[name].start()
 
     def call(self, name: str, call: Call = _CALL) -> Answer:
-        """Make a call from an instance."""
-        task = self.world.clock.spawn(self.routes[name].carry, call)
+        """Make a call at an instance."""
+        task = self.world.clock.spawn(self.fallbacks[name].carry, call)
         self.world.clock.run_until(task.ready, 10)
         answer: Answer = task.get(block=False)
         return answer
 
 
-def test_a_refused_call_goes_through_a_peer() -> None:
-    """The store answers this machine 503, and serves the others."""
-    routes = _Routes()
-    routes.turned_away['a'] = NotSentError('503')
-    assert routes.call('a').status == 200
-    assert routes.calls[0] == 'a'
-    assert routes.calls[1] in 'bc'
-
-
-def test_for_a_while_the_peers_are_asked_first() -> None:
-    """Each call would else wait for the dead way's time limit."""
-    routes = _Routes()
-    routes.turned_away['a'] = NotSentError('503')
-    routes.call('a')
-    routes.calls.clear()
-    routes.call('a')
-    assert 'a' not in routes.calls
-    routes.turned_away.clear()
-    routes.world.clock.advance(3)
-    routes.calls.clear()
-    routes.call('a')
-    assert routes.calls == ['a']
-
-
-def test_a_call_in_doubt_is_not_made_again_by_a_peer() -> None:
-    """It may take effect; whoever called decides whether to repeat it."""
-    routes = _Routes()
-    routes.turned_away['a'] = NoAnswerError('silent')
+def test_a_rejected_call_goes_through_a_peer() -> None:
+    """The store answers 503 to this instance and serves the others."""
+    fleet = _Fleet()
+    fleet.rejections['a'] = NotSentError('503')
+    assert fleet.call('a').status == 200
+    assert fleet.calls[0] == 'a'
+    assert fleet.calls[1] in 'bc'
+
+
+def test_calls_use_peers_first_until_the_direct_route_works() -> None:
+    """Otherwise each call would wait for the lost route's time limit."""
+    fleet = _Fleet()
+    fleet.rejections['a'] = NotSentError('503')
+    fleet.call('a')
+    fleet.calls.clear()
+    fleet.call('a')
+    assert 'a' not in fleet.calls
+    fleet.rejections.clear()
+    fleet.world.clock.advance(3)
+    fleet.calls.clear()
+    fleet.call('a')
+    assert fleet.calls == ['a']
+
+
+def test_a_call_that_may_have_run_is_not_repeated_by_a_peer() -> None:
+    """The call may take effect, so its sender decides on a repetition."""
+    fleet = _Fleet()
+    fleet.rejections['a'] = NoAnswerError('silent')
     with pytest.raises(NoAnswerError):
-        routes.call('a')
-    assert routes.calls == ['a']
+        fleet.call('a')
+    assert fleet.calls == ['a']
 
 
-def test_an_outage_for_all_is_told_as_not_sent() -> None:
-    """Every peer is turned away too: the call has certainly not been made."""
-    routes = _Routes()
+def test_an_outage_for_all_instances_raises_not_sent() -> None:
+    """The store rejects every peer too, so the call has not run."""
+    fleet = _Fleet()
     for name in 'abc':
-        routes.turned_away[name] = NotSentError('refused')
+        fleet.rejections[name] = NotSentError('refused')
     with pytest.raises(NotSentError):
-        routes.call('a')
+        fleet.call('a')
 
 
-def test_what_waits_on_a_silent_way_is_let_go() -> None:
-    """The owner of a service's jobs is cut off from the store, silently.
+def test_waiting_calls_fail_when_the_direct_route_stalls() -> None:
+    """The network drops all packets between a job owner and the store.
 
-    Its watches hang, as nothing comes and nothing is reset; jobs that are
-    accepted meanwhile would start seconds late. Nothing else is asked of the
-    store, so only a try of the way shows it; the watch is asked again through
-    a peer.
+    Its watches hang without a reset, and jobs accepted meanwhile would start
+    seconds late. The owner makes no other call that would fail, so only a
+    probe detects it. The watch is then repeated through a peer.
     """
-    routes = _Routes()
-    task = routes.world.clock.spawn(routes.routes['a'].carry, _WATCH)
-    routes.world.clock.advance(0.1)
-    routes.cut.add('a')
-    routes.world.clock.advance(0.8)
+    fleet = _Fleet()
+    task = fleet.world.clock.spawn(fleet.fallbacks['a'].carry, _WATCH)
+    fleet.world.clock.advance(0.1)
+    fleet.stalled.add('a')
+    fleet.world.clock.advance(0.8)
     assert task.ready()
     assert isinstance(task.exception, DirectRouteLostError)
-    routes.calls.clear()
-    assert routes.call('a', _WATCH).status == 200
-    assert 'a' not in routes.calls
+    fleet.calls.clear()
+    assert fleet.call('a', _WATCH).status == 200
+    assert 'a' not in fleet.calls
 
 
-def test_one_refused_call_lets_nothing_go() -> None:
-    """The store answers one call 429, one too many in this second.
+def test_one_rejected_call_fails_no_waiting_call() -> None:
+    """The store answers 429 to one call, which exceeds the rate.
 
-    Were all watches asked again for that, the rate would be passed by more.
+    Repeating all watches for that would exceed the rate further.
     """
-    routes = _Routes()
-    task = routes.world.clock.spawn(routes.routes['a'].carry, _WATCH)
-    routes.world.clock.advance(0.1)
-    routes.turned_away['a'] = NotSentError('429')
-    routes.call('a')
-    routes.turned_away.clear()
-    routes.world.clock.advance(5)
+    fleet = _Fleet()
+    task = fleet.world.clock.spawn(fleet.fallbacks['a'].carry, _WATCH)
+    fleet.world.clock.advance(0.1)
+    fleet.rejections['a'] = NotSentError('429')
+    fleet.call('a')
+    fleet.rejections.clear()
+    fleet.world.clock.advance(5)
     assert task.value is not None
     assert task.value.status == 200
 
 
-def test_a_way_that_answers_is_not_tried() -> None:
-    """Each try has its price; calls that are answered show the same."""
-    routes = _Routes()
+def test_a_route_that_answers_is_not_probed() -> None:
+    """Each probe has a cost, and answered calls prove the same."""
+    fleet = _Fleet()
     for _ in range(20):
-        routes.call('a')
-        routes.world.clock.advance(0.3)
-    assert not routes.probes
+        fleet.call('a')
+        fleet.world.clock.advance(0.3)
+    assert not fleet.probes
 
 
-def test_a_store_that_answers_slowly_is_not_taken_for_lost() -> None:
+def test_a_slow_store_is_not_considered_lost() -> None:
     """Each answer takes 0.4 s for twenty seconds, for all instances.
 
-    A way that is tried with the patience of better times would seem lost again
-    and again; what waits would be let go, and writes be in doubt.
+    With the usual timeout, probes would fail again and again. Waiting calls
+    would then fail and leave writes in an uncertain state.
     """
-    routes = _Routes()
-    routes.call('a')
-    routes.slow = 0.4
-    let_go = 0
+    fleet = _Fleet()
+    fleet.call('a')
+    fleet.latency = 0.4
+    failed_calls = 0
     for _ in range(40):
         try:
-            routes.call('a')
+            fleet.call('a')
         except DirectRouteLostError:
-            let_go += 1
-        routes.world.clock.advance(0.1)
-    assert let_go <= 1
+            failed_calls += 1
+        fleet.world.clock.advance(0.1)
+    assert failed_calls <= 1
 
 
-def test_a_lost_way_is_tried_seldom_where_nothing_urgent_waits() -> None:
-    """The store turns an instance without duties away for twenty seconds.
+def test_a_lost_route_is_probed_rarely_without_urgent_calls() -> None:
+    """The store rejects an instance without duties for twenty seconds.
 
-    It has its calls made by peers; each try of its own way has its price.
+    Peers make its calls meanwhile, and each probe has a cost.
     """
-    routes = _Routes()
-    routes.needed = False
-    routes.turned_away['a'] = NotSentError('503')
-    routes.call('a')
-    routes.probes.clear()
-    routes.world.clock.advance(20)
-    assert 8 <= len(routes.probes) <= 10
-    routes.turned_away.clear()
-    routes.world.clock.advance(3)
-    routes.calls.clear()
-    routes.call('a')
-    assert routes.calls == ['a']
-
-
-def test_a_peer_that_is_cut_off_as_well_is_left_alone() -> None:
-    """The owner is cut off from the store and from one of two peers.
-
-    The others still see that peer alive, so it is among those to ask; each
-    call through it would wait out its time limit, and results would be listed
-    seconds late. The peers are tried at once, and who answers is asked again.
+    fleet = _Fleet()
+    fleet.urgent = False
+    fleet.rejections['a'] = NotSentError('503')
+    fleet.call('a')
+    fleet.probes.clear()
+    fleet.world.clock.advance(20)
+    assert 8 <= len(fleet.probes) <= 10
+    fleet.rejections.clear()
+    fleet.world.clock.advance(3)
+    fleet.calls.clear()
+    fleet.call('a')
+    assert fleet.calls == ['a']
+
+
+def test_an_unreachable_peer_is_avoided() -> None:
+    """A job owner can reach neither the store nor one of two peers.
+
+    Other members see that peer alive, so it is a candidate. Each call through
+    it would wait for its time limit, and results would be listed seconds late.
+    All peers are therefore probed at once, and the one that answers is reused.
     """
-    routes = _Routes()
-    world = routes.world
+    fleet = _Fleet()
+    world = fleet.world
     one, other = InstanceId('a'), InstanceId('b')
     world.network.blocked = {(one, other), (other, one)}
-    routes.turned_away['a'] = NotSentError('503')
-    routes.call('a')
+    fleet.rejections['a'] = NotSentError('503')
+    fleet.call('a')
     start = world.clock.now()
     for _ in range(20):
-        assert routes.call('a').status == 200
+        assert fleet.call('a').status == 200
     assert world.clock.now() - start < 0.5
--- a/tests/test_object_api.py
+++ b/tests/test_object_api.py
@@ -1,4 +1,4 @@
-"""Tests of the object API's adapter: its stand-in, and virtual time."""
+"""Tests of the object API client, with its stand-in or in virtual time."""
 
 import random
 from collections.abc import Iterator
@@ -42,7 +42,7 @@
 
 @pytest.fixture(name='carry')
 def make_transport(server: Server) -> Transport:
-    """Return what carries calls to the stand-in."""
+    """Return a transport to the stand-in."""
     return make_http_transport(
         f'http://{server.address}', CREDENTIAL, SystemClock()
     )
@@ -50,19 +50,19 @@
 
 @pytest.fixture(name='store')
 def make_store(carry: Transport) -> ObjectApi:
-    """Return the adapter."""
+    """Return the client."""
     return ObjectApi(carry, SystemClock(), lambda: 9)
 
 
 def set_faults(carry: Transport, **faults: object) -> None:
-    """Set the stand-in's faults."""
+    """Set the faults of the stand-in."""
     body = msgspec.json.encode(faults)
     call = Call(method='POST', path='/control/faults', body=body, timeout=5)
     assert carry(call).status == 200
 
 
 def test_objects_have_versions_and_conditions(store: ObjectApi) -> None:
-    """A write under another version is a conflict and changes nothing."""
+    """A write with another expected version conflicts and changes nothing."""
     first = store.put('partitions/1', b'a', ABSENT)
     second = store.put('partitions/1', b'b', first)
     with pytest.raises(StoreConflictError):
@@ -84,28 +84,27 @@
 def test_a_lost_answer_is_not_repeated(
     store: ObjectApi, carry: Transport
 ) -> None:
-    """The write takes effect and its answer is lost on the way.
+    """A write takes effect and its answer is lost.
 
-    Repeated, it would meet its own version and be reported as another's.
-    So the writer hears that it may be written, and reads back.
+    A retry would conflict with its own version and look like another's write.
+    The error therefore states that it may be written, and the writer reads
+    the object back.
     """
     set_faults(carry, lose_answers=1)
-    with pytest.raises(StoreUnavailableError) as caught:
+    with pytest.raises(StoreUnavailableError) as raised:
         store.put('partitions/1', b'a', ABSENT)
-    assert caught.value.may_be_written
+    assert raised.value.may_be_written
     set_faults(carry)
     found = store.get('partitions/1')
     assert found is not None
     assert found.value == b'a'
 
 
-def test_an_old_copy_is_not_believed(
-    store: ObjectApi, carry: Transport
-) -> None:
-    """The platform answers from a copy made before the last writes.
+def test_stale_answers_are_rejected(store: ObjectApi, carry: Transport) -> None:
+    """The platform answers from a snapshot made before the last writes.
 
-    What was replaced, deleted or not yet there in the copy is refused;
-    what has not changed since is still read.
+    Objects that were replaced, deleted or created since then are rejected;
+    unchanged ones can still be read.
     """
     store.put('settings/same', b'1', None)
     store.put('settings/new', b'1', None)
@@ -124,8 +123,8 @@
     assert store.get('settings/gone') is None
 
 
-def test_the_list_names_instances(carry: Transport) -> None:
-    """What the platform lists is read; an entry that is broken is not."""
+def test_the_instance_list_skips_malformed_entries(carry: Transport) -> None:
+    """One malformed entry hides no other instance."""
     entry = {
         'availability_zone': 'jhb-east',
         'region': 'gauteng',
@@ -136,9 +135,9 @@
     call = Call(method='PUT', path='/v1/instances/a', body=body, timeout=5)
     carry(call)
     set_faults(carry, ghosts=[{'id': 'b'}, {**entry, 'id': 'c'}])
-    taken: list[str] = []
+    received: list[str] = []
     poller = InstanceListPoller(
-        carry, SystemClock(), lambda peers: taken.extend(p.id for p in peers)
+        carry, SystemClock(), lambda peers: received.extend(p.id for p in peers)
     )
     listed = poller.poll()
     assert listed is not None
@@ -146,7 +145,7 @@
 
 
 class Platform:
-    """A platform in virtual time that is down until told otherwise."""
+    """A platform in virtual time that is down at first."""
 
     def __init__(self, clock: PausedClock) -> None:
         self.clock = clock
@@ -164,12 +163,12 @@
         return Answer(status=404)
 
 
-def test_an_hour_without_the_store_ends_without_a_stampede() -> None:
-    """Ten instances ask all the time while the platform is down.
+def test_calls_resume_gradually_after_an_hour_of_outage() -> None:
+    """Ten instances call all the time while the platform is down.
 
-    Calls fail at once instead of each waiting out its time limit, and the
-    platform sees a few probes. When it is back, all find out within
-    seconds, and their calls come at the rate they share, not all at once.
+    Calls fail at once instead of waiting for their time limit, and the
+    platform receives only a few probes. When it is back, all instances detect
+    it within seconds, and their calls keep to the shared rate.
     """
     clock = PausedClock()
     platform = Platform(clock)
@@ -179,7 +178,7 @@
     ]
     answered: set[ObjectApi] = set()
 
-    def ask(store: ObjectApi) -> None:
+    def call_forever(store: ObjectApi) -> None:
         while True:
             try:
                 store.get('partitions/1')
@@ -188,25 +187,29 @@
             else:
                 answered.add(store)
 
-    tasks = [clock.spawn(ask, store) for store in stores for _ in range(4)]
+    tasks = [
+        clock.spawn(call_forever, store) for store in stores for _ in range(4)
+    ]
     clock.advance(3600)
     assert all(store.is_down() for store in stores)
     probes = [at for at in platform.calls if at > clock.now() - 600]
     assert len(probes) / 600 <= len(stores) / 4.5
     platform.down = False
-    back = clock.now()
+    returned_at = clock.now()
     clock.advance(10)
     assert len(answered) == len(stores)
-    seconds = [int(at - back) for at in platform.calls if at > back]
+    seconds = [
+        int(at - returned_at) for at in platform.calls if at > returned_at
+    ]
     assert max(seconds.count(each) for each in range(10)) <= 3 * len(stores)
     gevent.killall(tasks)
 
 
-def test_a_write_in_an_outage_says_whether_it_was_sent() -> None:
-    """The first writes time out and may be written; later ones are held.
+def test_a_failed_write_states_whether_it_may_be_written() -> None:
+    """The first writes time out and may be written; later ones are not sent.
 
-    Those that were held back certainly are not, so their writers need not
-    read back, which would be more calls to a platform that is down.
+    Writers of the latter need not read back, which would add calls to a
+    platform that is down.
     """
     clock = PausedClock()
     store = ObjectApi(Platform(clock).carry, clock, lambda: 9, random.Random(1))
@@ -214,22 +217,22 @@
 
     def put() -> None:
         for _ in range(7):
-            with pytest.raises(StoreUnavailableError) as caught:
+            with pytest.raises(StoreUnavailableError) as raised:
                 store.put('partitions/1', b'x', ABSENT)
-            sent.append(caught.value.may_be_written)
+            sent.append(raised.value.may_be_written)
 
     clock.spawn(put)
     clock.advance(60)
     assert sent == [True] * 5 + [False] * 2
 
 
-def test_partitions_go_before_settings_before_status() -> None:
-    """When the rate is used up by status, takeovers still get through."""
-    budget = TokenBucket(10, 0)
+def test_records_have_priority_over_settings_and_status() -> None:
+    """Takeovers are admitted even if status writes have used up the rate."""
+    bucket = TokenBucket(10, 0)
     admitted = dict.fromkeys(reversed(Priority), 0)
     for priority in admitted:
-        while budget.take(priority, 0) == 0:
+        while bucket.take(priority, 0) == 0:
             admitted[priority] += 1
     assert list(admitted.values()) == [8, 6, 6]
-    assert budget.take(Priority.RECORDS, 0.1) == 0
-    assert budget.take(Priority.STATUS, 0.2) > 0
+    assert bucket.take(Priority.RECORDS, 0.1) == 0
+    assert bucket.take(Priority.STATUS, 0.2) > 0
--- a/tests/test_object_api_standin.py
+++ b/tests/test_object_api_standin.py
@@ -1,4 +1,4 @@
-"""Tests that the object API's stand-in fails as the platform does."""
+"""Tests that the object API's stand-in has the platform's faults."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def server() -> Iterator[Server]:
-    """Start an object API that keeps three changes."""
+    """Start an object API that retains three changes."""
     options = object_api.ObjectApiOptions(kept_changes=3)
     running = serve(object_api.make_app(options))
     yield running
@@ -31,7 +31,7 @@
 
 
 def _get(server: Server, path: str) -> Answer:
-    """Read something."""
+    """Read a path."""
     return ask(server.address, 'GET', path)
 
 
@@ -40,11 +40,11 @@
     ask(server.address, 'POST', '/control/faults', faults)
 
 
-def test_a_lost_answer_hides_a_write_that_took_effect(server: Server) -> None:
-    """The writer gets no answer, yet the object is there.
+def test_a_lost_answer_may_hide_a_successful_write(server: Server) -> None:
+    """The writer gets no answer, but the object has been written.
 
-    A conditional retry conflicts with the writer's own first attempt; only
-    reading back tells whose write it was.
+    A conditional retry conflicts with the first attempt. Only reading the
+    object back shows which write succeeded.
     """
     _set_faults(server, lose_answers=1)
     with pytest.raises(UpstreamError):
@@ -54,8 +54,8 @@
     assert _get(server, '/v1/objects/a/b').body == b'mine'
 
 
-def test_stale_reads_answer_from_an_old_copy(server: Server) -> None:
-    """Reads show what was there when the fault began; writes go on."""
+def test_stale_reads_answer_from_a_snapshot(server: Server) -> None:
+    """Reads show the state at the start of the fault; writes succeed."""
     _put(server, b'old')
     _set_faults(server, stale_reads=True)
     assert _put(server, b'new').status == 200
@@ -64,10 +64,10 @@
     assert _get(server, '/v1/objects/a/b').body == b'new'
 
 
-def test_a_watch_wakes_for_its_prefix_and_tells_of_compaction(
+def test_a_watch_returns_changes_and_reports_compaction(
     server: Server,
 ) -> None:
-    """A waiting watch gets the change; one from too far back gets 410."""
+    """A waiting watch gets the change; one from an old revision gets 410."""
     path = '/v1/watch?prefix=a/&since=0&timeout=5'
     watch = gevent.spawn(_get, server, path)
     gevent.sleep(0)
@@ -79,8 +79,8 @@
     assert _get(server, path).status == 410
 
 
-def test_the_rate_limit_and_an_outage_refuse(server: Server) -> None:
-    """More calls than the limit get 429; an outage gets 503."""
+def test_the_rate_limit_and_an_outage_reject_calls(server: Server) -> None:
+    """Calls above the limit get 429, calls in an outage 503."""
     limited = serve(object_api.make_app(object_api.ObjectApiOptions(writes=2)))
     codes = [_put(limited, b'x').status for _ in range(4)]
     limited.stop()
@@ -89,8 +89,10 @@
     assert _get(server, '/v1/objects/a/b').status == 503
 
 
-def test_the_list_lags_hides_and_invents(server: Server) -> None:
-    """The platform's list shows the past, not all, and some too many."""
+def test_the_instance_list_lags_hides_and_invents_entries(
+    server: Server,
+) -> None:
+    """The list is out of date, lacks instances and has unknown ones."""
     entry = {'availability_zone': 'z', 'http_address': '127.0.0.1:1'}
     for name in ('one', 'two'):
         ask(server.address, 'PUT', f'/v1/instances/{name}', entry)
--- a/tests/test_upstream_http.py
+++ b/tests/test_upstream_http.py
@@ -1,4 +1,4 @@
-"""Tests that a request goes out once, over connections new and kept."""
+"""Tests that a request is sent once, over new and idle connections."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -16,7 +16,7 @@
 
 @contextlib.contextmanager
 def _listen(handle: Callable[[socket], None]) -> Iterator[str]:
-    """Serve raw connections."""
+    """Serve connections by a handler of raw sockets."""
     server = StreamServer(('127.0.0.1', 0), lambda sock, _: handle(sock))
     server.start()
     yield f'127.0.0.1:{server.server_port}'
@@ -24,28 +24,28 @@
 
 
 @pytest.mark.parametrize('method', ['PUT', 'POST', 'DELETE', 'GET'])
-def test_a_request_whose_answer_is_lost_goes_out_once(method: str) -> None:
-    """The upstream runs the request, then dies before its answer.
+def test_a_request_whose_answer_is_lost_is_sent_once(method: str) -> None:
+    """The upstream runs the request, then closes without an answer.
 
-    The library would send a PUT again by itself. The settings may say that a
-    PUT must not be repeated, so it may be sent only once.
+    The library would repeat a PUT by itself, but the settings may declare that
+    a PUT must not be repeated.
     """
     runs = []
 
-    def run_and_die(sock: socket) -> None:
+    def run_and_close(sock: socket) -> None:
         runs.append(sock.recv(4096))
         sock.close()
 
-    with _listen(run_and_die) as address:
+    with _listen(run_and_close) as address:
         connections = Connections(SystemClock())
-        with pytest.raises(UpstreamError) as caught:
+        with pytest.raises(UpstreamError) as raised:
             connections.send(address, method, '/notice', timeout=5)
-        assert not isinstance(caught.value, UpstreamNotStartedError)
+        assert not isinstance(raised.value, UpstreamNotStartedError)
     assert len(runs) == 1
 
 
-def test_a_kept_connection_that_its_peer_closed_is_not_used() -> None:
-    """The peer closes after its answer; the next request still gets one."""
+def test_a_connection_that_its_peer_closed_is_not_reused() -> None:
+    """The peer closes after each answer, yet the next request succeeds."""
 
     def answer_once(sock: socket) -> None:
         sock.recv(4096)
@@ -60,7 +60,7 @@
 
 
 class _ShiftedClock(SystemClock):
-    """A clock that can be put forward."""
+    """A clock that can be advanced."""
 
     def __init__(self) -> None:
         self.shift = float(0)
@@ -70,11 +70,11 @@
         return super().now() + self.shift
 
 
-def test_a_connection_that_was_idle_for_long_is_not_used_again() -> None:
-    """Something on the way may have forgotten it without telling anyone.
+def test_a_connection_that_was_idle_for_long_is_not_reused() -> None:
+    """A firewall may have dropped its state without a reset.
 
-    A request on it would wait for its whole time limit. One that was used
-    just now carries the next request.
+    A request on it would wait for its time limit. A connection that was used
+    recently carries the next request.
     """
     accepted = []
 
@@ -94,22 +94,24 @@
     assert len(accepted) == 2
 
 
-def test_a_connection_that_is_not_made_in_time_is_not_started() -> None:
-    """The upstream's host answers nothing, so no byte has been sent.
+def test_a_timeout_while_connecting_means_not_started() -> None:
+    """The upstream's host does not answer, so no data has been sent.
 
-    The request's own time limit ends the wait for the connection: the work
-    may be given to another upstream, also when it must not run twice.
+    The request's timeout ends the wait for the connection. Work that must not
+    run twice may then go to another upstream.
     """
     with socket() as full:
         full.bind(('127.0.0.1', 0))
         full.listen(0)
-        place = full.getsockname()
-        waiting = [socket() for _ in range(4)]
-        for one in waiting:
-            one.setblocking(0)
-            one.connect_ex(place)
+        address = full.getsockname()
+        pending = [socket() for _ in range(4)]
+        for sock in pending:
+            sock.setblocking(0)
+            sock.connect_ex(address)
         connections = Connections(SystemClock())
         with pytest.raises(UpstreamNotStartedError):
-            connections.send(f'127.0.0.1:{place[1]}', 'POST', '/', timeout=0.2)
-        for one in waiting:
-            one.close()
+            connections.send(
+                f'127.0.0.1:{address[1]}', 'POST', '/', timeout=0.2
+            )
+        for sock in pending:
+            sock.close()
