--- a/guavagate/http1/_caller_connection.py
+++ b/guavagate/http1/_caller_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection, read ahead of time to detect disconnects."""
+"""A caller's connection, read ahead to detect disconnects."""
 
 import contextlib
 import select
--- a/guavagate/integrations/object_api/_retrying_client.py
+++ b/guavagate/integrations/object_api/_retrying_client.py
@@ -52,7 +52,7 @@
 # Share of the store's rates to use. The rest is a reserve for instances that
 # have not discovered each other yet.
 RATE_SHARE: Final = 0.8
-MAX_PROBE_SECONDS: Final = 0.6
+SHARED_MAX_PROBE_INTERVAL_SECONDS: Final = 0.6
 
 
 class RetryingClient:
@@ -217,7 +217,11 @@
     reads, writes
         Calls per second that all instances together may make.
     """
-    rates = Rates(reads * RATE_SHARE, writes * RATE_SHARE, MAX_PROBE_SECONDS)
+    rates = Rates(
+        reads * RATE_SHARE,
+        writes * RATE_SHARE,
+        SHARED_MAX_PROBE_INTERVAL_SECONDS,
+    )
     return RetryingClient(
         carry, clock, count_members, secrets.SystemRandom(), rates
     )
--- a/tests/integrations/test_peers.py
+++ b/tests/integrations/test_peers.py
@@ -46,7 +46,7 @@
                 self.calls.append(name)
             if name in self.stalled:
                 clock.sleep(call.timeout)
-                raise NoAnswerError('silent')
+                raise NoAnswerError('no answer')
             if name in self.rejections:
                 raise self.rejections[name]
             clock.sleep(5 if call.path == _WATCH.path else self.latency)
@@ -97,7 +97,7 @@
 def test_a_call_that_may_have_run_is_not_repeated_by_a_peer() -> None:
     """The call may take effect, so its sender decides on a repetition."""
     fleet = _Fleet()
-    fleet.rejections['a'] = NoAnswerError('silent')
+    fleet.rejections['a'] = NoAnswerError('no answer')
     with pytest.raises(NoAnswerError):
         fleet.call('a')
     assert fleet.calls == ['a']
@@ -157,7 +157,7 @@
 
 
 def test_a_slow_store_is_not_considered_lost() -> None:
-    """Each answer takes 0.4 s for twenty seconds, for all instances.
+    """All instances wait 0.4 s for each answer, during twenty seconds.
 
     With the usual timeout, probes would fail again and again. Waiting calls
     would then fail and leave writes in an uncertain state.
