--- a/guavagate/assembly.py
+++ b/guavagate/assembly.py
@@ -105,7 +105,7 @@
         self._operations.start()
         self._instance.start()
 
-    def ask_to_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin a planned stop; returns at once."""
         self._asked.set()
 
@@ -113,7 +113,7 @@
         """Tell that the file at a path is read at the start only."""
         write(_LOGGER, events.SETTINGS_NEED_RESTART, path=path)
 
-    def wait_asked(self) -> None:
+    def wait_stop_requested(self) -> None:
         """Block until a planned stop is asked for."""
         self._asked.wait()
 
--- a/guavagate/daemon.py
+++ b/guavagate/daemon.py
@@ -82,10 +82,10 @@
     def start(self) -> None:
         """Start every part."""
 
-    def ask_to_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin a planned stop; returns at once."""
 
-    def wait_asked(self) -> None:
+    def wait_stop_requested(self) -> None:
         """Block until a planned stop is asked for."""
 
     def reload(self, path: str) -> None:
@@ -117,7 +117,7 @@
     def ask() -> None:
         write(_LOGGER, events.STOP_PROGRESS, phase='asked')
         asked.set()
-        process.ask_to_stop()
+        process.request_stop()
 
     def interrupt() -> None:
         # A person at the keyboard who asks twice wants it to end now; a
@@ -131,7 +131,7 @@
     gevent.signal_handler(
         signal.SIGHUP, lambda: process.reload(str(settings_file))
     )
-    process.wait_asked()
+    process.wait_stop_requested()
     process.stop()
 
 
--- a/guavagate/feeds/_table.py
+++ b/guavagate/feeds/_table.py
@@ -84,11 +84,11 @@
         try:
             put(stored)
         except ValueError as error:
-            self._unreadable.note(stored.path, str(error))
+            self._unreadable.report(stored.path, str(error))
             if remove is not None:
                 remove(stored.path.partition('/')[2])
         else:
-            self._unreadable.note_read(stored.path)
+            self._unreadable.forget(stored.path)
 
     def remove(self, path: str) -> None:
         """Remove an object and record its last version."""
@@ -97,7 +97,7 @@
             return
         self._removed_versions[path] = current.version
         self._packed = None
-        self._unreadable.note_read(path)
+        self._unreadable.forget(path)
         _, remove = self._handlers[_find_prefix(path)]
         if remove is not None:
             remove(path.partition('/')[2])
--- a/guavagate/forwarding/_forward.py
+++ b/guavagate/forwarding/_forward.py
@@ -24,7 +24,7 @@
     Attempts,
     AttemptState,
 )
-from guavagate.helpers.waits import NothingYetError, take
+from guavagate.helpers.waits import QueueTimeoutError, get_within
 from guavagate.models import ServiceId, UpstreamId
 from guavagate.ports.configuration import Route, RouteKind
 from guavagate.ports.dialect import Call
@@ -164,8 +164,10 @@
                 hedge_at if may_repeat and hedge_at > now else give_up_at
             )
             try:
-                attempt = take(self._clock, progress.results, wait_until - now)
-            except NothingYetError:
+                attempt = get_within(
+                    self._clock, progress.results, wait_until - now
+                )
+            except QueueTimeoutError:
                 if wait_until < give_up_at and self._hedges.spend():
                     self._start(call, route, service, progress)
                 continue
--- a/guavagate/helpers/mirror.py
+++ b/guavagate/helpers/mirror.py
@@ -25,7 +25,7 @@
 FIRST_RETRY_SECONDS: Final = 0.05
 # What is missing from a list soon after an outage may have lapsed with it and
 # registers itself again within about two seconds.
-LAPSE_SECONDS: Final = 2.2
+EXPIRY_GRACE_SECONDS: Final = 2.2
 
 Put = Callable[[str, StoredObject], None]
 Remove = Callable[[str], None]
@@ -44,17 +44,17 @@
     wait, pause
         Seconds that a watch may wait, and that are let pass after a change
         so that the next ones come together.
-    settles
+    pause_after_list
         Whether the first watch, too, waits for the pause.
-    held
+    known_revisions
         Versions known from elsewhere, by path; what a list lacks of them is
         told as gone.
-    lapses
+    expires_in_outage
         Whether objects may lapse while the store is away and come back by
         themselves; then one that is missing is kept for a while.
-    loaded
+    on_loaded
         Called, without blocking, each time that all was listed.
-    proved
+    on_proved
         Called, without blocking, each time that all is held that the store
         had at some moment, with that moment by the boot clock: when the call
         was sent, as its answer may have been on its way for as long as the
@@ -72,17 +72,17 @@
         put: Put,
         remove: Remove | None = None,
         *,
-        lapses: bool = False,
+        expires_in_outage: bool = False,
         wait: float | None = None,
         pause: float = 0,
-        settles: bool = False,
-        held: dict[str, Revision] | None = None,
-        loaded: Callable[[], None] | None = None,
-        proved: Callable[[float], None] | None = None,
+        pause_after_list: bool = False,
+        known_revisions: dict[str, Revision] | None = None,
+        on_loaded: Callable[[], None] | None = None,
+        on_proved: Callable[[float], None] | None = None,
         watch_proves: bool = True,
         boot_clock: Callable[[], float] = read_boot_clock,
     ) -> None:
-        self._on_proved = proved
+        self._on_proved = on_proved
         self._watch_proves = watch_proves
         self._boot_clock = boot_clock
         self._store = store
@@ -90,24 +90,24 @@
         self._prefix = prefix
         self._put = put
         self._remove = remove
-        self._on_loaded = loaded
-        self._lapses = lapses
+        self._on_loaded = on_loaded
+        self._expires_in_outage = expires_in_outage
         self._wait = WATCH_SECONDS if wait is None else wait
         self._pause = pause
-        self._settles = settles
+        self._pause_after_list = pause_after_list
         self.confirmed_at = float(0)
         self.revision = Revision(0)
-        self._held: dict[str, Revision] = dict(held or {})
+        self._revisions: dict[str, Revision] = dict(known_revisions or {})
         self._since: Revision | None = None
-        self._lost_at: float | None = None
-        self._back_at = -LAPSE_SECONDS
+        self._outage_since: float | None = None
+        self._recovered_at = -EXPIRY_GRACE_SECONDS
         self._missing: dict[str, float] = {}
         self._unreadable = UnreadableObjects()
         self._task: Task | None = None
         self.loaded = False
         # Whether what is told just now has happened just now: a list tells of
         # what may be as old as the watch before it.
-        self.is_news = False
+        self.is_live_change = False
 
     def start(self) -> None:
         """Begin to follow the store."""
@@ -119,7 +119,7 @@
         if self._task is not None:
             self._task.kill(block=False)
             self._task = None
-        self._held.clear()
+        self._revisions.clear()
         self._missing.clear()
         self._since = None
         self.loaded = False
@@ -131,88 +131,90 @@
             except WatchCompactedError:
                 _LOGGER.debug('the history of %s is gone', self._prefix)
             except StoreUnavailableError as error:
-                again = self._lost_at is not None
-                self._note_lost(error)
+                again = self._outage_since is not None
+                self._record_outage(error)
                 self._clock.sleep(
                     RETRY_SECONDS if again else FIRST_RETRY_SECONDS
                 )
 
     def _follow(self) -> None:
         since = self._since
-        asked_at = self._boot_clock()
+        requested_at = self._boot_clock()
         if since is None:
             objects, listed_at = self._store.list_under(self._prefix)
-            self._note_back()
-            self._take_list(objects)
-            self._note_seen(listed_at)
+            self._record_recovery()
+            self._apply_list(objects)
+            self._record_revision(listed_at)
             self.loaded = True
-            self._note_proved(asked_at)
+            self._report_proof(requested_at)
             if self._on_loaded is not None:
                 self._on_loaded()
-            if self._settles:
+            if self._pause_after_list:
                 self._clock.sleep(self._pause)
             return
-        wait = LAPSE_SECONDS if self._missing else self._wait
+        wait = EXPIRY_GRACE_SECONDS if self._missing else self._wait
         # A watch that is asked again from before a dropped history may be
         # kept waiting, and tell of the loss only when it ends: changes made
         # meanwhile would stay unseen. So a watch that was cut off is never
         # gone on with; the list says what is there now.
         self._since = None
         changes, seen = self._store.watch(self._prefix, since, wait)
-        self._note_back()
-        self._note_seen(seen)
-        self.is_news = True
+        self._record_recovery()
+        self._record_revision(seen)
+        self.is_live_change = True
         for change in changes:
             if change.value is None:
-                self._take_missing(change.path)
+                self._handle_missing(change.path)
             else:
-                self._take(
+                self._apply(
                     StoredObject(change.path, change.value, change.version)
                 )
         self._drop_missing()
         if self._watch_proves:
-            self._note_proved(asked_at)
+            self._report_proof(requested_at)
         if changes and self._pause:
             self._clock.sleep(self._pause)
 
-    def _note_seen(self, revision: Revision) -> None:
+    def _record_revision(self, revision: Revision) -> None:
         self._since = revision
         self.revision = revision
         self.confirmed_at = self._clock.now()
 
-    def _note_proved(self, asked_at: float) -> None:
+    def _report_proof(self, requested_at: float) -> None:
         if self._on_proved is not None:
-            self._on_proved(asked_at)
+            self._on_proved(requested_at)
 
-    def _take_list(self, objects: list[StoredObject]) -> None:
-        self.is_news = False
+    def _apply_list(self, objects: list[StoredObject]) -> None:
+        self.is_live_change = False
         present = {each.path for each in objects}
-        for path in [each for each in self._held if each not in present]:
-            self._take_missing(path)
+        for path in [each for each in self._revisions if each not in present]:
+            self._handle_missing(path)
         for each in objects:
-            self._take(each)
+            self._apply(each)
         self._drop_missing()
 
-    def _take(self, stored: StoredObject) -> None:
+    def _apply(self, stored: StoredObject) -> None:
         self._missing.pop(stored.path, None)
-        if self._held.get(stored.path, -1) >= stored.version:
+        if self._revisions.get(stored.path, -1) >= stored.version:
             return
-        self._held[stored.path] = stored.version
+        self._revisions[stored.path] = stored.version
         name = stored.path.partition('/')[2]
         try:
             self._put(name, stored)
         except ValueError as error:
-            self._unreadable.note(stored.path, str(error))
+            self._unreadable.report(stored.path, str(error))
         else:
-            self._unreadable.note_read(stored.path)
+            self._unreadable.forget(stored.path)
 
-    def _take_missing(self, path: str) -> None:
-        if path not in self._held:
+    def _handle_missing(self, path: str) -> None:
+        if path not in self._revisions:
             return
         now = self._clock.now()
-        since_back = now - self._back_at
-        if self._lapses and since_back < LAPSE_SECONDS:
-            self._missing.setdefault(path, self._back_at + LAPSE_SECONDS)
+        since_recovery = now - self._recovered_at
+        if self._expires_in_outage and since_recovery < EXPIRY_GRACE_SECONDS:
+            self._missing.setdefault(
+                path, self._recovered_at + EXPIRY_GRACE_SECONDS
+            )
             self._clock.spawn(self._drop_later, self._missing[path] - now)
             return
         self._drop(path)
@@ -229,13 +231,13 @@
                 self._drop(path)
 
     def _drop(self, path: str) -> None:
-        held = self._held.pop(path, None)
-        if held is not None and self._remove is not None:
+        revision = self._revisions.pop(path, None)
+        if revision is not None and self._remove is not None:
             self._remove(path.partition('/')[2])
 
-    def _note_lost(self, error: StoreUnavailableError) -> None:
-        if self._lost_at is None:
-            self._lost_at = self._clock.now()
+    def _record_outage(self, error: StoreUnavailableError) -> None:
+        if self._outage_since is None:
+            self._outage_since = self._clock.now()
             write(
                 _LOGGER,
                 events.MIRROR_STALE,
@@ -243,15 +245,15 @@
                 problem=error.problem,
             )
 
-    def _note_back(self) -> None:
-        lost_at, self._lost_at = self._lost_at, None
-        if lost_at is None:
+    def _record_recovery(self) -> None:
+        outage_since, self._outage_since = self._outage_since, None
+        if outage_since is None:
             return
         now = self._clock.now()
-        self._back_at = now
+        self._recovered_at = now
         write(
             _LOGGER,
             events.MIRROR_RECOVERED,
             prefix=self._prefix,
-            seconds=round(now - lost_at, 1),
+            seconds=round(now - outage_since, 1),
         )
--- a/guavagate/helpers/unreadable.py
+++ b/guavagate/helpers/unreadable.py
@@ -18,7 +18,7 @@
 
 # Of a few kinds, each with a handful of bad objects; an older one that is
 # told twice does no harm.
-MOST_PATHS: Final = 1000
+MAX_PATHS: Final = 1000
 
 
 class UnreadableObjects:
@@ -27,16 +27,16 @@
     def __init__(self) -> None:
         self._told: OrderedDict[str, str] = OrderedDict()
 
-    def note(self, path: str, problem: str) -> None:
+    def report(self, path: str, problem: str) -> None:
         """Tell that an object can not be read, unless that is known."""
         if self._told.get(path) == problem:
             return
         self._told[path] = problem
         self._told.move_to_end(path)
-        while len(self._told) > MOST_PATHS:
+        while len(self._told) > MAX_PATHS:
             self._told.popitem(last=False)
         write(_LOGGER, events.OBJECT_UNREADABLE, path=path, problem=problem)
 
-    def note_read(self, path: str) -> None:
+    def forget(self, path: str) -> None:
         """Note that an object was read, or is gone."""
         self._told.pop(path, None)
--- a/guavagate/helpers/waits.py
+++ b/guavagate/helpers/waits.py
@@ -8,31 +8,31 @@
 from guavagate.clock import Clock
 
 
-class _LateError(Exception):
+class _WaitExpiredError(Exception):
     """The time is over."""
 
 
 def wait_for(clock: Clock, event: Event, seconds: float) -> bool:
     """Wait for an event; return whether it came within so many seconds."""
     try:
-        with clock.timeout(seconds, _LateError):
+        with clock.timeout(seconds, _WaitExpiredError):
             event.wait()
-    except _LateError:
+    except _WaitExpiredError:
         return event.is_set()
     return True
 
 
-class NothingYetError(Exception):
+class QueueTimeoutError(Exception):
     """Nothing came in time."""
 
 
-def take(clock: Clock, queue: Queue, seconds: float) -> Any:
+def get_within(clock: Clock, queue: Queue, seconds: float) -> Any:
     """Return the next entry of a queue.
 
     Raises
     ------
-    NothingYetError
+    QueueTimeoutError
         None came within so many seconds.
     """
-    with clock.timeout(seconds, NothingYetError):
+    with clock.timeout(seconds, QueueTimeoutError):
         return queue.get()
--- a/guavagate/jobs/_active.py
+++ b/guavagate/jobs/_active.py
@@ -217,7 +217,7 @@
                 _LOGGER.debug('a job could not be loaded: %s', error)
                 self._clock.sleep(RETRY_INTERVAL_SECONDS)
             except ValueError as error:
-                self._unreadable.note(stored.path, str(error))
+                self._unreadable.report(stored.path, str(error))
                 return
             else:
                 return
--- a/guavagate/jobs/_dispatch.py
+++ b/guavagate/jobs/_dispatch.py
@@ -136,8 +136,8 @@
             )
             state = self._states.get(name)
             upstream = self._upstreams.get(name)
-            if upstream is not None and not state.stalled:
-                state.stalled = True
+            if upstream is not None and not state.unresponsive:
+                state.unresponsive = True
                 self._clock.spawn(self._probe_until_responsive, upstream, state)
             for progress in runs:
                 progress.cancel()
@@ -156,7 +156,7 @@
                 self._clock.sleep(PROBE_INTERVAL_SECONDS)
             else:
                 break
-        state.stalled = False
+        state.unresponsive = False
         write(_LOGGER, events.SAMPLER_RECOVERED, sampler=upstream.id)
         self._states.notify()
 
--- a/guavagate/jobs/_owner.py
+++ b/guavagate/jobs/_owner.py
@@ -127,7 +127,7 @@
             JOBS_PREFIX,
             self._put_job,
             self._drop_job,
-            loaded=self._active_jobs.mark_uncertain,
+            on_loaded=self._active_jobs.mark_uncertain,
         )
         self._end_mirror = Mirror(store, clock, ENDS_PREFIX, self._put_end)
         states.subscribe(self._wake.set)
@@ -213,7 +213,7 @@
         job = decode_job(stored.value)
         if job.service != self._service or job.id in self._active_jobs:
             return
-        fresh = self._job_mirror.loaded and self._job_mirror.is_news
+        fresh = self._job_mirror.loaded and self._job_mirror.is_live_change
         self._active_jobs.expect(job.id)
         self._clock.spawn(self._active_jobs.load_stored, job.id, stored, fresh)
 
--- a/guavagate/jobs/_result_log.py
+++ b/guavagate/jobs/_result_log.py
@@ -114,5 +114,5 @@
     try:
         return msgspec.json.decode(stored.value, type=Chunk)
     except msgspec.MsgspecError as error:
-        _UNREADABLE.note(stored.path, str(error))
+        _UNREADABLE.report(stored.path, str(error))
         return Chunk('', [])
--- a/guavagate/jobs/_slots.py
+++ b/guavagate/jobs/_slots.py
@@ -35,7 +35,7 @@
     median = find_median_interval(serving, states)
     listed = []
     for upstream, state in known:
-        if state.stalled or state.avoid_until > until:
+        if state.unresponsive or state.avoid_until > until:
             continue
         if state.loading and not include_upcoming:
             continue
--- a/guavagate/jobs/_store.py
+++ b/guavagate/jobs/_store.py
@@ -93,7 +93,7 @@
         try:
             return self.assemble(stored)
         except ValueError as error:
-            _UNREADABLE.note(stored.path, str(error))
+            _UNREADABLE.report(stored.path, str(error))
             return None
 
     def assemble(self, stored: StoredObject) -> Job:
--- a/guavagate/lifecycle.py
+++ b/guavagate/lifecycle.py
@@ -55,22 +55,24 @@
         self._asked = Event()
         self._stopping = False
 
-    def tell_ready(self, exchange: Exchange) -> None:
+    def answer_readiness(self, exchange: Exchange) -> None:
         """Answer the balancer."""
         exchange.read_body(0)
         ready = self._is_able() and not self._stopping
         self._metrics.set_gauge(names.READY, int(ready))
         exchange.respond(200 if ready else 503, [], b'')
 
-    def ask_to_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin a planned stop; returns at once."""
         self._asked.set()
 
-    def wait_asked(self) -> None:
+    def wait_stop_requested(self) -> None:
         """Block until a planned stop is asked for."""
         self._asked.wait()
 
-    def stop(self, servers: Sequence[HttpServer], *, balanced: bool) -> None:
+    def stop(
+        self, servers: Sequence[HttpServer], *, behind_balancer: bool
+    ) -> None:
         """Stop as planned: cut no request.
 
         Work for all goes to another instance at once; callers are served until
@@ -82,7 +84,7 @@
         self._hand_over()
         for server in servers:
             server.announce_stop()
-        if balanced:
+        if behind_balancer:
             self._clock.sleep(BALANCER_SECONDS)
         cut = sum(server.drain(until) for server in servers)
         self._members.stop()
--- a/guavagate/membership/registry.py
+++ b/guavagate/membership/registry.py
@@ -169,7 +169,7 @@
         try:
             return msgspec.json.decode(stored.value, type=PeerSettings)
         except msgspec.MsgspecError as error:
-            self._unreadable.note(stored.path, str(error))
+            self._unreadable.report(stored.path, str(error))
             return None
 
     def _list(self) -> None:
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -51,7 +51,7 @@
 from guavagate.retirement import Retirement
 from guavagate.rollouts import Renewals
 from guavagate.routing import RouteTable, UpstreamTable
-from guavagate.service import Services
+from guavagate.service import JobServices
 
 _LOGGER: Final = logging.getLogger(__name__)
 
@@ -95,7 +95,7 @@
         job_store = JobStore(
             self._store, self._clock, f'{me.id}/{secrets.token_hex(4)}'
         )
-        self._services = Services(
+        self._services = JobServices(
             me.id,
             self._clock,
             job_store,
@@ -139,8 +139,8 @@
         self._metrics.add_refresher(self._refresh_gauges)
         self._servers = self._make_servers(job_store, reader)
 
-        self.ask_to_stop = self.lifecycle.ask_to_stop
-        self.wait_asked = self.lifecycle.wait_asked
+        self.request_stop = self.lifecycle.request_stop
+        self.wait_stop_requested = self.lifecycle.wait_stop_requested
 
     def start(self) -> None:
         """Start every part; HTTP servers follow the feed and registry."""
@@ -158,15 +158,15 @@
             ).start()
         for server in self._servers:
             server.start()
-        self._clock.spawn(self._services.begin, self._registry)
+        self._clock.spawn(self._services.take_ownership, self._registry)
         self._members.subscribe(self._services.refresh)
         self._usage.start()
         self._pool.start_sweeping()
 
     def stop(self) -> None:
         """Stop without interrupting requests."""
-        balanced = bool(self._settings.listen.front)
-        self.lifecycle.stop(self._servers, balanced=balanced)
+        behind_balancer = bool(self._settings.listen.front)
+        self.lifecycle.stop(self._servers, behind_balancer=behind_balancer)
 
     def _make_store_route(self) -> PeerFallback:
         table = self._settings.platform
@@ -216,7 +216,7 @@
         versions = Mirror(
             self._store, self._clock, const.VERSIONS, self._put_version
         )
-        self._services.follow_versions(versions.start, versions.stop)
+        self._services.set_version_watch(versions.start, versions.stop)
         return feed
 
     def _make_servers(
@@ -238,7 +238,9 @@
             )
         if listen.ready:
             servers.append(
-                HttpServer(listen.ready, self._clock, self.lifecycle.tell_ready)
+                HttpServer(
+                    listen.ready, self._clock, self.lifecycle.answer_readiness
+                )
             )
         return servers
 
@@ -324,7 +326,7 @@
 
     def _put_version(self, name: str, stored: StoredObject) -> None:
         model, version = decode_version(stored.value)
-        self._services.name_version(model, version)
+        self._services.record_published_version(model, version)
 
     def _put_retirement(self, name: str, stored: StoredObject) -> None:
         """Hand over this instance's work if the object names it."""
@@ -333,7 +335,7 @@
                 self._clock,
                 self._hand_over,
                 lambda path: self._store.put_status(path, const.RETIRED),
-            ).begin(stored.path)
+            ).start(stored.path)
 
     def _hand_over(self) -> None:
         self._services.leave()
--- a/guavagate/platform/_store.py
+++ b/guavagate/platform/_store.py
@@ -198,7 +198,7 @@
         try:
             read.append(msgspec.json.decode(raw, type=_Object))
         except msgspec.MsgspecError as error:
-            _UNREADABLE.note(prefix, str(error))
+            _UNREADABLE.report(prefix, str(error))
     return read
 
 
--- a/guavagate/retirement.py
+++ b/guavagate/retirement.py
@@ -33,7 +33,7 @@
         self._hand_over = hand_over
         self._tell = tell
 
-    def begin(self, path: str) -> None:
+    def start(self, path: str) -> None:
         """Leave, as the object at a path asks; returns at once."""
         self._clock.spawn(self._run, path)
 
--- a/guavagate/rollouts/_lease.py
+++ b/guavagate/rollouts/_lease.py
@@ -281,7 +281,7 @@
     try:
         return msgspec.json.decode(stored.value, type=LeaseRecord)
     except msgspec.MsgspecError as error:
-        _UNREADABLE.note(stored.path, str(error))
+        _UNREADABLE.report(stored.path, str(error))
         return LeaseRecord(InstanceId(''), stored.version, '', ordered=True)
 
 
--- a/guavagate/rollouts/_states.py
+++ b/guavagate/rollouts/_states.py
@@ -14,7 +14,7 @@
 class SamplerState(msgspec.Struct):
     """One sampler; `event_interval` in seconds per event, 0 while unknown.
 
-    `orders_taken` is None until the sampler has reported it. A `stalled`
+    `orders_taken` is None until the sampler has reported it. An `unresponsive`
     sampler gets no items until it responds again. The state belongs to one
     `incarnation`, which is 0 if the sampler does not report it.
     """
@@ -29,7 +29,7 @@
     failed_orders: int = 0
     order_after: float = 0
     incarnation: int = 0
-    stalled: bool = False
+    unresponsive: bool = False
 
 
 class SamplerStates:
--- a/guavagate/service.py
+++ b/guavagate/service.py
@@ -67,7 +67,7 @@
         self.owner.stop()
 
 
-class Services:
+class JobServices:
     """Starts and stops what this instance does for the services it owns."""
 
     def __init__(
@@ -111,14 +111,16 @@
         self._stop_versions: Callable[[], None] = _do_nothing
         upstreams.subscribe(self._wake)
 
-    def follow_versions(
+    def set_version_watch(
         self, start: Callable[[], None], stop: Callable[[], None]
     ) -> None:
         """Set what begins and ends to follow the versions that are named."""
         self._start_versions = start
         self._stop_versions = stop
 
-    def name_version(self, model: str, version: WeightVersion) -> None:
+    def record_published_version(
+        self, model: str, version: WeightVersion
+    ) -> None:
         """Take in a version that a trainer has named."""
         self._published.put(model, version)
 
@@ -129,7 +131,7 @@
             return None
         return held.owner
 
-    def begin(self, registry: MemberRegistry) -> None:
+    def take_ownership(self, registry: MemberRegistry) -> None:
         """Take what is this instance's, once it knows of the others."""
         was_owner = not registry.first_start and self._recall()
         if was_owner:
--- a/standins/_safeguard_jobs.py
+++ b/standins/_safeguard_jobs.py
@@ -44,7 +44,7 @@
     Safeguard(
         'an unresponsive sampler gets no items',
         'guavagate/jobs/_slots.py',
-        'if state.stalled or state.avoid_until > until:',
+        'if state.unresponsive or state.avoid_until > until:',
         'if state.avoid_until > until:',
         'tests/jobs/test_stalls.py',
     ),
--- a/tests/helpers/test_mirror.py
+++ b/tests/helpers/test_mirror.py
@@ -11,7 +11,7 @@
 class _Held:
     """A mirror of `servers`, and what it told."""
 
-    def __init__(self, *, lapses: bool = False) -> None:
+    def __init__(self, *, expires_in_outage: bool = False) -> None:
         self.clock = PausedClock()
         self.state = StoreState()
         self.known: dict[str, bytes] = {}
@@ -22,7 +22,7 @@
             'servers',
             self._put,
             self._remove,
-            lapses=lapses,
+            expires_in_outage=expires_in_outage,
         )
 
     def _put(self, name: str, stored: StoredObject) -> None:
@@ -86,7 +86,7 @@
     They are back within about two seconds. Taken out at once, all upstreams
     would be gone together.
     """
-    held = _Held(lapses=True)
+    held = _Held(expires_in_outage=True)
     held.state.change('servers/a', b'1')
     held.state.change('servers/b', b'1')
     held.start()
@@ -106,7 +106,7 @@
 
 def test_without_an_outage_what_is_gone_is_gone_at_once() -> None:
     """An upstream has left as planned."""
-    held = _Held(lapses=True)
+    held = _Held(expires_in_outage=True)
     held.state.change('servers/a', b'1')
     held.start()
     held.clock.advance(3)
--- a/tests/jobs/test_slots.py
+++ b/tests/jobs/test_slots.py
@@ -41,7 +41,7 @@
 def test_forecast_ignores_samplers_that_stay_unavailable() -> None:
     """One is unresponsive, one ejected for seconds, one just refused."""
     states = _make_states('wxyz')
-    states.get(UpstreamId('x')).stalled = True
+    states.get(UpstreamId('x')).unresponsive = True
     states.get(UpstreamId('y')).avoid_until = NOW + 4
     states.get(UpstreamId('z')).avoid_until = NOW + 0.1
     assert _sum_slots('wxyz', states) == 8
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -12,7 +12,7 @@
 
 from guavagate.web import make_server
 from guavagate.web._bodies import MAX_BODY
-from tests.test_instance import Path
+from tests.test_instance import RunningInstance
 
 _COMPLETIONS: Final = '/v1/completions'
 _VERSIONS: Final = '/v1/runs/plan-batches/versions'
@@ -43,7 +43,7 @@
             self.ran.append(req.path)
 
 
-class _Edge(Path):
+class _Edge(RunningInstance):
     """One instance whose upstreams record their requests."""
 
     def __init__(self) -> None:
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -80,7 +80,7 @@
 """)
 
 
-class Path:
+class RunningInstance:
     """One instance and the stand-ins behind it."""
 
     def __init__(self) -> None:
@@ -166,15 +166,15 @@
 
 
 @pytest.fixture(name='path')
-def start_path() -> Iterator[Path]:
+def start_path() -> Iterator[RunningInstance]:
     """Start one instance with its stand-ins."""
-    running = Path()
+    running = RunningInstance()
     yield running
     running.stop()
 
 
 def test_a_completion_is_answered_whole_and_names_its_maker(
-    path: Path,
+    path: RunningInstance,
 ) -> None:
     """The answer names request, sampler and version, as the stream does."""
     ask = {'model': 'coach-models', 'prompt': 'plan a week', 'max_tokens': 12}
@@ -196,7 +196,7 @@
 
 
 def test_a_plain_service_is_reached_with_its_path_and_body(
-    path: Path,
+    path: RunningInstance,
 ) -> None:
     """The upstream's own status, headers and body come back."""
     status, data, _ = path.ask('/v1/services/booking-desk/slots?day=3', b'x')
@@ -205,7 +205,7 @@
 
 
 def test_a_trainer_gets_each_sample_once_with_its_versions(
-    path: Path,
+    path: RunningInstance,
 ) -> None:
     """Submit, pull by cursor, pull again, publish: nothing twice or stale."""
     run = '/v1/runs/plan-batches'
@@ -243,7 +243,7 @@
     ],
 )
 def test_bad_input_is_refused_and_not_run(
-    path: Path, body: Any, status: int, code: str
+    path: RunningInstance, body: Any, status: int, code: str
 ) -> None:
     """The refusal names what is wrong and the remedy."""
     got, data, _ = path.ask('/v1/completions', body)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -10,20 +10,20 @@
 from guavagate.models import Epoch, PartitionId, UpstreamState
 from guavagate.partitions.stored import OwnedPartition
 from guavagate.reports import LiveReports, refresh_process
-from tests.test_instance import Path
+from tests.test_instance import RunningInstance
 
 _TRAINER = 'trainer-token'
 
 
 @pytest.fixture(name='path')
-def start_path() -> Iterator[Path]:
+def start_path() -> Iterator[RunningInstance]:
     """Start one instance with stand-ins for the platform."""
-    running = Path()
+    running = RunningInstance()
     yield running
     running.stop()
 
 
-def _reports(path: Path) -> LiveReports:
+def _reports(path: RunningInstance) -> LiveReports:
     owned = [
         OwnedPartition(PartitionId(number), Epoch(2)) for number in range(2)
     ]
@@ -32,7 +32,9 @@
     return LiveReports(instance.runtime, instance, hosted, lambda: owned)
 
 
-def test_an_instance_reports_roles_samplers_and_runs(path: Path) -> None:
+def test_an_instance_reports_roles_samplers_and_runs(
+    path: RunningInstance,
+) -> None:
     """Reports its partitions, its pools' samplers and the runs it leads."""
     run = '/v1/runs/plan-batches'
     path.ask_json(f'{run}/versions', {'version': 1}, _TRAINER)
@@ -56,7 +58,9 @@
     assert all(each.slots == 4 for each in samplers.values())
 
 
-def test_a_sampler_without_a_report_is_listed_as_gone(path: Path) -> None:
+def test_a_sampler_without_a_report_is_listed_as_gone(
+    path: RunningInstance,
+) -> None:
     """The sampler of a stopped engine stays in the list, as gone."""
     path.engines[0].stop()
     path.instance.reports.reports().clear()
@@ -65,7 +69,7 @@
 
 
 def test_a_second_drain_sends_no_second_signal(
-    path: Path, monkeypatch: pytest.MonkeyPatch
+    path: RunningInstance, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Two operators drain one instance without aborting its requests.
 
@@ -81,7 +85,7 @@
     assert reports.describe_instance().state == 'draining'
 
 
-def test_gauges_show_the_pools_and_the_process(path: Path) -> None:
+def test_gauges_show_the_pools_and_the_process(path: RunningInstance) -> None:
     """The metrics contain the pools that this instance owns."""
     metrics = Metrics()
     _reports(path).refresh(metrics)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -9,7 +9,7 @@
 from guavagate.models import InstanceId, ZoneId
 from guavagate.rollouts import Renewals
 from guavagate.routing import RouteTable, UpstreamTable
-from guavagate.service import Services
+from guavagate.service import JobServices
 from guavagate.util.uptime import BootOf, ignore_boots
 from tests.jobs.rewards import FakeRewardClient
 from tests.jobs.samplers import SERVICE, FakeSamplers
@@ -36,13 +36,13 @@
     name: InstanceId,
     registry: _FakeRegistry,
     boot_of: BootOf = ignore_boots,
-) -> Services:
+) -> JobServices:
     """Start the services of one instance."""
     clock: PausedClock = world.clock
     store = world.store_of(name)
     routes = RouteTable()
     routes.apply(make_configuration())
-    services = Services(
+    services = JobServices(
         name,
         clock,
         JobStore(store, clock, name),
@@ -58,7 +58,7 @@
         world.bus(name),
         '',
     )
-    clock.spawn(services.begin, registry)
+    clock.spawn(services.take_ownership, registry)
     return services
 
 
