--- a/guavagate/cli/_client.py
+++ b/guavagate/cli/_client.py
@@ -1,4 +1,4 @@
-"""Asks the instances, one after another, until one answers."""
+"""HTTP client that tries the instances in turn until one answers."""
 
 from typing import Any, Final, TypeVar
 from urllib.parse import urlencode, urlsplit
@@ -9,9 +9,9 @@
 from guavagate.cli._errors import ExitCode, ToolError, find_exit_code
 from guavagate.operators import ErrorBody, ErrorDetail
 
-_CONNECT: Final = 3.0
-_ANSWER: Final = 30.0
-_OK: Final = 300
+_CONNECT_TIMEOUT_SECONDS: Final = 3.0
+_ANSWER_TIMEOUT_SECONDS: Final = 30.0
+_FIRST_ERROR_STATUS: Final = 300
 _OVERLOADED: Final = 502
 _PREFIX: Final = '/v1/operators'
 
@@ -19,7 +19,7 @@
 
 
 class AnswerError(ToolError):
-    """An instance refused."""
+    """An error answer of an instance."""
 
     def __init__(self, detail: ErrorDetail) -> None:
         text = detail.message
@@ -30,11 +30,11 @@
 
 
 class Client:
-    """Speaks to the operators' routes.
+    """Client of the operators' routes.
 
-    Every request may be sent twice: reads change nothing, a change of
-    settings carries its own id, and a drain that has begun stays begun. So
-    when an instance gives no answer, the next is asked.
+    If an instance gives no answer, the request is sent to the next one. This
+    is safe because all requests are idempotent: reads change nothing, a change
+    of settings has an id, and draining an instance twice has no further effect.
     """
 
     def __init__(self, endpoints: tuple[str, ...], token: str) -> None:
@@ -42,31 +42,31 @@
         self._token = token
 
     def get(self, path: str, kind: type[_Body], **params: Any) -> _Body:
-        """Return a typed answer; parameters that are None are left out."""
-        given = {name: one for name, one in params.items() if one is not None}
-        query = f'?{urlencode(given)}' if given else ''
+        """Return a typed answer; parameters that are None are omitted."""
+        present = {name: one for name, one in params.items() if one is not None}
+        query = f'?{urlencode(present)}' if present else ''
         return self._call('GET', f'{path}{query}', b'', kind)
 
     def send(
         self, method: str, path: str, body: Any, kind: type[_Body]
     ) -> _Body:
-        """Send a typed message and return the typed answer."""
+        """Send a typed body and return the typed answer."""
         return self._call(method, path, msgspec.json.encode(body), kind)
 
     def _call(
         self, method: str, path: str, body: bytes, kind: type[_Body]
     ) -> _Body:
-        tried: list[str] = []
+        failures: list[str] = []
         for endpoint in self._endpoints:
             try:
                 status, content = self._request(endpoint, method, path, body)
             except (OSError, ValueError) as error:
-                tried.append(f'{endpoint}: {error or type(error).__name__}')
+                failures.append(f'{endpoint}: {error or type(error).__name__}')
                 continue
-            return _read(status, content, kind)
-        told = '\n'.join(tried)
+            return _decode_answer(status, content, kind)
+        details = '\n'.join(failures)
         raise ToolError(
-            f'no instance answered\n{told}\ngive reachable instances with'
+            f'no instance answered\n{details}\ngive reachable instances with'
             ' --endpoint or GUAVAGATE_ENDPOINTS',
             ExitCode.UNAVAILABLE,
         )
@@ -75,7 +75,9 @@
         self, endpoint: str, method: str, path: str, body: bytes
     ) -> tuple[int, bytes]:
         client = HTTPClient.from_url(
-            endpoint, connection_timeout=_CONNECT, network_timeout=_ANSWER
+            endpoint,
+            connection_timeout=_CONNECT_TIMEOUT_SECONDS,
+            network_timeout=_ANSWER_TIMEOUT_SECONDS,
         )
         base = urlsplit(endpoint).path.rstrip('/')
         try:
@@ -93,15 +95,15 @@
             client.close()
 
 
-def _read(status: int, content: bytes, kind: type[_Body]) -> _Body:
+def _decode_answer(status: int, content: bytes, kind: type[_Body]) -> _Body:
     try:
-        if status < _OK:
+        if status < _FIRST_ERROR_STATUS:
             return msgspec.json.decode(content, type=kind)
         detail = msgspec.json.decode(content, type=ErrorBody).error
     except (msgspec.DecodeError, UnicodeDecodeError):
         raise ToolError(
-            f'the answer {status} is not of guavagate\ncheck that the endpoint'
-            ' is an instance or its balancer',
+            f'the answer {status} is not from guavagate\ncheck that the'
+            ' endpoint is an instance or its balancer',
             ExitCode.UNAVAILABLE,
         ) from None
     raise AnswerError(detail)
--- a/guavagate/cli/_context.py
+++ b/guavagate/cli/_context.py
@@ -1,4 +1,4 @@
-"""Where the instances are, and who asks."""
+"""Endpoints and token of the tool, from options, environment and file."""
 
 import pathlib
 from typing import Annotated, Final
@@ -27,7 +27,7 @@
 
 
 class Context(msgspec.Struct, kw_only=True):
-    """What the command line, the environment and the file say."""
+    """The global options of the command line and the environment."""
 
     endpoints: tuple[str, ...]
     token: str
@@ -35,14 +35,14 @@
     config: str
 
     def connect(self) -> Client:
-        """Return the client.
+        """Return a client for the endpoints.
 
         Raises
         ------
         ToolError
-            No endpoint or token is given, or the file is not acceptable.
+            No endpoint or token is given, or the file is invalid.
         """
-        settings = _load(self.config)
+        settings = _load_config(self.config)
         endpoints = self.endpoints or settings.endpoints
         if not endpoints:
             raise ToolError(
@@ -55,24 +55,24 @@
     def _find_token(self, settings: CliSettings) -> str:
         file = self.token_file or settings.token_file
         if self.token or not file:
-            return self.token or _refuse_no_token(self.config)
+            return self.token or _raise_no_token(self.config)
         try:
             token = pathlib.Path(file).expanduser().read_text('utf-8').strip()
         except (OSError, UnicodeDecodeError) as error:
             raise ToolError(
-                f'the token file can not be read: {error}\ngive a readable one',
+                f'the token file cannot be read: {error}\ngive a readable one',
                 ExitCode.REFUSED,
             ) from error
-        return token or _refuse_no_token(self.config)
+        return token or _raise_no_token(self.config)
 
 
 def get_client() -> Client:
-    """Return the client for the command that runs."""
+    """Return the client for the current command."""
     context: Context = click.get_current_context().obj
     return context.connect()
 
 
-def _load(path: str) -> CliSettings:
+def _load_config(path: str) -> CliSettings:
     file = pathlib.Path(path).expanduser()
     if path == DEFAULT_CONFIG and not file.exists():
         return CliSettings()
@@ -93,7 +93,7 @@
     return [one if '://' in one else f'http://{one}' for one in endpoints]
 
 
-def _refuse_no_token(config: str) -> str:
+def _raise_no_token(config: str) -> str:
     raise ToolError(
         'no token is given\nset GUAVAGATE_TOKEN, or `token_file` in'
         f' {config}; `guavagate token` makes one',
--- a/guavagate/cli/_errors.py
+++ b/guavagate/cli/_errors.py
@@ -1,4 +1,4 @@
-"""Errors as the tool ends with them, and its exit codes."""
+"""Errors and exit codes of the tool."""
 
 import enum
 from typing import Final
@@ -9,7 +9,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Exit codes; 2 is click's own, for a wrong command line."""
+    """Exit codes; click itself uses 2 for a wrong command line."""
 
     INVALID = 3
     CONFLICT = 4
@@ -38,17 +38,17 @@
 
     def __init__(self, message: str, exit_code: ExitCode) -> None:
         super().__init__(message)
-        # click reads it from the instance, but declares it on the class.
+        # click reads it from the instance but declares it on the class.
         self.exit_code = exit_code  # type: ignore[misc]
 
 
 def to_tool_error(
     error: GuavagateError, exit_code: ExitCode = ExitCode.INVALID
 ) -> ToolError:
-    """Return a guavagate error as the tool shows it."""
+    """Return a tool error with the text of a guavagate error."""
     return ToolError(str(error), exit_code)
 
 
 def find_exit_code(code: str) -> ExitCode:
-    """Return the exit code for an answer's error code."""
+    """Return the exit code for the error code of an answer."""
     return _BY_CODE.get(code, ExitCode.UNAVAILABLE)
--- a/guavagate/cli/_fleet.py
+++ b/guavagate/cli/_fleet.py
@@ -1,4 +1,4 @@
-"""Instances, samplers, deployments, runs, decisions and drains."""
+"""Commands about instances, samplers, deployments, runs and decisions."""
 
 import datetime
 from typing import Final, TextIO
@@ -25,7 +25,7 @@
     SamplersBody,
 )
 
-# Instead of an id: all steps that the logs tell of.
+# Given instead of an id, to show all steps in the logs.
 STEPS: Final = 'steps'
 
 
@@ -208,7 +208,7 @@
     steps = read_steps(lines)
     if not steps:
         raise click.ClickException(
-            'no line tells of a step; give the logs of all instances of the'
+            'no line is about a step; give the logs of all instances of the'
             ' time, at level info or lower'
         )
     if plot is not None:
@@ -216,25 +216,25 @@
     if as_json:
         print_json(steps)
         return
-    for shown in render_steps(steps):
-        click.echo(shown)
+    for text in render_steps(steps):
+        click.echo(text)
 
 
 def _explain_from_logs(
     subject: str, logs: tuple[TextIO, ...], *, as_json: bool
 ) -> None:
     lines = [line for log in logs for line in read_lines(log.name, log)]
-    way = trace_subject(subject, lines)
-    if not way:
+    trace = trace_subject(subject, lines)
+    if not trace:
         raise click.ClickException(
             f'no line names {subject}; give the logs of all instances of the'
             ' time, at level info or lower'
         )
     if as_json:
-        print_json(way)
+        print_json(trace)
         return
-    for shown in render_trace(way):
-        click.echo(shown)
+    for text in render_trace(trace):
+        click.echo(text)
 
 
 def _print_decision(decision: Decision) -> None:
--- a/guavagate/cli/_output.py
+++ b/guavagate/cli/_output.py
@@ -1,4 +1,4 @@
-"""Tables and JSON."""
+"""Prints answers as tables or JSON."""
 
 from collections.abc import Sequence
 from typing import Any, Final
@@ -6,7 +6,7 @@
 import click
 import msgspec
 
-_GAP: Final = '  '
+_COLUMN_GAP: Final = '  '
 
 as_json: Final = click.option(
     '--json', 'as_json', is_flag=True, help='Print the whole answer as JSON.'
@@ -22,7 +22,7 @@
 def print_table(
     heads: Sequence[str], rows: Sequence[Sequence[object]], empty: str
 ) -> None:
-    """Print columns as wide as their widest cell; the last one is free."""
+    """Print aligned columns, or the `empty` text without rows."""
     if not rows:
         click.echo(empty)
         return
@@ -33,11 +33,11 @@
         padded = [
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
         ]
-        click.echo(_GAP.join(padded).rstrip())
+        click.echo(_COLUMN_GAP.join(padded).rstrip())
 
 
 def print_missing(missing: dict[Any, str]) -> None:
-    """Tell on standard error which instances gave no answer."""
+    """Print to standard error which instances gave no answer."""
     for instance in sorted(missing):
         click.echo(
             f'incomplete: {instance} gave no answer ({missing[instance]})',
--- a/guavagate/cli/_report.py
+++ b/guavagate/cli/_report.py
@@ -1,4 +1,4 @@
-"""One HTML page with plots of the last minutes."""
+"""Writes an HTML page with plots of recent metrics."""
 
 import datetime
 import html
@@ -15,10 +15,10 @@
 from guavagate.models import InstanceId
 from guavagate.operators import InstancesBody, SeriesBody
 
-# Lines beyond this many can't be told apart; the page says what is missing.
+# More lines in a plot can't be distinguished; the page counts omitted ones.
 _MAX_LINES: Final = 24
-_SIZE: Final = (9, 2.6)
-_NAME: Final = re.compile(r'^(\w+)(?:\{(.*?)\})?(?::(\w+))?$')
+_PLOT_INCHES: Final = (9, 2.6)
+_SERIES_NAME: Final = re.compile(r'^(\w+)(?:\{(.*?)\})?(?::(\w+))?$')
 _STYLE: Final = (
     'body{font-family:sans-serif;max-width:60em;margin:2em auto}'
     'svg{width:100%;height:auto}td,th{padding:.1em 1em;text-align:left}'
@@ -56,7 +56,7 @@
 
 
 def render_report(body: SeriesBody, fleet: InstancesBody) -> str:
-    """Return the page."""
+    """Return the HTML page."""
     plots = [
         _plot_metric(metric, body)
         for metric in list_metrics()
@@ -107,7 +107,7 @@
 ) -> Lines:
     points: dict[tuple[str, str], tuple[Point, ...]] = {}
     for one in series:
-        match = _NAME.match(one.name)
+        match = _SERIES_NAME.match(one.name)
         if match is not None and match[1] == metric.name:
             points[match[2] or '', match[3] or ''] = one.points
     lines: Lines = {}
@@ -122,21 +122,21 @@
     labels: str,
     points: dict[tuple[str, str], tuple[Point, ...]],
 ) -> list[tuple[float, float]]:
-    """Return levels, rates for counters, and means for histograms."""
+    """Return gauges as they are, rates of counters, means of histograms."""
     if metric.kind is MetricKind.GAUGE:
         return [(point.at, point.value) for point in points[labels, '']]
     if metric.kind is MetricKind.COUNTER:
-        own = points[labels, '']
+        values = points[labels, '']
         return [
             (new.at, (new.value - old.value) / (new.at - old.at))
-            for old, new in itertools.pairwise(own)
+            for old, new in itertools.pairwise(values)
             if new.at > old.at and new.value >= old.value
         ]
     sums, counts = points[labels, 'sum'], points[labels, 'count']
     return [
-        (sums[at].at, (sums[at].value - sums[at - 1].value) / grown)
+        (sums[at].at, (sums[at].value - sums[at - 1].value) / added)
         for at in range(1, min(len(sums), len(counts)))
-        if (grown := counts[at].value - counts[at - 1].value) > 0
+        if (added := counts[at].value - counts[at - 1].value) > 0
     ]
 
 
@@ -148,13 +148,13 @@
 
 def _draw(lines: Lines, unit: str) -> str:
     """Return an inline SVG."""
-    # Here, not above: it takes half a second that no other command needs.
+    # Imported here because it takes half a second, only needed for reports.
     from matplotlib.backends.backend_svg import (
         FigureCanvasSVG,
     )
     from matplotlib.figure import Figure
 
-    figure = Figure(figsize=_SIZE, layout='constrained')
+    figure = Figure(figsize=_PLOT_INCHES, layout='constrained')
     canvas = FigureCanvasSVG(figure)
     axes = figure.add_subplot()
     end = max(at for line in lines.values() for at, _ in line)
--- a/guavagate/cli/_settings.py
+++ b/guavagate/cli/_settings.py
@@ -1,4 +1,4 @@
-"""Settings under paths."""
+"""Commands to read and change settings."""
 
 import datetime
 import pathlib
@@ -58,7 +58,7 @@
 
 
 def _add_change_options(command: _Command) -> _Command:
-    """Add the options of every change."""
+    """Add the options that all changes have."""
     return _why(_change_id(command))
 
 
--- a/guavagate/cli/_toml.py
+++ b/guavagate/cli/_toml.py
@@ -1,4 +1,4 @@
-"""Settings as text: checked, searched and changed before anything is sent."""
+"""Checks, searches and edits settings texts before they are sent."""
 
 import re
 from typing import Any, Final
@@ -20,7 +20,7 @@
 
 
 def check(text: str, source: str) -> TeamId:
-    """Check a text before anything is sent; return its team."""
+    """Check a settings text and return its team."""
     try:
         return parse_team_settings(text, source).team
     except SettingsError as error:
@@ -28,7 +28,7 @@
 
 
 def find_base(text: str, team: TeamId) -> int:
-    """Return the revision that a file says it was made from."""
+    """Return the base revision named in the header of a text."""
     match = _HEADER.search(text)
     if match is not None and match[1] == team:
         return int(match[2])
@@ -40,13 +40,13 @@
 
 
 def render_team(body: SettingsBody) -> str:
-    """Return a team's text, with a comment that says which revision it is."""
+    """Return a team's text, with a header that names its revision."""
     head = f'# guavagate: team {body.team}, revision {body.change.revision}\n'
     return head + _HEADER.sub('', body.toml).lstrip('\n')
 
 
 def split(path: str) -> tuple[TeamId, tuple[str, ...]]:
-    """Return the team of a path, and the parts after it."""
+    """Return the team and the remaining parts of a path."""
     try:
         return split_path(path)
     except SettingsError as error:
@@ -54,7 +54,7 @@
 
 
 def find(toml: str, parts: tuple[str, ...]) -> Any:
-    """Return the value under a path, or end the tool."""
+    """Return the value at a path; exit with an error if there is none."""
     try:
         return find_value(toml, parts)
     except SettingsError as error:
@@ -62,7 +62,7 @@
 
 
 def find_or_none(toml: str, parts: tuple[str, ...]) -> Any:
-    """Return the value under a path, or nothing."""
+    """Return the value at a path, or None."""
     try:
         return find_value(toml, parts)
     except SettingsError:
@@ -70,7 +70,7 @@
 
 
 def replace(toml: str, parts: tuple[str, ...], value: Any) -> str:
-    """Return a text with another value under a path."""
+    """Return a text with the value at a path replaced."""
     try:
         return replace_value(toml, parts, value)
     except SettingsError as error:
--- a/guavagate/cli/_usage.py
+++ b/guavagate/cli/_usage.py
@@ -1,4 +1,4 @@
-"""Usage windows as the reporters' logs tell of them."""
+"""Command that shows usage windows from the reporters' logs."""
 
 from typing import Final, TextIO
 
@@ -8,7 +8,7 @@
 from guavagate.explain.logs import read_lines
 from guavagate.explain.usage import UsageWindow, read_windows
 
-_HEADS: Final = ('window', 'requests', 'teams', 'outcome', 'after s', 'by')
+_COLUMNS: Final = ('window', 'requests', 'teams', 'outcome', 'after s', 'by')
 
 
 @click.command()
@@ -34,21 +34,21 @@
         print_json(windows)
         return
     rows = [_make_row(each, due) for each in windows]
-    empty = 'no line tells of a window; give the logs of all workers'
-    print_table(_HEADS, rows, empty)
+    empty = 'no line is about a window; give the logs of all workers'
+    print_table(_COLUMNS, rows, empty)
 
 
 def _make_row(window: UsageWindow, due: float) -> list[object]:
     late = ', late' if window.is_late(due) else ''
     return [
         window.window,
-        _show(window.requests),
-        _show(window.teams),
+        _format(window.requests),
+        _format(window.teams),
         f'{window.outcome}{late}',
-        _show(window.after),
+        _format(window.after),
         ', '.join(window.holders),
     ]
 
 
-def _show(figure: float | None) -> object:
+def _format(figure: float | None) -> object:
     return '-' if figure is None else figure
--- a/guavagate/cli/_wait.py
+++ b/guavagate/cli/_wait.py
@@ -1,4 +1,4 @@
-"""Waits until settings are in force everywhere."""
+"""Waits until settings are in force on all instances."""
 
 from typing import Final
 
@@ -8,28 +8,28 @@
 from guavagate.models import Revision, TeamId
 from guavagate.operators import StatusBody
 
-_PAUSE: Final = 0.5
+_POLL_SECONDS: Final = 0.5
 _CLOCK: Final = SystemClock()
 
 
 def wait_everywhere(
     client: Client, team: TeamId, revision: Revision | None, limit: float
 ) -> None:
-    """Return once every instance has a revision, or one and the same.
+    """Wait until all instances have one revision, at least the given one.
 
     Raises
     ------
     ToolError
-        Not within the limit; it names who lags and why.
+        The limit has passed; the error lists lagging instances and why.
     """
-    until = _CLOCK.now() + limit
+    deadline = _CLOCK.now() + limit
     while True:
         body = client.get(f'/settings/{team}/status', StatusBody)
         if body.everywhere and body.newest >= (revision or 0):
             return
-        if _CLOCK.now() >= until:
+        if _CLOCK.now() >= deadline:
             raise ToolError(_describe_lag(body, limit), ExitCode.LAGGING)
-        _CLOCK.sleep(_PAUSE)
+        _CLOCK.sleep(_POLL_SECONDS)
 
 
 def _describe_lag(body: StatusBody, limit: float) -> str:
@@ -38,5 +38,5 @@
         for one in body.instances
         if one.alive and one.revision != body.newest
     ]
-    told = '\n'.join(lines)
-    return f'not in force everywhere after {limit:g} s\n{told}'
+    details = '\n'.join(lines)
+    return f'not in force everywhere after {limit:g} s\n{details}'
--- a/guavagate/explain/__init__.py
+++ b/guavagate/explain/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions with their reasons, kept for a while and found by id."""
+"""Explains recent decisions and reads the steps of work from logs."""
 
 from guavagate.explain._collect import Explainer, Explanation
 from guavagate.explain._recent import Decision, RecentDecisions
--- a/guavagate/explain/_collect.py
+++ b/guavagate/explain/_collect.py
@@ -1,4 +1,4 @@
-"""Collects what is known of an id from all instances."""
+"""Collects the decisions about an id from all instances."""
 
 from typing import Final, Protocol
 
@@ -11,34 +11,34 @@
 from guavagate.models import InstanceId
 from guavagate.settings import PeerSettings
 
-_TIMEOUT: Final = 2.0
-_AT_ONCE: Final = 32
-_MAX_EACH: Final = 100
+_TIMEOUT_SECONDS: Final = 2.0
+_MAX_CONCURRENT: Final = 32
+_MAX_DECISIONS_PER_INSTANCE: Final = 100
 
 
 class ExplainAsk(Message, frozen=True, kw_only=True):
-    """Asks what is known of an id."""
+    """Requests the decisions about an id."""
 
     subject: str
 
 
 class ExplainAnswer(Message, frozen=True, kw_only=True):
-    """What an instance knows of an id, the newest when it is too much."""
+    """An instance's decisions about an id; only the newest if too many."""
 
     decisions: tuple[Decision, ...] = ()
     left_out: int = 0
 
 
 class Explanation(msgspec.Struct, frozen=True, kw_only=True):
-    """All that is known of an id.
+    """The decisions of all instances about an id.
 
     Parameters
     ----------
     missing
-        Instances that gave no answer, with the reason: what they decided may
-        be lacking here.
+        Instances that gave no answer, with the reason; their decisions are
+        missing.
     left_out
-        Older decisions that the answers had no room for.
+        Number of older decisions that the answers left out.
     """
 
     subject: str
@@ -52,38 +52,44 @@
 
 
 class Explainer:
-    """Answers peers, and asks them all."""
+    """Collects decisions from all peers and answers their requests."""
 
     def __init__(
         self,
-        me: InstanceId,
+        own_id: InstanceId,
         bus: Bus,
         members: _Members,
         recent: RecentDecisions,
     ) -> None:
-        self._me = me
+        self._own_id = own_id
         self._bus = bus
         self._members = members
         self._recent = recent
-        bus.register(ExplainAsk, self._handle_ask)
+        bus.register(ExplainAsk, self._handle_request)
 
     def explain(self, subject: str) -> Explanation:
-        """Return every instance's decisions about an id, oldest first."""
+        """Return all instances' decisions about an id, oldest first."""
         peers = [
-            peer.id for peer in self._members.alive() if peer.id != self._me
+            peer.id for peer in self._members.alive() if peer.id != self._own_id
         ]
-        asked = Pool(_AT_ONCE).map(lambda peer: self._ask(peer, subject), peers)
-        answers = dict(zip(peers, asked, strict=True))
-        found = [self._answer(subject)]
+        results = Pool(_MAX_CONCURRENT).map(
+            lambda peer: self._request(peer, subject), peers
+        )
+        answers = dict(zip(peers, results, strict=True))
+        found = [self._make_answer(subject)]
         found += [
             answer
             for answer in answers.values()
             if isinstance(answer, ExplainAnswer)
         ]
-        decisions = [each for answer in found for each in answer.decisions]
+        decisions = [
+            decision for answer in found for decision in answer.decisions
+        ]
         return Explanation(
             subject=subject,
-            decisions=tuple(sorted(decisions, key=lambda each: each.at)),
+            decisions=tuple(
+                sorted(decisions, key=lambda decision: decision.at)
+            ),
             missing={
                 peer: answer
                 for peer, answer in answers.items()
@@ -92,22 +98,25 @@
             left_out=sum(answer.left_out for answer in found),
         )
 
-    def _ask(self, peer: InstanceId, subject: str) -> ExplainAnswer | str:
+    def _request(self, peer: InstanceId, subject: str) -> ExplainAnswer | str:
         try:
             return self._bus.request(
-                peer, ExplainAsk(subject=subject), ExplainAnswer, _TIMEOUT
+                peer,
+                ExplainAsk(subject=subject),
+                ExplainAnswer,
+                _TIMEOUT_SECONDS,
             )
         except LinkError as error:
             return error.problem
 
-    def _answer(self, subject: str) -> ExplainAnswer:
+    def _make_answer(self, subject: str) -> ExplainAnswer:
         known = self._recent.find(subject)
         return ExplainAnswer(
-            decisions=tuple(known[-_MAX_EACH:]),
-            left_out=max(len(known) - _MAX_EACH, 0),
+            decisions=tuple(known[-_MAX_DECISIONS_PER_INSTANCE:]),
+            left_out=max(len(known) - _MAX_DECISIONS_PER_INSTANCE, 0),
         )
 
-    def _handle_ask(
+    def _handle_request(
         self, sender: InstanceId, message: Message
     ) -> ExplainAnswer:
-        return self._answer(expect(message, ExplainAsk).subject)
+        return self._make_answer(expect(message, ExplainAsk).subject)
--- a/guavagate/explain/_recent.py
+++ b/guavagate/explain/_recent.py
@@ -1,4 +1,4 @@
-"""The newest decisions of one instance, in bounded memory."""
+"""Stores the newest decisions of one instance in bounded memory."""
 
 import collections
 import logging
@@ -14,11 +14,11 @@
 _LOGGER = logging.getLogger(__name__)
 
 # 5 MB when full of decisions with five alternatives (docs/adr/0043), and two
-# minutes at 60 decisions a second.
+# minutes of history at 60 decisions per second.
 DEFAULT_CAPACITY: Final = 8192
 _ENCODER: Final = msgspec.msgpack.Encoder()
-_MAX_TEXT: Final = 200
-_MAX_TURNED_DOWN: Final = 8
+_MAX_TEXT_CHARS: Final = 200
+_MAX_ALTERNATIVES: Final = 8
 
 
 class Decision(msgspec.Struct, frozen=True, kw_only=True):
@@ -27,11 +27,11 @@
     Parameters
     ----------
     at
-        Wall-clock seconds on the instance that decided.
+        Wall-clock time in seconds on the instance that decided.
     subject
-        The id it is about: a request, sample, setting revision or view.
+        Id of the request, sample, settings revision or view.
     turned_down
-        Each alternative with the reason against it, bounded.
+        Rejected alternatives with their reasons, at most eight.
     """
 
     at: float
@@ -44,20 +44,20 @@
 
 
 class RecentDecisions:
-    """Implements `runtime.DecisionLog`: a ring, indexed by subject."""
+    """A ring buffer indexed by subject; implements `runtime.DecisionLog`."""
 
     def __init__(
         self,
         clock: Clock,
-        me: InstanceId,
+        own_id: InstanceId,
         capacity: int = DEFAULT_CAPACITY,
     ) -> None:
         self._clock = clock
-        self._me = me
+        self._own_id = own_id
         self._capacity = capacity
         self._ring: collections.deque[str] = collections.deque()
-        # Lists: most subjects have one to three decisions, and a deque takes
-        # 600 bytes when it is empty.
+        # Lists, because most subjects have one to three decisions and an empty
+        # deque takes 600 bytes.
         self._by_subject: dict[str, list[bytes]] = {}
 
     def record(
@@ -68,18 +68,20 @@
         reason: str,
         turned_down: dict[str, str] | None = None,
     ) -> None:
-        """Keep a decision and write its log line."""
-        kept = list((turned_down or {}).items())[:_MAX_TURNED_DOWN]
+        """Store a decision and write its log line."""
+        alternatives = list((turned_down or {}).items())[:_MAX_ALTERNATIVES]
         decision = Decision(
             at=self._clock.wall(),
-            instance=self._me,
-            subject=subject[:_MAX_TEXT],
+            instance=self._own_id,
+            subject=subject[:_MAX_TEXT_CHARS],
             kind=kind,
-            choice=choice[:_MAX_TEXT],
-            reason=reason[:_MAX_TEXT],
-            turned_down={name: why[:_MAX_TEXT] for name, why in kept},
+            choice=choice[:_MAX_TEXT_CHARS],
+            reason=reason[:_MAX_TEXT_CHARS],
+            turned_down={
+                name: why[:_MAX_TEXT_CHARS] for name, why in alternatives
+            },
         )
-        self._keep(decision)
+        self._add(decision)
         write(
             _LOGGER,
             events.DECIDED,
@@ -91,26 +93,26 @@
         )
 
     def find(self, subject: str) -> list[Decision]:
-        """Return what is still known of a subject, oldest first."""
+        """Return the stored decisions about a subject, oldest first."""
         return [
             msgspec.msgpack.decode(packed, type=Decision)
-            for packed in self._by_subject.get(subject[:_MAX_TEXT], ())
+            for packed in self._by_subject.get(subject[:_MAX_TEXT_CHARS], ())
         ]
 
     def __len__(self) -> int:
-        """Return how many decisions are kept."""
+        """Return how many decisions are stored."""
         return len(self._ring)
 
-    def _keep(self, decision: Decision) -> None:
+    def _add(self, decision: Decision) -> None:
         packed = _ENCODER.encode(decision)
         self._by_subject.setdefault(decision.subject, []).append(packed)
         self._ring.append(decision.subject)
         if len(self._ring) > self._capacity:
-            self._forget_oldest()
+            self._evict_oldest()
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         subject = self._ring.popleft()
-        of_subject = self._by_subject[subject]
-        of_subject.pop(0)
-        if not of_subject:
+        decisions = self._by_subject[subject]
+        decisions.pop(0)
+        if not decisions:
             self._by_subject.pop(subject)
--- a/guavagate/explain/logs.py
+++ b/guavagate/explain/logs.py
@@ -1,7 +1,7 @@
-"""The way of one request or job, out of the log lines of several instances.
+"""Traces a request or job through the logs of several instances.
 
-Lines are taken as they are found: bare JSON, or behind whatever a collector
-writes before it. What can not be read is counted and left out.
+A line is JSON, with or without a prefix from a log collector. Lines that can't
+be decoded are skipped with a debug message.
 """
 
 import logging
@@ -12,7 +12,7 @@
 
 from guavagate.events import fleet, forwarding, jobs
 
-# Beliefs that change for everybody; shown beside a subject's own lines.
+# Events that affect all work; shown between the lines about a subject.
 _CLUSTER_EVENTS: Final = frozenset(
     event.code
     for event in (
@@ -41,7 +41,7 @@
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """One line of one instance."""
+    """One log line of one instance."""
 
     time: float
     source: str
@@ -50,26 +50,26 @@
     fields: dict[str, Any]
 
     def mentions(self, subject: str) -> bool:
-        """Return whether the line is about a subject."""
+        """Return whether a field of the line starts with a subject."""
         return any(
             str(value).startswith(subject) for value in self.fields.values()
         )
 
 
 def read_lines(source: str, lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the events in a log; other lines are left out."""
+    """Yield the events in a log; skip other lines."""
     for line in lines:
-        before, brace, rest = line.partition('{')
+        prefix, brace, rest = line.partition('{')
         if not brace:
             continue
         try:
             record = msgspec.json.decode(f'{brace}{rest}', type=dict[str, Any])
         except msgspec.DecodeError:
-            _LOGGER.debug('no event: %s', line[:80])
+            _LOGGER.debug('not an event: %s', line[:80])
             continue
         if not record.get('event'):
             continue
-        words = before.split()
+        words = prefix.split()
         fields = {
             name: value
             for name, value in record.items()
@@ -85,12 +85,12 @@
 
 
 def trace_subject(subject: str, lines: Iterable[LogLine]) -> list[LogLine]:
-    """Return a subject's lines in time order, with the beliefs around them.
+    """Return a subject's lines and concurrent cluster events, in time order.
 
     Parameters
     ----------
     subject
-        An id, or its beginning, of a request, job, item, sampler or model.
+        Id, or start of an id, of a request, job, item, sampler or model.
     """
     ordered = sorted(lines, key=lambda line: line.time)
     own = [line for line in ordered if line.mentions(subject)]
@@ -106,20 +106,20 @@
     ]
 
 
-def render_trace(way: list[LogLine]) -> list[str]:
-    """Return lines for people: seconds since the first, where, what."""
-    if not way:
+def render_trace(trace: list[LogLine]) -> list[str]:
+    """Return readable lines: seconds since the first, source and text."""
+    if not trace:
         return []
-    first = way[0].time
-    width = max(len(line.source) for line in way)
+    first = trace[0].time
+    width = max(len(line.source) for line in trace)
     return [
         f'{line.time - first:9.3f}  {line.source:<{width}}  {line.text}'
-        f'  {_show(line.fields)}'.rstrip()
-        for line in way
+        f'  {_format_fields(line.fields)}'.rstrip()
+        for line in trace
     ]
 
 
-def _show(fields: dict[str, Any]) -> str:
+def _format_fields(fields: dict[str, Any]) -> str:
     return ' '.join(
         f'{name}={value}'
         for name, value in fields.items()
--- a/guavagate/explain/steps.py
+++ b/guavagate/explain/steps.py
@@ -1,9 +1,9 @@
-"""Where the time of trainers' steps went, out of the owners' log lines.
+"""Finds out from the job owners' logs where the time of steps went.
 
-A step is made of groups, and a group is there when its last item is listed. So
-the phases of that item are the critical path of its group: waiting for the job
-to be accepted and taken into work, for a sampler, for the text, for the
-reward, for the list.
+A step consists of groups, and a group is complete when its last item is
+listed. The phases of that item are the critical path of its group: the job is
+accepted, then an owner starts it, then the item waits for a sampler, its text,
+its reward and its entry in the list of results.
 """
 
 import enum
@@ -16,9 +16,9 @@
 from guavagate.events import jobs
 from guavagate.explain.logs import LogLine
 
-# Of a waterfall, in characters; it shows one objective.
-WIDTH: Final = 60
-# Where a log does not tell a job's objective.
+# Characters of a waterfall, which shows the time of one objective.
+WATERFALL_WIDTH: Final = 60
+# Seconds, for logs without the job's objective.
 DEFAULT_OBJECTIVE: Final = 10.0
 
 
@@ -34,7 +34,7 @@
 
 
 class StepItem(msgspec.Struct):
-    """One item's moments, in seconds since 1970; nothing is not reached."""
+    """When an item reached each phase, in seconds since 1970, or None."""
 
     item: str
     group: str = ''
@@ -48,7 +48,7 @@
 
 
 class Step(msgspec.Struct):
-    """One job as the logs show it; times in seconds since 1970."""
+    """One job as seen in the logs; times are in seconds since 1970."""
 
     job: str
     number: int = 0
@@ -63,19 +63,19 @@
 
     @property
     def began(self) -> float:
-        """Return when the step was sent, or first heard of."""
+        """Return when the step was sent, or else first owned."""
         if self.sent is not None:
             return self.sent
         return self.owned[0][0] if self.owned else 0
 
     def find_critical(self) -> list[StepItem]:
-        """Return the last item of each group, in the order of their ends."""
+        """Return the last item of each group, ordered by when it was listed."""
         last: dict[str, StepItem] = {}
         for each in self.items.values():
-            held = last.setdefault(each.group or each.item, each)
-            if _rank(each) > _rank(held):
+            latest = last.setdefault(each.group or each.item, each)
+            if _get_listed_time(each) > _get_listed_time(latest):
                 last[each.group or each.item] = each
-        return sorted(last.values(), key=_rank)
+        return sorted(last.values(), key=_get_listed_time)
 
     def is_late(self, item: StepItem) -> bool:
         """Return whether an item was not listed within the objective."""
@@ -84,7 +84,7 @@
 
 
 def read_steps(lines: Iterable[LogLine]) -> list[Step]:
-    """Return the steps that lines tell of, in the order they were sent."""
+    """Return the steps that the lines mention, in the order of sending."""
     steps: dict[str, Step] = {}
     for line in sorted(lines, key=lambda each: each.time):
         job = line.fields.get('job')
@@ -98,17 +98,17 @@
 
 
 def measure_phases(step: Step, item: StepItem) -> dict[Phase, float]:
-    """Return how long an item waited for what, in seconds."""
+    """Return the seconds that an item spent in each phase."""
     owned = step.owned[0][0] if step.owned else None
-    # An item without a reward is done with its text.
-    made = item.done if item.whole is None else item.whole
-    rated = None if item.whole is None else item.done
+    # An item without a reward is done when its text is complete.
+    generated = item.done if item.whole is None else item.whole
+    rewarded = None if item.whole is None else item.done
     moments = (
         (Phase.ACCEPT, step.accepted),
         (Phase.OWNER, owned),
         (Phase.SAMPLER, item.started),
-        (Phase.TEXT, made),
-        (Phase.REWARD, rated),
+        (Phase.TEXT, generated),
+        (Phase.REWARD, rewarded),
         (Phase.LIST, item.listed),
     )
     phases: dict[Phase, float] = {}
@@ -121,24 +121,24 @@
 
 
 def render_steps(steps: Sequence[Step]) -> list[str]:
-    """Return lines for people: each step, and what held its groups up.
+    """Return readable lines about each step and its critical groups.
 
-    Of each step the group that it waited for is shown, and each late one.
+    These are the last group that the step needed, and every late group.
     """
     shown: list[str] = []
     for step in steps:
         critical = step.find_critical()
-        there = [each for each in critical if each.listed is not None]
+        finished = [each for each in critical if each.listed is not None]
         wanted = step.wanted or len(critical)
         shown.append(
             f'step {step.number} of {step.model}, job {step.job}:'
-            f' {len(there)} of {len(critical)} groups listed,'
+            f' {len(finished)} of {len(critical)} groups listed,'
             f' {wanted} wanted; objective {step.objective:g} s,'
             f' {len(step.owned)} owner(s)'
         )
-        waited = there[wanted - 1 : wanted]
+        waited = finished[wanted - 1 : wanted]
         late = [each for each in critical if step.is_late(each)]
-        for item in _drop_doubles([*waited, *late]):
+        for item in _remove_duplicates([*waited, *late]):
             shown.extend(_render_item(step, item))
     return shown
 
@@ -153,11 +153,11 @@
         f'{phase.name.lower()}={seconds:.2f}'
         for phase, seconds in phases.items()
     )
-    bound = max(phases, key=lambda phase: phases[phase], default=None)
-    told = '' if bound is None else f', most for the {bound.name.lower()}'
+    longest = max(phases, key=lambda phase: phases[phase], default=None)
+    most = '' if longest is None else f', most for the {longest.name.lower()}'
     lines = [
         f'  {ended - step.began:6.2f} s |{draw_waterfall(step, phases)}|'
-        f' group {item.group} item {item.item} {word}{told}',
+        f' group {item.group} item {item.item} {word}{most}',
         f'           {times}; {item.runs} run(s) on'
         f' {" ".join(item.samplers) or "no sampler"}',
     ]
@@ -165,17 +165,17 @@
 
 
 def draw_waterfall(step: Step, phases: dict[Phase, float]) -> str:
-    """Return the phases as letters, over one objective."""
-    scale = WIDTH / step.objective
+    """Draw the phases as letters, at a scale of one objective."""
+    scale = WATERFALL_WIDTH / step.objective
     drawn: list[str] = []
     ends = itertools.accumulate(phases.values())
     for phase, until in zip(phases, ends, strict=True):
         drawn.extend(phase.value * (round(until * scale) - len(drawn)))
-    return ''.join(drawn[:WIDTH]).ljust(WIDTH)
+    return ''.join(drawn[:WATERFALL_WIDTH]).ljust(WATERFALL_WIDTH)
 
 
 def plot_steps(steps: Sequence[Step], path: str) -> None:
-    """Draw the groups' critical paths of all steps to a file."""
+    """Plot the critical paths of all steps' groups to a file."""
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(12, 2 + len(steps)))
@@ -185,11 +185,11 @@
         for item in step.find_critical():
             at = step.began - first
             for phase, seconds in measure_phases(step, item).items():
-                color = _COLORS[phase]
+                color = _PHASE_COLORS[phase]
                 axes.broken_barh([(at, seconds)], (row, 0.8), color=color)
                 at += seconds
             row += 1
-    for phase, color in _COLORS.items():
+    for phase, color in _PHASE_COLORS.items():
         axes.plot([], [], color=color, label=phase.name.lower(), linewidth=6)
     axes.legend(loc='lower right')
     axes.set_xlabel('seconds since the first step was sent')
@@ -198,7 +198,7 @@
     pyplot.close(figure)
 
 
-_COLORS: Final = {
+_PHASE_COLORS: Final = {
     Phase.ACCEPT: 'tab:gray',
     Phase.OWNER: 'tab:red',
     Phase.SAMPLER: 'tab:orange',
@@ -208,12 +208,12 @@
 }
 
 
-def _rank(item: StepItem) -> float:
-    """Return when an item was over; one that never was comes last."""
+def _get_listed_time(item: StepItem) -> float:
+    """Return when an item was listed; infinity if it never was."""
     return float('inf') if item.listed is None else item.listed
 
 
-def _drop_doubles(items: Iterable[StepItem]) -> list[StepItem]:
+def _remove_duplicates(items: Iterable[StepItem]) -> list[StepItem]:
     return list({each.item: each for each in items}.values())
 
 
@@ -248,13 +248,13 @@
         item.samplers.append(sampler)
 
 
-def _read_broken(step: Step, line: LogLine) -> None:
+def _read_failure(step: Step, line: LogLine) -> None:
     problem = line.fields.get('problem') or line.fields.get('reason') or ''
     after = line.time - step.began
     _find_item(step, line).problems.append(f'{after:6.2f} s {problem}')
 
 
-def _read_whole(step: Step, line: LogLine) -> None:
+def _read_text_complete(step: Step, line: LogLine) -> None:
     item = _find_item(step, line)
     if item.whole is None:
         item.whole = line.time
@@ -267,7 +267,7 @@
 
 
 def _read_listed(step: Step, line: LogLine) -> None:
-    """Take what is done for listed; a list names how many, not which."""
+    """Mark all done items as listed; the event has only their number."""
     for item in step.items.values():
         if item.done is not None and item.listed is None:
             item.listed = line.time
@@ -282,9 +282,9 @@
     jobs.ACCEPTED.code: _read_accepted,
     jobs.OWNED.code: _read_owned,
     jobs.ITEM_STARTED.code: _read_started,
-    jobs.ITEM_INTERRUPTED.code: _read_broken,
-    jobs.TEXT_COMPLETE.code: _read_whole,
-    jobs.REWARD_FAILED.code: _read_broken,
+    jobs.ITEM_INTERRUPTED.code: _read_failure,
+    jobs.TEXT_COMPLETE.code: _read_text_complete,
+    jobs.REWARD_FAILED.code: _read_failure,
     jobs.ITEM_DONE.code: _read_done,
     jobs.RESULTS_COMMITTED.code: _read_listed,
     jobs.ENDED.code: _read_ended,
--- a/guavagate/explain/usage.py
+++ b/guavagate/explain/usage.py
@@ -1,4 +1,4 @@
-"""What became of each usage window, out of the reporters' log lines."""
+"""Reads the outcome of usage windows from the reporters' logs."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -18,9 +18,10 @@
 
 
 class UsageWindow(msgspec.Struct):
-    """One window; `after` is seconds from its end to the report's answer.
+    """One usage window.
 
-    `holders` are the instances that fixed or reported it, in order of time.
+    `after` is the seconds from the window's end to the answer to its report;
+    `holders` are the instances that closed or reported it, in time order.
     """
 
     window: int
@@ -31,31 +32,31 @@
     holders: list[str] = []
 
     def is_late(self, due: float) -> bool:
-        """Return whether it came later than so many seconds, or not at all."""
+        """Return whether it was not reported within `due` seconds."""
         reported = self.outcome == 'reported' and self.after is not None
         return not reported or (self.after or 0) > due
 
 
 def read_windows(lines: Iterable[LogLine]) -> list[UsageWindow]:
-    """Return the windows that lines tell of, the oldest first."""
+    """Return the windows that the lines mention, oldest first."""
     windows: dict[int, UsageWindow] = {}
-    for line in sorted(lines, key=lambda each: each.time):
+    for line in sorted(lines, key=lambda entry: entry.time):
         number = line.fields.get('window')
-        known = line.event in _OUTCOMES or line.event == _CLOSED
-        if isinstance(number, int) and known:
+        relevant = line.event in _OUTCOMES or line.event == _CLOSED
+        if isinstance(number, int) and relevant:
             window = windows.setdefault(number, UsageWindow(number))
-            _take(window, line)
+            _apply(window, line)
     return [windows[number] for number in sorted(windows)]
 
 
-def _take(window: UsageWindow, line: LogLine) -> None:
+def _apply(window: UsageWindow, line: LogLine) -> None:
     if line.source not in window.holders:
         window.holders = [*window.holders, line.source]
     if line.event == _CLOSED:
         window.requests = line.fields.get('requests')
         window.teams = line.fields.get('teams')
         return
-    # A successor sends again what was reported; the first time counts.
+    # A successor may report a window again; the first report counts.
     if window.outcome != 'reported':
         window.outcome = _OUTCOMES[line.event]
         window.after = line.fields.get('after')
