--- a/tests/explain/test_logs.py
+++ b/tests/explain/test_logs.py
@@ -1,4 +1,4 @@
-"""The way of a request out of several instances' logs."""
+"""Tests of tracing a request through the logs of several instances."""
 
 from click.testing import CliRunner
 
@@ -19,29 +19,29 @@
 """
 
 
-def test_lines_of_several_instances_come_in_time_order() -> None:
-    """What everybody believed meanwhile stands between a job's own lines."""
+def test_lines_of_several_instances_are_sorted_by_time() -> None:
+    """Concurrent cluster events stand between a job's own lines."""
     lines = [
         *read_lines('entry-1', _ENTRY.splitlines()),
         *read_lines('worker.log', _OWNER.splitlines()),
     ]
-    way = trace_subject('j1', lines)
-    assert [line.event for line in way] == [
+    trace = trace_subject('j1', lines)
+    assert [line.event for line in trace] == [
         'GG9001',
         'GG9005',
         'GG3003',
         'GG9004',
     ]
-    shown = render_trace(way)
+    shown = render_trace(trace)
     assert 'entry-1' in shown[0]
     assert 'worker-1' in shown[1]
     assert 'instance=b' in shown[2]
 
 
-def test_the_command_reads_files_and_tells_when_nothing_is_found(
+def test_the_command_reads_files_and_fails_without_a_match(
     tmp_path: object,
 ) -> None:
-    """An id that no line names is an error with what to do."""
+    """An id that no line names yields an error with a remedy."""
     path = f'{tmp_path}/entry.log'
     with open(path, 'w', encoding='utf-8') as file:
         file.write(_ENTRY)
--- a/tests/explain/test_steps.py
+++ b/tests/explain/test_steps.py
@@ -1,4 +1,4 @@
-"""What held a step up, out of the lines of entries and owners."""
+"""Tests of finding the critical path of a step in the logs."""
 
 import pathlib
 
@@ -9,8 +9,9 @@
 from guavagate.explain.logs import read_lines
 from guavagate.explain.steps import Phase, Step, measure_phases, read_steps
 
-# Two groups of one item. The first one's text is whole at once and its reward
-# comes 3 s later; the other one's sampler breaks, and it is never listed.
+# Two groups of one item each. The first one's text is complete at once and its
+# reward arrives 3 s later. The other one's sampler fails, and it is never
+# listed.
 _LOG = """
 {"time":10.1,"event":"GG9001","job":"j","step":4,"items":2,"seconds":0.1}
 {"time":10.2,"event":"GG9005","job":"j","step":4,"model":"m","objective":2.5,"wanted":1}
@@ -28,12 +29,14 @@
 
 @pytest.fixture
 def step() -> Step:
-    """Return the step that the lines tell of."""
+    """Return the step in the log."""
     return read_steps(read_lines('worker-1', _LOG.splitlines()))[0]
 
 
-def test_a_groups_critical_path_is_its_last_items(step: Step) -> None:
-    """Its phases add up to the time from the submission to the listing."""
+def test_the_critical_path_of_a_group_is_that_of_its_last_item(
+    step: Step,
+) -> None:
+    """Its phases add up to the time from submission to listing."""
     first, last = step.find_critical()
     phases = measure_phases(step, first)
     assert phases[Phase.REWARD] == pytest.approx(3.0)
@@ -42,29 +45,29 @@
     assert last.runs == 2
 
 
-def test_the_command_names_what_held_each_late_group_up(
+def test_the_command_names_the_longest_phase_of_late_groups(
     tmp_path: pathlib.Path,
 ) -> None:
-    """The reward of one, a silent sampler of the other; and a plot."""
+    """One waited for its reward, a sampler of the other one stalled."""
     log = tmp_path / 'worker.log'
     log.write_text(_LOG)
     plot = tmp_path / 'steps.png'
-    told = CliRunner().invoke(
+    result = CliRunner().invoke(
         main, ['explain', 'steps', str(log), '--plot', str(plot)]
     )
-    assert told.exit_code == 0, told.output
-    assert 'step 4 of m, job j: 1 of 2 groups listed' in told.output
-    assert 'group g1 item a late, most for the reward' in told.output
-    assert 'none took it' in told.output
-    assert 'group g2 item b never listed' in told.output
-    assert 'silent' in told.output
+    assert result.exit_code == 0, result.output
+    assert 'step 4 of m, job j: 1 of 2 groups listed' in result.output
+    assert 'group g1 item a late, most for the reward' in result.output
+    assert 'none took it' in result.output
+    assert 'group g2 item b never listed' in result.output
+    assert 'silent' in result.output
     assert plot.stat().st_size > 1000
 
 
-def test_logs_without_a_step_are_told_so(tmp_path: pathlib.Path) -> None:
-    """The remedy is in the message."""
+def test_logs_without_a_step_are_an_error(tmp_path: pathlib.Path) -> None:
+    """The message contains the remedy."""
     log = tmp_path / 'entry.log'
     log.write_text('nothing\n')
-    told = CliRunner().invoke(main, ['explain', 'steps', str(log)])
-    assert told.exit_code == 1
-    assert 'give the logs of all instances' in told.output
+    result = CliRunner().invoke(main, ['explain', 'steps', str(log)])
+    assert result.exit_code == 1
+    assert 'give the logs of all instances' in result.output
--- a/tests/explain/test_usage.py
+++ b/tests/explain/test_usage.py
@@ -1,4 +1,4 @@
-"""What became of usage windows, out of the lines of two reporters."""
+"""Tests of reading usage windows from the logs of two reporters."""
 
 import pathlib
 
@@ -8,8 +8,8 @@
 from guavagate.explain.logs import read_lines
 from guavagate.explain.usage import read_windows
 
-# The first reporter fixes window 7 and is lost while it reports; the other one
-# reports it late, then window 8 in time. Nobody counted window 6.
+# The first reporter closes window 7 and fails while it sends the report. The
+# other one reports it late, then window 8 in time. Window 6 was not counted.
 _FIRST = """
 {"time":42.0,"event":"GG9202","window":7,"requests":3,"teams":2,"found":false}
 {"time":42.1,"event":"GG9204","window":7,"after":2.1,"answer":"unknown"}
@@ -23,8 +23,8 @@
 """
 
 
-def test_each_window_tells_who_reported_it_and_when() -> None:
-    """What was sent again counts as reported once it was taken."""
+def test_a_window_lists_its_reporters_and_time() -> None:
+    """A window that was sent again is reported once it was accepted."""
     lines = [
         *read_lines('a', _FIRST.splitlines()),
         *read_lines('b', _SECOND.splitlines()),
@@ -47,19 +47,19 @@
     ]
 
 
-def test_the_tool_shows_a_row_a_window(tmp_path: pathlib.Path) -> None:
-    """An operator sees at a glance which one was late."""
+def test_the_command_prints_one_row_per_window(tmp_path: pathlib.Path) -> None:
+    """Each row shows the outcome and whether the report was late."""
     log = tmp_path / 'worker-2.log'
     log.write_text(_SECOND)
-    shown = CliRunner().invoke(main, ['usage', str(log)])
-    assert shown.exit_code == 0
-    assert 'reported, late' in shown.output
-    assert shown.output.count('worker-2.log') == 3
+    result = CliRunner().invoke(main, ['usage', str(log)])
+    assert result.exit_code == 0
+    assert 'reported, late' in result.output
+    assert result.output.count('worker-2.log') == 3
 
 
-def test_logs_without_a_window_say_what_to_give(tmp_path: pathlib.Path) -> None:
-    """An entry's log has none."""
+def test_logs_without_a_window_name_the_remedy(tmp_path: pathlib.Path) -> None:
+    """The log of an entry has no usage windows."""
     log = tmp_path / 'entry.log'
     log.write_text('{"time":1,"event":"GG8001","version":2}\n')
-    shown = CliRunner().invoke(main, ['usage', str(log)])
-    assert 'logs of all workers' in shown.output
+    result = CliRunner().invoke(main, ['usage', str(log)])
+    assert 'logs of all workers' in result.output
--- a/tests/settings_fleet.py
+++ b/tests/settings_fleet.py
@@ -1,4 +1,4 @@
-"""Nine instances with settings in force, for tests."""
+"""A fleet of nine instances with settings in force, for tests."""
 
 from collections.abc import Sequence
 
@@ -11,7 +11,7 @@
 def make_fleet(
     revisions: int = 1, names: Sequence[str] = NINE
 ) -> SettingsFleet:
-    """Return instances that have taken some changes."""
+    """Return a fleet on which `revisions` changes are in force."""
     fleet = SettingsFleet(list(names))
     fleet.world.clock.advance(3)
     for base in range(revisions):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' tool, judged by what an operator reads."""
+"""Tests of the command-line tool by its output and exit codes."""
 
 import pathlib
 from collections.abc import Callable
@@ -19,21 +19,21 @@
 
 @pytest.fixture
 def bench(monkeypatch: pytest.MonkeyPatch) -> Bench:
-    """Return instances which the tool reaches without a socket."""
-    made = Bench()
+    """Return instances that the tool reaches without a socket."""
+    operators_bench = Bench()
 
-    def ask(
+    def request(
         client: Client, endpoint: str, method: str, path: str, body: bytes
     ) -> tuple[int, bytes]:
         if endpoint == 'http://10.0.0.9:1':
             raise ConnectionRefusedError('refused')
-        answer = made.call(
+        answer = operators_bench.call(
             method, f'/v1/operators{path}', client._token, body=body
         )
         return answer.status_code, answer.content
 
-    monkeypatch.setattr(Client, '_request', ask)
-    return made
+    monkeypatch.setattr(Client, '_request', request)
+    return operators_bench
 
 
 @pytest.fixture
@@ -67,13 +67,13 @@
     return path
 
 
-def test_a_text_that_was_read_is_applied_from_its_revision(
+def test_a_text_is_applied_from_the_revision_in_its_header(
     run: Run, file: pathlib.Path
 ) -> None:
-    """Two operators edit one file; the later is told of the other's change.
+    """The second of two edits of one revision is refused.
 
-    Both read revision 1. What `get` printed names it, so the second `apply`
-    is refused with exit code 4 though nobody typed a revision.
+    The output of `get` names its revision, so `apply` detects the conflict
+    without `--base` and exits with code 4.
     """
     text = run('settings', 'get', 'authority').output
     assert text.startswith('# guavagate: team authority, revision 1\n')
@@ -89,7 +89,7 @@
 
 
 def test_one_value_is_set_under_its_path(run: Run, file: pathlib.Path) -> None:
-    """Set, get, diff, history and rollback of one value."""
+    """Set, get, diff, history and rollback work on one value."""
     path = 'authority/deployments/consent-llm/max_staleness'
     assert run('settings', 'set', path, '4', '-m', 'slow').exit_code == 0
     assert run('settings', 'get', path).output == '4\n'
@@ -108,15 +108,15 @@
 def test_a_change_elsewhere_in_the_team_is_no_conflict(
     run: Run, file: pathlib.Path, bench: Bench, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Another operator's change comes in between reading and writing.
+    """Another operator's change is made between reading and writing.
 
-    It concerns another path, so `set` reads again and makes its change on
-    top; a change under the same path is refused.
+    If it is at another path, `set` reads again and repeats its change. If it
+    is at the same path, the change is refused.
     """
-    ask = Client._request
+    request = Client._request
     rivals = {1: 'weight = 7', 2: 'weight = 8'}
 
-    def ask_late(
+    def request_after_rival(
         client: Client, endpoint: str, method: str, path: str, body: bytes
     ) -> tuple[int, bytes]:
         base = bench.fleet.teams['i0'].table.revisions()
@@ -126,9 +126,9 @@
                 'weight = 1', rivals.pop(revision)
             )
             bench.apply('authority', TEAM_TOKEN, revision, text)
-        return ask(client, endpoint, method, path, body)
+        return request(client, endpoint, method, path, body)
 
-    monkeypatch.setattr(Client, '_request', ask_late)
+    monkeypatch.setattr(Client, '_request', request_after_rival)
     path = 'authority/deployments/consent-llm/max_staleness'
     assert run('settings', 'set', path, '4', '-m', 'x').exit_code == 0
     assert run('settings', 'get', 'authority/weight').output == '8\n'
@@ -137,10 +137,10 @@
     assert refused.exit_code == 4
 
 
-def test_problems_are_told_before_anything_is_sent(
+def test_problems_are_reported_before_anything_is_sent(
     run: Run, tmp_path: pathlib.Path
 ) -> None:
-    """The file is named in each line; the exit code is 3."""
+    """Each line names the file, and the exit code is 3."""
     path = tmp_path / 'bad.toml'
     path.write_text('team = "authority"\nwieght = 2\ncallers = 4\n')
     refused = run('settings', 'apply', str(path), '-m', 'x')
@@ -148,10 +148,10 @@
     assert refused.output.count(str(path)) == 2
 
 
-def test_who_lags_is_named_and_the_exit_code_says_so(
+def test_a_lagging_instance_is_named_and_sets_the_exit_code(
     run: Run, file: pathlib.Path, bench: Bench
 ) -> None:
-    """An instance that gives no answer is no reason to exit with 0."""
+    """Without the answer of an instance the exit code is not 0."""
     assert run('settings', 'status', 'authority').exit_code == 0
     bench.fleet.world.hosts[InstanceId('i2')].pause()
     lagging = run('settings', 'status', 'authority')
@@ -162,7 +162,7 @@
 def test_refusals_have_their_exit_codes(
     run: Run, file: pathlib.Path, bench: Bench
 ) -> None:
-    """A wrong token is 7, a missing thing 8, a store that is down 6."""
+    """Exit codes: wrong token 7, unknown name 8, unavailable store 6."""
     assert run('instances', token='guess').exit_code == 7
     assert run('settings', 'get', 'authority', token='').exit_code == 7
     assert run('drain', 'i1', token=TEAM_TOKEN).exit_code == 7
@@ -180,29 +180,29 @@
 def test_lists_read_well(
     run: Run, file: pathlib.Path, snapshot: SnapshotAssertion
 ) -> None:
-    """Tables and JSON of the lists, as an operator sees them."""
+    """The lists as tables and JSON match their snapshots."""
     for command in ('instances', 'samplers', 'deployments', 'runs'):
         assert run(command).output == snapshot(name=command)
         assert run(command, '--json').output == snapshot(name=f'{command}-json')
     assert run('settings', 'list').output == snapshot(name='settings')
 
 
-def test_explain_tells_reasons_and_alternatives(
+def test_explain_shows_reasons_and_alternatives(
     run: Run, bench: Bench, file: pathlib.Path
 ) -> None:
     """A decision of another instance is found by its id."""
     bench.recents['i1'].record(
         'req-1', 'sampler', 's1', 'least loaded', {'s2': 'in temeke-hall'}
     )
-    told = run('explain', 'req-1').output
-    assert 'i1 sampler: s1\n    because least loaded\n' in told
-    assert 'not s2: in temeke-hall' in told
+    output = run('explain', 'req-1').output
+    assert 'i1 sampler: s1\n    because least loaded\n' in output
+    assert 'not s2: in temeke-hall' in output
 
 
-def test_the_report_holds_all_it_shows(
+def test_the_report_loads_no_other_files(
     run: Run, bench: Bench, tmp_path: pathlib.Path, file: pathlib.Path
 ) -> None:
-    """One page, with a plot, that fetches nothing."""
+    """The page contains its plot and refers to nothing else."""
     bench.clock.advance(60)
     page = tmp_path / 'report.html'
     assert run('report', '-o', str(page)).exit_code == 0
@@ -212,15 +212,15 @@
     assert '<link' not in content
 
 
-def test_the_token_command_makes_a_pair() -> None:
-    """The hash belongs to the token, and two tokens differ."""
+def test_the_token_command_prints_a_token_and_its_hash() -> None:
+    """The hash matches the token, and two tokens differ."""
     lines = CliRunner().invoke(main, ['token']).output.split()
     assert lines[3] == hash_token(lines[1])
     assert lines != CliRunner().invoke(main, ['token']).output.split()
 
 
 def test_a_config_file_is_checked(tmp_path: pathlib.Path) -> None:
-    """A wrong key names file and remedy."""
+    """An unknown key is refused with a suggestion."""
     config = tmp_path / 'cli.toml'
     config.write_text('endpoint = "10.0.0.1:1"\n')
     refused = CliRunner().invoke(main, ['--config', str(config), 'runs'])
@@ -229,7 +229,7 @@
 
 
 def test_help_fits_a_narrow_terminal(snapshot: SnapshotAssertion) -> None:
-    """Each page is kept, so that a change of it is seen in review."""
+    """Snapshots of all help pages make their changes visible in review."""
     pages = dict(_list_help(main, ()))
     assert pages == snapshot
     for page in pages.values():
--- a/tests/test_settings_changes.py
+++ b/tests/test_settings_changes.py
@@ -1,4 +1,4 @@
-"""Tests of accepted changes: races, lost answers and doubt."""
+"""Tests of settings changes: races, lost answers and unknown outcomes."""
 
 from guavagate.measure.settings import TEAM
 from guavagate.settings import (
@@ -9,12 +9,11 @@
 from tests.settings_fleet import make_fleet
 
 
-def test_of_two_operators_the_later_gets_the_others_change() -> None:
-    """Both edit revision 1; the second is refused, not merged or lost.
+def test_the_later_of_two_operators_is_refused_with_the_others_change() -> None:
+    """Two changes of the same revision must not be merged or lost.
 
-    Amina's change is accepted first. Baraka's is made from the same revision
-    through another instance: its conditional update fails, and the error
-    tells who changed what, and why.
+    The second change, made through another instance, is refused because its
+    base is outdated. The error names who made the other change and why.
     """
     fleet = make_fleet()
     assert isinstance(fleet.change('i1', 1, 5, why='spring'), SettingsRecord)
@@ -27,11 +26,11 @@
     assert fleet.revisions() == {2}
 
 
-def test_two_changes_at_the_same_moment_leave_one_accepted() -> None:
-    """Reads cross, so both writers believe that they are first.
+def test_only_one_of_two_concurrent_changes_is_accepted() -> None:
+    """Both writers read revision 1 before either of them writes.
 
-    Both read revision 1 before either writes. The store takes one; the other
-    reads again and finds a change that is not its own.
+    The store accepts one write. The other writer reads again, finds a foreign
+    change and reports a conflict.
     """
     fleet = make_fleet()
     clock = fleet.world.clock
@@ -47,11 +46,10 @@
 
 
 def test_a_write_whose_answer_is_lost_is_accepted_once() -> None:
-    """The operator sees success and one new revision.
+    """A lost answer must not become a failure or a second revision.
 
-    The store takes the change, but its answer never comes. Reading back finds
-    the change's own id; without it the writer would report a failure, or take
-    its own change for another operator's.
+    The writer reads the record back and recognizes its change by its id.
+    Otherwise it would report a failure or a conflict with itself.
     """
     fleet = make_fleet()
     fleet.world.store.lose_next = 2
@@ -63,11 +61,12 @@
     assert len(writes) == 2
 
 
-def test_a_change_in_doubt_can_be_repeated_under_its_id() -> None:
-    """The operator is told "unsure" and repeats; it is applied once.
+def test_an_uncertain_change_can_be_repeated_under_its_id() -> None:
+    """A repeated change with the same id is applied only once.
 
-    The store takes the write, loses the answer and goes down for a minute, so
-    nobody can tell. After the outage the same id finds the change in place.
+    The store accepts the write, loses the answer and is unavailable for a
+    minute, so the outcome is unknown. After the outage a repetition with the
+    same id finds the change in the store.
     """
     fleet = make_fleet()
     store = fleet.world.store
--- a/tests/test_settings_documents.py
+++ b/tests/test_settings_documents.py
@@ -1,4 +1,4 @@
-"""Tests of settings texts at the edge."""
+"""Tests of parsing and checking settings texts."""
 
 import pathlib
 
@@ -43,8 +43,8 @@
     return {problem.path: str(problem) for problem in caught.value.problems}
 
 
-def test_all_problems_are_told_at_once() -> None:
-    """Six mistakes give six lines with file, path, value and remedy."""
+def test_all_problems_are_reported_at_once() -> None:
+    """Six mistakes yield six lines with file, path, value and remedy."""
     problems = _problems(_BAD_TEAM)
     assert set(problems) == {
         'wieght',
@@ -62,7 +62,7 @@
 
 
 def test_references_and_duplicates_are_checked() -> None:
-    """With the types right, ids that clash or lead nowhere are found."""
+    """Duplicate ids and references to unknown services are reported."""
     text = (
         _BAD_TEAM.replace('wieght', 'weight')
         .replace('secret-in-plain-text', hash_token('x'))
@@ -85,14 +85,14 @@
     'text', ['team = "a" b', 'team = 3', 'callers = 3', '', 'team = "a/b"']
 )
 def test_malformed_texts_are_refused(text: str) -> None:
-    """Whatever is wrong, the answer is a list of problems."""
+    """Every malformed text yields a list of problems."""
     assert _problems(text)
 
 
-def test_an_instance_file_names_itself_in_errors(
+def test_problems_of_an_instance_file_name_the_file(
     tmp_path: pathlib.Path,
 ) -> None:
-    """The daemon's own file is checked the same way."""
+    """An instance's own file is checked like a team's settings."""
     file = tmp_path / 'instance.toml'
     file.write_text('id = "i1"\nhttp_address = "localhost:80"\n')
     with pytest.raises(SettingsProblemsError) as caught:
--- a/tests/test_settings_in_force.py
+++ b/tests/test_settings_in_force.py
@@ -1,4 +1,4 @@
-"""Tests of settings in force under the failures they are made for."""
+"""Tests of settings in force during failures of store and instances."""
 
 import functools
 from collections.abc import Callable
@@ -19,19 +19,19 @@
 from tests.settings_fleet import NINE, make_fleet
 
 
-def _relay(fleet: SettingsFleet, zone: str = 'zone-0') -> str:
+def _find_relay(fleet: SettingsFleet, zone: str = 'zone-0') -> str:
     alive = fleet.world.members[InstanceId('i0')].alive()
     relay = choose_relay(zone, alive)
     assert relay is not None
     return relay
 
 
-def _others(*but: str) -> list[str]:
+def _other_names(*but: str) -> list[str]:
     return [name for name in NINE if name not in but]
 
 
-def test_in_an_outage_nothing_is_accepted_and_nothing_reverts() -> None:
-    """For an hour changes are refused for sure, and all serve as before."""
+def test_a_store_outage_refuses_changes_and_reverts_nothing() -> None:
+    """During an hour without the store all instances keep their settings."""
     fleet = make_fleet(2, ['i0', 'i1'])
     fleet.world.store.outage = True
     refused = fleet.change('i1', 2, 5)
@@ -44,11 +44,12 @@
     assert isinstance(fleet.change('i1', 2, 5), SettingsRecord)
 
 
-def test_a_compacted_watch_is_made_up_by_a_new_list() -> None:
-    """A change made while no instance heard the store is found.
+def test_a_new_list_recovers_a_compacted_watch() -> None:
+    """A change during a store outage is found by listing again.
 
-    The relays are cut off while the platform writes revision 2 itself; the
-    watch's start is compacted by then, so watching on would miss it.
+    The platform writes revision 2 while the relays can't reach the store. The
+    revision where the watch left off is compacted by then, so resuming the
+    watch would miss the change.
     """
     fleet = make_fleet()
     other = make_fleet(2)
@@ -63,11 +64,11 @@
     assert fleet.revisions() == {2}
 
 
-def test_a_store_with_an_old_copy_reverts_nobody() -> None:
+def test_a_stale_store_reverts_no_instance() -> None:
     """Every instance keeps revision 3 while the store answers with 2.
 
-    One instance restarts meanwhile: it hears both, and takes the newest. A
-    change made then is refused rather than built on the old text.
+    An instance that restarts meanwhile gets both and applies the newer one. A
+    change is refused then, because it would be based on the old text.
     """
     fleet = make_fleet(2)
     fleet.world.store.serve_stale(on=True)
@@ -83,11 +84,11 @@
     assert fleet.reverts == 0
 
 
-def test_a_store_set_back_gets_the_accepted_settings_again() -> None:
-    """The platform restores a backup; the newest revision is written back.
+def test_settings_lost_by_the_store_are_written_back() -> None:
+    """After a restore from a backup the newest revision is written back.
 
-    Otherwise an instance that starts when no peer is there would put the
-    earlier settings in force, long after they had been replaced.
+    Otherwise an instance that starts without any peer would put earlier
+    settings in force, long after they were replaced.
     """
     fleet = make_fleet(3)
     store = fleet.world.store
@@ -99,8 +100,8 @@
     assert fleet.revisions() == {3}
 
 
-def test_an_instance_that_starts_in_an_outage_learns_from_its_peers() -> None:
-    """It is ready within seconds, with the newest revision there is."""
+def test_an_instance_that_starts_in_an_outage_loads_from_its_peers() -> None:
+    """It is ready within seconds, with the newest revision."""
     fleet = make_fleet(2)
     fleet.world.store.outage = True
     fleet.restart('i3')
@@ -111,11 +112,11 @@
     assert not fleet.teams['i9'].unready_reasons()
 
 
-def test_an_instance_with_neither_store_nor_peers_says_so() -> None:
-    """It is not ready, serves no team, and names what it waits for.
+def test_an_instance_without_store_and_peers_is_not_ready() -> None:
+    """It must not serve by settings that may be outdated.
 
-    With the store back it becomes ready; cut off again from both for longer
-    than the limit, it fails its readiness check instead of serving on.
+    It names what it waits for and becomes ready once the store answers. When
+    it is cut off again for longer than the limit, its readiness check fails.
     """
     fleet = SettingsFleet(['alone'])
     fleet.world.store.outage = True
@@ -130,61 +131,61 @@
     assert 'neither' in fleet.teams['alone'].unready_reasons()[0]
 
 
-def test_a_dead_relay_is_replaced_by_one_of_its_zone() -> None:
-    """Changes written past guavagate still arrive; one watch per zone.
+def test_a_dead_relay_is_replaced_within_its_zone() -> None:
+    """Without a relay, a zone would no longer follow the store.
 
-    The relay of a zone dies, so its instances would hear of the store no
-    more; the next in rendezvous order takes the watch over by itself.
+    When a relay dies, the next instance of the zone in rendezvous order takes
+    over, so there is still one watch per zone.
     """
     fleet = make_fleet()
-    dead = _relay(fleet)
+    dead = _find_relay(fleet)
     fleet.world.kill(dead)
     fleet.world.clock.advance(5)
     relays = [
         name
-        for name in _others(dead)
+        for name in _other_names(dead)
         if fleet.teams[name].report(None).is_relay
     ]
     assert len(relays) == 3
-    assert isinstance(fleet.change(_others(dead)[0], 1, 5), SettingsRecord)
+    assert isinstance(fleet.change(_other_names(dead)[0], 1, 5), SettingsRecord)
     fleet.world.clock.advance(2)
-    assert fleet.revisions(*_others(dead)) == {2}
+    assert fleet.revisions(*_other_names(dead)) == {2}
 
 
-def test_an_instance_that_was_paused_neither_reverts_nor_serves_on() -> None:
-    """A relay sleeps through two changes and wakes with old news.
+def test_a_paused_relay_is_unready_and_reverts_no_instance() -> None:
+    """A relay is paused during two changes and resumes with old settings.
 
-    On waking it is not ready: it has heard nobody for longer than the limit.
-    What it still passes on is older than what the others have, so they keep
-    theirs; a digest then tells it what it lacks.
+    It is not ready then, because nothing answered it for longer than the
+    limit. The others ignore the older revision that it still sends, and a
+    digest shows it that it lags.
     """
     fleet = make_fleet()
-    asleep = _relay(fleet)
-    through = _others(asleep)[0]
-    fleet.world.pause(asleep)
-    assert isinstance(fleet.change(through, 1, 5), SettingsRecord)
-    assert isinstance(fleet.change(through, 2, 6), SettingsRecord)
+    paused = _find_relay(fleet)
+    other = _other_names(paused)[0]
+    fleet.world.pause(paused)
+    assert isinstance(fleet.change(other, 1, 5), SettingsRecord)
+    assert isinstance(fleet.change(other, 2, 6), SettingsRecord)
     fleet.world.clock.advance(60)
-    assert fleet.teams[asleep].unready_reasons()
-    fleet.world.resume(asleep)
+    assert fleet.teams[paused].unready_reasons()
+    fleet.world.resume(paused)
     fleet.world.clock.advance(3)
     assert fleet.revisions() == {3}
-    assert not fleet.teams[asleep].unready_reasons()
+    assert not fleet.teams[paused].unready_reasons()
     assert fleet.reverts == 0
 
 
-def test_a_message_that_comes_late_reverts_nobody() -> None:
-    """Revision 1 reaches the others after revision 2, and is dropped.
+def test_a_late_message_reverts_no_instance() -> None:
+    """Revision 1 arrives after revision 2 and is dropped.
 
-    Between telling it and its arrival lay a slow link, on which a newer
-    message overtook it. Nobody sees revision 1 again, not even for a moment.
+    This happens when a slow link delays a message and a newer one overtakes
+    it. Revision 1 must not be in force again, not even for a moment.
     """
     fleet = make_fleet()
     late = fleet.teams['i3'].table.record(TEAM)
     assert late is not None
     assert isinstance(fleet.change('i1', 1, 5), SettingsRecord)
     fleet.world.clock.advance(1)
-    targets = tuple(InstanceId(name) for name in _others('i3', 'i4'))
+    targets = tuple(InstanceId(name) for name in _other_names('i3', 'i4'))
     message = SettingsTell(record=late, targets=targets)
     fleet.world.bus('i3').send(InstanceId('i4'), message)
     fleet.world.clock.advance(3)
@@ -194,30 +195,34 @@
 
 
 class _FactMembers(FakeMembers):
-    """Members whose probes carry facts to all others, a little later."""
+    """A membership whose probes carry facts to all others after 10 ms."""
 
     def __init__(self, name: str, fleet: '_FactFleet') -> None:
         super().__init__(fleet.world.members[InstanceId(name)].peers)
         self._name = InstanceId(name)
         self._fleet = fleet
-        self._heard: dict[InstanceId, dict[str, bytes]] = {}
+        self._peer_facts: dict[InstanceId, dict[str, bytes]] = {}
         self._changed: list[Callable[[InstanceId], None]] = []
 
     def set_fact(self, name: str, value: bytes) -> None:
         world = self._fleet.world
         for instance, other in world.members.items():
             if isinstance(other, _FactMembers) and other is not self:
-                hear = functools.partial(other.hear, self._name, {name: value})
-                deliver = functools.partial(world.hosts[instance].deliver, hear)
+                receive = functools.partial(
+                    other.receive, self._name, {name: value}
+                )
+                deliver = functools.partial(
+                    world.hosts[instance].deliver, receive
+                )
                 world.clock.call_at(world.clock.now() + 0.01, deliver)
 
-    def hear(self, sender: InstanceId, facts: dict[str, bytes]) -> None:
-        self._heard[sender] = facts
+    def receive(self, sender: InstanceId, facts: dict[str, bytes]) -> None:
+        self._peer_facts[sender] = facts
         for changed in self._changed:
             changed(sender)
 
     def facts(self, instance: InstanceId) -> dict[str, bytes]:
-        return self._heard.get(instance, {})
+        return self._peer_facts.get(instance, {})
 
     def subscribe_facts(self, changed: Callable[[InstanceId], None]) -> None:
         self._changed.append(changed)
@@ -230,13 +235,12 @@
         return super().start(name)
 
 
-def test_facts_in_probes_bring_what_messages_lost() -> None:
-    """Every message about a change is lost; the probes still tell of it.
+def test_digests_in_probes_recover_lost_messages() -> None:
+    """All messages about a change are lost, but probes carry digests.
 
-    Only the writer and the relays, by their watches, have it. The digest in
-    the next probe differs, so each of the others fetches what it lacks, and no
-    message carries a digest. With the probes and the store silent, the last
-    instance says that it hears nobody.
+    Only the writer, and the relays by their watches, have the change. The
+    next probe's digest differs, so the others fetch the change; no message
+    carries a digest. Without probes and store, an instance is not ready.
     """
     fleet = _FactFleet(NINE)
     fleet.world.clock.advance(3)
@@ -250,22 +254,22 @@
     assert fleet.world.clock.run_until(lambda: fleet.revisions() == {2}, 3)
     fleet.world.store.outage = True
     assert not fleet.world.network.messages['SettingsDigest']
-    for name in _others('i0'):
+    for name in _other_names('i0'):
         fleet.world.kill(name)
     fleet.world.clock.advance(20)
     assert 'neither' in fleet.teams['i0'].unready_reasons()[0]
 
 
 def test_lost_messages_only_delay_a_change() -> None:
-    """With 40 % of all messages lost, digests bring the rest in seconds."""
+    """With 40 % of the messages lost, digests spread a change in seconds."""
     fleet = make_fleet()
     fleet.world.network.loss = 0.4
     assert isinstance(fleet.change('i1', 1, 5), SettingsRecord)
     assert fleet.world.clock.run_until(lambda: fleet.revisions() == {2}, 10)
 
 
-def test_status_names_who_lags_and_why() -> None:
-    """One instance is cut off, one is dead: both are in the answer."""
+def test_status_reports_which_instance_lags_and_why() -> None:
+    """An isolated instance is listed as lagging; a dead one is omitted."""
     fleet = make_fleet()
     fleet.world.kill('i8')
     fleet.world.clock.advance(5)
@@ -281,11 +285,11 @@
     assert not status[InstanceId('i2')].lag
 
 
-def test_a_part_that_fails_does_not_stop_later_changes() -> None:
-    """A subscriber raises at each change; the instance still follows.
+def test_a_failing_subscriber_does_not_stop_later_changes() -> None:
+    """An exception of a subscriber must not end the task that calls it.
 
-    The failure used to end the task that holds the watch or takes messages,
-    and the instance served on by old settings, ready as before.
+    Otherwise the watch or the handler of messages ends, and the instance
+    serves by old settings although it reports itself ready.
     """
     fleet = make_fleet()
 
@@ -300,10 +304,10 @@
     assert fleet.revisions() == {3}
 
 
-def test_a_stopped_peer_is_shown_but_holds_up_nobody() -> None:
-    """A replaced instance stays in its peers' files, and serves nobody.
+def test_a_stopped_peer_is_listed_but_does_not_count_as_lagging() -> None:
+    """A replaced instance stays in its peers' files but serves no requests.
 
-    Counted as lagging, it would let every wait for "everywhere" time out.
+    If it counted as lagging, every wait for all instances would time out.
     """
     fleet = make_fleet()
     me = InstanceId('i0')
@@ -314,7 +318,7 @@
 
 
 def test_a_revision_of_a_newer_release_fails_readiness() -> None:
-    """An instance that can't read accepted settings must not serve by old."""
+    """An instance that can't read the newest settings must not be ready."""
     fleet = make_fleet()
     store = fleet.world.store
     newer = fleet.stored().replace(b'weight =', b'gravity =')
@@ -328,8 +332,8 @@
     assert not fleet.world.network.messages['SettingsFetch']
 
 
-def test_settings_are_in_force_everywhere_in_time() -> None:
-    """200 changes on nine instances, one killed and one paused in between."""
+def test_changes_are_in_force_on_all_instances_in_time() -> None:
+    """200 changes on nine instances, with one killed and one paused."""
     spread = measure_propagation(instances=9, changes=200, seed=1)
     assert spread.p99 <= 2
     assert (spread.late, spread.reverts) == (0, 0)
