--- a/guavagate/cli/_report.py
+++ b/guavagate/cli/_report.py
@@ -148,7 +148,7 @@
 
 def _draw(lines: Lines, unit: str) -> str:
     """Return an inline SVG."""
-    # Imported here because it takes half a second, only needed for reports.
+    # Imported here because it takes half a second that other commands save.
     from matplotlib.backends.backend_svg import (
         FigureCanvasSVG,
     )
--- a/guavagate/cli/_settings.py
+++ b/guavagate/cli/_settings.py
@@ -204,7 +204,7 @@
     print_table(
         ('REVISION', 'WHEN', 'WHO', 'WHY'),
         [_format_change(change) for change in body.changes],
-        'No change is kept.',
+        'No change is stored.',
     )
 
 
--- a/guavagate/explain/steps.py
+++ b/guavagate/explain/steps.py
@@ -128,15 +128,15 @@
     shown: list[str] = []
     for step in steps:
         critical = step.find_critical()
-        finished = [each for each in critical if each.listed is not None]
+        listed = [each for each in critical if each.listed is not None]
         wanted = step.wanted or len(critical)
         shown.append(
             f'step {step.number} of {step.model}, job {step.job}:'
-            f' {len(finished)} of {len(critical)} groups listed,'
+            f' {len(listed)} of {len(critical)} groups listed,'
             f' {wanted} wanted; objective {step.objective:g} s,'
             f' {len(step.owned)} owner(s)'
         )
-        waited = finished[wanted - 1 : wanted]
+        waited = listed[wanted - 1 : wanted]
         late = [each for each in critical if step.is_late(each)]
         for item in _remove_duplicates([*waited, *late]):
             shown.extend(_render_item(step, item))
--- a/guavagate/settings/_digests.py
+++ b/guavagate/settings/_digests.py
@@ -26,7 +26,7 @@
 
 
 class _Fact(msgspec.Struct, frozen=True, array_like=True):
-    """A digest; `beat` changes each time, as a sign of life."""
+    """A digest; `beat` changes each time as a sign of life."""
 
     digest: int
     known: bool
--- a/guavagate/settings/_relay.py
+++ b/guavagate/settings/_relay.py
@@ -31,7 +31,7 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# Longest time between two answers of the store to a watch.
+# Without changes, the relay gets an answer of the store only this often.
 WATCH_TIMEOUT_SECONDS: Final = 5.0
 _RETRY_SECONDS: Final = 1.0
 _CHECK_INTERVAL_SECONDS: Final = 1.0
@@ -152,9 +152,9 @@
         in_store = {
             stored.record.team: stored for stored in found if stored.record
         }
-        nothing = Stored(None, Revision(0))
+        missing = Stored(None, Revision(0))
         for record in self._table.records():
-            stored = in_store.get(record.team, nothing)
+            stored = in_store.get(record.team, missing)
             if stored.revision < record.revision:
                 self._writer.restore(record, stored)
 
--- a/tests/test_settings_in_force.py
+++ b/tests/test_settings_in_force.py
@@ -26,12 +26,12 @@
     return relay
 
 
-def _other_names(*but: str) -> list[str]:
-    return [name for name in NINE if name not in but]
+def _other_names(*excluded: str) -> list[str]:
+    return [name for name in NINE if name not in excluded]
 
 
 def test_a_store_outage_refuses_changes_and_reverts_nothing() -> None:
-    """During an hour without the store all instances keep their settings."""
+    """For an hour changes are surely refused, and all settings stay."""
     fleet = make_fleet(2, ['i0', 'i1'])
     fleet.world.store.outage = True
     refused = fleet.change('i1', 2, 5)
