--- a/standins/capacity/_fleets.py
+++ b/standins/capacity/_fleets.py
@@ -21,7 +21,7 @@
 from standins import _http
 from standins.capacity._figures import Reading, measure_cpu
 from standins.fleet import Fleet, FleetPlan
-from standins.fleet._process import free_address
+from standins.fleet._process import find_free_address
 
 # The two regions of two years from now have seven.
 ZONES: Final = tuple(ZoneId(f'zone-{number}') for number in range(7))
@@ -205,7 +205,7 @@
         id=InstanceId(f'instance-{number}'),
         availability_zone=ZONES[number % len(ZONES)],
         region=_REGION,
-        peer_address=free_address(),
+        peer_address=find_free_address(),
         http_address='127.0.0.1:1',
     )
 
--- a/standins/demo/__main__.py
+++ b/standins/demo/__main__.py
@@ -6,7 +6,7 @@
 
 import click
 
-from standins.demo._demo import DEMO_ACTS, HARD_ACTS, Demo
+from standins.demo._demo import DEMO_SCHEDULE, FAULT_SCHEDULE, Demo
 from standins.demo._verdict import Summary
 from standins.fleet import Fleet, load_plan
 
@@ -50,13 +50,13 @@
     click.echo(f'settings {settings}; logs and history in {place}')
     fleet = Fleet(plan, place, seed)
     try:
-        acts = HARD_ACTS if faults else DEMO_ACTS
+        acts = FAULT_SCHEDULE if faults else DEMO_SCHEDULE
         demo = Demo(fleet, seconds)
         summary = demo.run(plan.instances, acts)
     finally:
         fleet.stop()
     _show(summary)
-    sys.exit(0 if summary.is_kept() else 1)
+    sys.exit(0 if summary.has_passed() else 1)
 
 
 def _show(summary: Summary) -> None:
--- a/standins/demo/_demo.py
+++ b/standins/demo/_demo.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from guavagate.measure.history import FaultInjected, read_history
-from standins.demo._faults import make_fault_acts
+from standins.demo._faults import make_fault_actions
 from standins.demo._progress import Progress
 from standins.demo._verdict import Summary, summarize
 from standins.fleet import (
@@ -24,16 +24,16 @@
 from standins.history import Recorder, now
 
 # What is done to the fleet, and when, as a share of the time.
-Acts = Sequence[tuple[float, str]]
+Schedule = Sequence[tuple[float, str]]
 
-DEMO_ACTS: Final[Acts] = (
+DEMO_SCHEDULE: Final[Schedule] = (
     (0.3, 'kill'),
     (0.4, 'start'),
     (0.6, 'stop'),
     (0.7, 'start'),
 )
 # Beside them, upstreams and the platform fail, some of them together.
-HARD_ACTS: Final[Acts] = (
+FAULT_SCHEDULE: Final[Schedule] = (
     (0.1, 'service-fails'),
     (0.15, 'engine-cuts'),
     (0.2, 'pause'),
@@ -77,14 +77,14 @@
             'start': self._start_one,
             'pause': self._pause_one,
             'wake': self._wake_one,
-            **make_fault_acts(fleet, self._note),
+            **make_fault_actions(fleet, self._note),
         }
 
-    def run(self, instances: int, acts: Acts = DEMO_ACTS) -> Summary:
+    def run(self, instances: int, acts: Schedule = DEMO_SCHEDULE) -> Summary:
         """Run it all and judge the history.
 
-        Acts are ``kill``, ``stop``, ``start``, ``pause`` and ``wake``, and
-        those of `make_fault_acts`.
+        Actions are ``kill``, ``stop``, ``start``, ``pause`` and ``wake``, and
+        those of `make_fault_actions`.
         """
         self._say(f'starting {instances} instances and their stand-ins')
         self._fleet.start(instances)
--- a/standins/demo/_faults.py
+++ b/standins/demo/_faults.py
@@ -8,11 +8,11 @@
 from standins import _http
 from standins.fleet import Fleet, Process
 
-Acts = dict[str, Callable[[], None]]
+Actions = dict[str, Callable[[], None]]
 Note = Callable[[str], None]
 
 
-def make_fault_acts(fleet: Fleet, note: Note) -> Acts:
+def make_fault_actions(fleet: Fleet, note: Note) -> Actions:
     """Return what can be done to the first team's upstreams and the store."""
     fault = partial(_set_faults, fleet, note)
     return {
--- a/standins/demo/_verdict.py
+++ b/standins/demo/_verdict.py
@@ -55,7 +55,7 @@
             f' stale={self.stale} lost={self.lost} doubled={self.doubled}'
         )
 
-    def is_kept(self) -> bool:
+    def has_passed(self) -> bool:
         """Tell whether every promise was kept and something was done."""
         worked = self.answered_once and self.delivered_once
         broken = self.stale or self.lost or self.doubled or self.problems
--- a/standins/fleet/_fleet.py
+++ b/standins/fleet/_fleet.py
@@ -25,9 +25,9 @@
 from standins.fleet._plan import DeploymentPlan, FleetPlan, ServicePlan
 from standins.fleet._process import (
     Process,
-    daemon_command,
-    free_address,
-    standin_command,
+    find_free_address,
+    make_daemon_command,
+    make_standin_command,
     stop_all,
 )
 from standins.fleet._teams import list_tokens, make_record, make_settings
@@ -138,7 +138,7 @@
     ) -> Process:
         """Start a stand-in without waiting for its address."""
         process = Process(role, name, zone)
-        process.start(standin_command(role, options), self._log(name))
+        process.start(make_standin_command(role, options), self._log(name))
         self.processes.append(process)
         return process
 
@@ -160,7 +160,7 @@
         stop_all(self.instances)
         stop_all(self.processes)
 
-    def end(self) -> None:
+    def kill_all(self) -> None:
         """End all processes at once, without a planned stop."""
         for process in (*self.instances, *self.processes):
             process.send(signal.SIGKILL)
@@ -170,7 +170,10 @@
         """Give an instance its place and enter it into the list."""
         name = f'instance-{next(self._numbers)}'
         process = Process('guavagated', name, next(self._zones))
-        process.addresses = {'http': free_address(), 'peer': free_address()}
+        process.addresses = {
+            'http': find_free_address(),
+            'peer': find_free_address(),
+        }
         self.instances.append(process)
         self._list(process, 'live')
         return process
@@ -181,7 +184,7 @@
         path.parent.mkdir(parents=True, exist_ok=True)
         text = render_settings(self._make_settings(process))
         path.write_text(text, encoding='utf-8')
-        process.start(daemon_command(path), self._log(process.name))
+        process.start(make_daemon_command(path), self._log(process.name))
 
     def _start_platform(self) -> None:
         """Start the object API and the weight store."""
--- a/standins/fleet/_process.py
+++ b/standins/fleet/_process.py
@@ -105,18 +105,18 @@
         return self.role != 'guavagated'
 
 
-def standin_command(role: str, options: dict[str, Any]) -> list[str]:
+def make_standin_command(role: str, options: dict[str, Any]) -> list[str]:
     """Return the command of a stand-in."""
     pairs = [f'{name}={_show(value)}' for name, value in options.items()]
     return ['-m', 'standins', role, '--listen', '127.0.0.1:0', *pairs]
 
 
-def daemon_command(settings: Path) -> list[str]:
+def make_daemon_command(settings: Path) -> list[str]:
     """Return the command of an instance."""
     return ['-c', _RUN_DAEMON, '--settings', str(settings)]
 
 
-def free_address() -> str:
+def find_free_address() -> str:
     """Return an address that nobody listens on now.
 
     Below the ports that the kernel gives to outgoing connections: one of
--- a/standins/replacement.py
+++ b/standins/replacement.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from guavagate.measure.history import BrokeOff, read_history
-from standins.demo._demo import Acts, Demo
+from standins.demo._demo import Demo, Schedule
 from standins.fleet import Fleet, FleetPlan, load_plan
 
 # A start and a stop of each instance; the next one begins when both are done.
@@ -59,7 +59,7 @@
     else:
         shown = ' '.join(f'{name}={count}' for name, count in figures.items())
         click.echo(f'replacement: {shown}')
-    sys.exit(1 if cut or not summary.is_kept() else 0)
+    sys.exit(1 if cut or not summary.has_passed() else 0)
 
 
 def make_patient(plan: FleetPlan) -> FleetPlan:
@@ -77,7 +77,7 @@
     return msgspec.structs.replace(plan, teams=teams)
 
 
-def list_acts(instances: int) -> Acts:
+def list_acts(instances: int) -> Schedule:
     """Return a start and a stop for each instance, as shares of the time."""
     acts = []
     for number in range(instances):
--- a/standins/safeguards.py
+++ b/standins/safeguards.py
@@ -40,7 +40,7 @@
     return ''
 
 
-def is_noticed(safeguard: Safeguard) -> bool:
+def is_caught(safeguard: Safeguard) -> bool:
     """Return whether the test fails without the safeguard."""
     with tempfile.TemporaryDirectory() as folder:
         copy = pathlib.Path(folder) / 'copy'
@@ -66,7 +66,7 @@
 def main(jobs: int) -> None:
     """Remove each safeguard on a copy; exit with 1 if one is not missed."""
     with ThreadPoolExecutor(jobs) as pool:
-        noticed = list(pool.map(is_noticed, SAFEGUARDS))
+        noticed = list(pool.map(is_caught, SAFEGUARDS))
     for safeguard, seen in zip(SAFEGUARDS, noticed, strict=True):
         word = 'caught' if seen else 'MISSED'
         click.echo(f'{word}  {safeguard.name} ({safeguard.test})')
--- a/tests/standins/test_safeguards.py
+++ b/tests/standins/test_safeguards.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from standins.safeguards import SAFEGUARDS, find_stale, is_noticed
+from standins.safeguards import SAFEGUARDS, find_stale, is_caught
 
 
 @pytest.mark.parametrize('safeguard', SAFEGUARDS, ids=lambda each: each.name)
@@ -13,4 +13,4 @@
 
 def test_a_removed_safeguard_is_noticed() -> None:
     """One row runs with the tests; ``script/safeguards`` runs them all."""
-    assert is_noticed(SAFEGUARDS[0])
+    assert is_caught(SAFEGUARDS[0])
--- a/tests/test_demo_verdict.py
+++ b/tests/test_demo_verdict.py
@@ -110,7 +110,7 @@
 def test_a_history_that_keeps_every_promise_is_accepted() -> None:
     """Two answers, two samples, nothing stale, lost or doubled."""
     summary = summarize(_make_history())
-    assert summary.is_kept(), summary.problems
+    assert summary.has_passed(), summary.problems
     assert summary.last_line == (
         'demo: requests=2 answered_once=2 samples=2 delivered_once=2'
         ' stale=0 lost=0 doubled=0'
@@ -177,4 +177,4 @@
     """One fault is added to a good history; its figure is no longer zero."""
     summary = summarize([*_make_history(), *extra()])
     assert getattr(summary, figure)
-    assert not summary.is_kept()
+    assert not summary.has_passed()
--- a/tests/test_real_processes.py
+++ b/tests/test_real_processes.py
@@ -26,5 +26,5 @@
     try:
         summary = Demo(fleet, _SECONDS).run(4, acts)
     finally:
-        fleet.end()
-    assert summary.is_kept(), [summary.last_line, *summary.problems]
+        fleet.kill_all()
+    assert summary.has_passed(), [summary.last_line, *summary.problems]
