--- a/guavagate/measure/fakes/__init__.py
+++ b/guavagate/measure/fakes/__init__.py
@@ -1,7 +1,8 @@
-"""Small fakes at the interfaces, on one paused clock; a seed replays exactly.
+"""Deterministic fakes of the interfaces, driven by one paused clock.
 
-``World`` makes ``Host`` objects; each has its own clock, bus, store and
-members, so that one instance can be paused or killed while others run.
+The same seed replays the same run. ``World`` creates ``Host`` objects. Each
+has its own clock, bus, store and members, so that one instance can be paused
+or killed while the others run.
 """
 
 from guavagate.measure.fakes._bus import FakeBus, Network
--- a/guavagate/measure/fakes/_bus.py
+++ b/guavagate/measure/fakes/_bus.py
@@ -1,4 +1,4 @@
-"""A network of fake buses: delay, loss, duplicates and one-way partitions."""
+"""Fake network with delay, loss, duplicates and one-way partitions."""
 
 import functools
 import random
@@ -24,7 +24,7 @@
 
 
 class Network:
-    """What lies between the instances.
+    """Network that connects the fake buses of all instances.
 
     Parameters
     ----------
@@ -34,14 +34,16 @@
     Attributes
     ----------
     loss
-        Share of messages and of replies lost.
+        Share of messages and replies that are lost.
     duplicates
-        Share of one-way messages that arrive twice; requests are answered
-        once, but a late one may be handled after its asker gave up.
+        Share of one-way messages that arrive twice. Requests arrive once, but
+        a late one may be handled after the requester timed out.
     blocked
-        Pairs (from, to) between which nothing passes.
+        Pairs (source, target) whose messages are dropped.
     messages, sent_bytes
-        Counted by kind.
+        Number and total size of the messages sent, by kind.
+    on_send
+        Called with the sending host, the kind and the message.
     """
 
     def __init__(
@@ -62,7 +64,7 @@
         self.on_send: Callable[[Host, str, Message], None] | None = None
 
     def add_bus(self, host: Host) -> 'FakeBus':
-        """Give an instance its bus; a restarted one gets a new bus."""
+        """Create the bus of an instance, a new one after a restart."""
         bus = FakeBus(self, host)
         self.buses[host.instance] = bus
         return bus
@@ -75,7 +77,7 @@
         size: int,
         arrive: Callable[[], None],
     ) -> bool:
-        """Let something arrive later; say whether it will."""
+        """Schedule the arrival of a message; return whether it will arrive."""
         self.messages[kind] += 1
         self.sent_bytes[kind] += size
         if (source, target) in self.blocked:
@@ -88,7 +90,7 @@
 
 
 class FakeBus:
-    """The bus of one instance; see `guavagate.links.Bus`."""
+    """Bus of one instance; implements `guavagate.links.Bus`."""
 
     def __init__(self, network: Network, host: Host) -> None:
         self._network = network
@@ -96,7 +98,7 @@
         self._handlers: dict[str, tuple[type[Message], Handler]] = {}
 
     def register(self, kind: type[Message], handler: Handler) -> None:
-        """Call the handler, in a task of its own, for each such message."""
+        """Call the handler in a new task for each message of this kind."""
         self._handlers[kind.__name__] = kind, handler
 
     def request(
@@ -106,11 +108,11 @@
         reply: type[_Reply],
         timeout: float,
     ) -> _Reply:
-        """Ask a peer and wait for its reply."""
+        """Send a request to a peer and wait for its reply."""
         self.call_send_hook(type(message).__name__, message)
         if peer not in self._network.buses:
             raise LinkRefusedError(
-                f'{peer} is not known', 'wait until it has joined'
+                f'instance {peer} is unknown', 'wait until it has joined'
             )
         waiter: AsyncResult[Any] = AsyncResult()
         raw = _ENCODER.encode(message)
@@ -140,7 +142,7 @@
         return msgspec.msgpack.decode(outcome, type=reply)
 
     def send(self, peer: InstanceId, message: Message) -> None:
-        """Send one way; nothing says whether it arrived."""
+        """Send a one-way message without confirmation of its arrival."""
         self.call_send_hook(type(message).__name__, message)
         raw = _ENCODER.encode(message)
         kind = type(message).__name__
@@ -160,7 +162,7 @@
         raw: bytes,
         answer: Callable[[bytes | GuavagateError], None] | None,
     ) -> None:
-        """Run the handler in a task of this instance."""
+        """Run the handler in a new task of this instance."""
         found = self._handlers.get(kind)
         if found is None:
             if answer is not None:
@@ -179,7 +181,7 @@
         raw: bytes,
         answer: Callable[[bytes | GuavagateError], None] | None,
     ) -> None:
-        """Hand a message to whatever has the peer's name by then."""
+        """Deliver a message to the bus that has the peer's id on arrival."""
         bus = self._network.buses.get(peer)
         if bus is None:
             return
@@ -187,7 +189,7 @@
         bus.host.deliver(lambda: bus.handle(source, kind, raw, answer))
 
     def call_send_hook(self, kind: str, message: Message) -> None:
-        """Let a test act at the very step at which a message is sent."""
+        """Call the hook that injects a fault as a message is sent."""
         if self._network.on_send is not None:
             self._network.on_send(self.host, kind, message)
             self.host.wait_until_running()
@@ -200,7 +202,7 @@
     raw: bytes,
     answer: Callable[[bytes | GuavagateError], None] | None,
 ) -> None:
-    """Decode, handle and answer."""
+    """Decode a message, call its handler and send the reply."""
     kind, handler = found
     try:
         reply = handler(source, msgspec.msgpack.decode(raw, type=kind))
@@ -214,5 +216,5 @@
 
 
 def _no_reply(peer: InstanceId, kind: str) -> LinkError:
-    """Make the error of a request that got no reply."""
-    return LinkError(f'{peer} gave no reply to {kind}', 'ask again')
+    """Return the error of a request that timed out."""
+    return LinkError(f'{peer} did not reply to {kind}', 'retry the request')
--- a/guavagate/measure/fakes/_host.py
+++ b/guavagate/measure/fakes/_host.py
@@ -1,4 +1,4 @@
-"""One fake instance: its tasks can be paused, resumed or killed."""
+"""Fake instance whose tasks can be paused, resumed or killed."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -12,7 +12,7 @@
 
 
 class Host:
-    """Holds back whatever would wake a task of a paused instance."""
+    """Process of one instance; defers callbacks while it is paused."""
 
     def __init__(self, instance: InstanceId, clock: PausedClock) -> None:
         self.instance = instance
@@ -23,7 +23,7 @@
         self._tasks: dict[Task, None] = {}
 
     def deliver(self, run: Callable[[], None]) -> None:
-        """Run now; when paused, after the resume; when dead, never."""
+        """Run a callback now, after `resume` if paused, or never if dead."""
         if self.dead:
             return
         if self.paused:
@@ -32,23 +32,23 @@
         run()
 
     def track(self, task: Task) -> None:
-        """Remember a task, to kill it with its instance."""
+        """Track a task so that `kill` ends it."""
         self._tasks[task] = None
         task.link(lambda done: self._tasks.pop(done, None))
 
     def pause(self) -> None:
-        """Stop the process, as SIGSTOP does."""
+        """Pause the process, as SIGSTOP does."""
         self.paused = True
 
     def wait_until_running(self) -> None:
-        """Let a task that has been paused or killed meanwhile not go on."""
+        """Block this task while the instance is paused; end it if dead."""
         if self.dead:
             raise gevent.GreenletExit
         if self.paused:
             self.clock.sleep(0)
 
     def resume(self) -> None:
-        """Let the process go on with all that has waited for it."""
+        """Resume the process and run the deferred callbacks."""
         self.paused = False
         deferred, self._deferred = self._deferred, []
         for run in deferred:
@@ -64,7 +64,7 @@
 
 
 class HostClock:
-    """The paused clock as one instance sees it; see `Clock`."""
+    """View of the paused clock for one instance; implements `Clock`."""
 
     def __init__(self, base: PausedClock, host: Host) -> None:
         self._base = base
@@ -75,11 +75,11 @@
         return self._base.now()
 
     def wall(self) -> float:
-        """Return the virtual time as a date."""
+        """Return the virtual wall-clock time."""
         return self._base.wall()
 
     def sleep(self, seconds: float) -> None:
-        """Block this task; it wakes no earlier than its instance."""
+        """Block this task; it wakes only while its instance runs."""
         woken = Event()
         self._call_at(seconds, woken.set)
         woken.wait()
@@ -90,7 +90,7 @@
         seconds: float,
         error: Callable[[], Exception],
     ) -> Iterator[None]:
-        """Bound a block in virtual time."""
+        """Limit a block to a number of virtual seconds."""
         owner = gevent.getcurrent()
         mark = ClockTimeout()
         active = [True]
@@ -114,7 +114,7 @@
             active[0] = False
 
     def spawn(self, run: Callable[..., Any], *args: Any) -> Task:
-        """Start a task that dies with its instance."""
+        """Start a task that ends when its instance is killed."""
         task = gevent.spawn(run, *args)
         self._host.track(task)
         if self._host.dead:
@@ -122,7 +122,7 @@
         return task
 
     def _call_at(self, seconds: float, run: Callable[[], Any]) -> None:
-        """Run in the instance after some time."""
+        """Call back in the instance after some seconds."""
         self._base.call_at(
             self._base.now() + max(seconds, 0),
             lambda: self._host.deliver(run),
--- a/guavagate/measure/fakes/_store.py
+++ b/guavagate/measure/fakes/_store.py
@@ -1,4 +1,4 @@
-"""The object API in memory, with the faults the platform's has."""
+"""In-memory object API with the faults of the platform's."""
 
 import contextlib
 import dataclasses
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass
 class StoreState:
-    """What all instances share: the objects and the faults in force.
+    """Objects and active faults that all instances share.
 
     Attributes
     ----------
@@ -42,15 +42,17 @@
     lose_next
         Number of next writes whose answer is lost.
     late_write_share
-        Share of writes that get no answer and are made a second or more
+        Share of writes that get no answer and are applied up to a few seconds
         later, if their condition holds then.
     on_write
-        Called with an instance, a call's name and path, and whether it has
-        taken effect, before and after each write.
+        Called before and after each put, with the instance, the call's name,
+        its path and whether it has taken effect.
     sleep
-        Lets time pass at the store itself.
+        Waits at the store, independent of the calling instance.
     calls
-        Counted by name; a waiting watch counts once.
+        Number of calls by name; a long-poll watch counts once.
+    stale_objects
+        Snapshot that reads are served from instead of `objects`.
     """
 
     rng: random.Random = dataclasses.field(
@@ -73,7 +75,7 @@
     sleep: Callable[[float], None] | None = None
 
     def serve_stale(self, on: bool) -> None:
-        """Answer reads from today's copy from now on, or no longer."""
+        """Serve reads from a snapshot taken now, or stop doing so."""
         self.stale_objects = dict(self.objects) if on else None
 
     def get_readable(self) -> dict[str, StoredObject]:
@@ -83,17 +85,17 @@
         )
 
     def check_version(self, path: str, expected: Revision | None) -> None:
-        """Refuse a write that expects another version."""
+        """Reject a write that expects another version."""
         current = self.objects.get(path)
         version = current.version if current else 0
         if expected is not None and version != expected:
             raise StoreConflictError(
                 f'{path} is at version {version}, not {expected}',
-                'read it and decide again',
+                'read the object again before writing',
             )
 
     def change(self, path: str, value: bytes | None) -> Revision:
-        """Write or delete, and wake the watches."""
+        """Write or delete an object and wake the watches."""
         self.revision += 1
         version = Revision(self.revision)
         if value is None:
@@ -106,7 +108,7 @@
         return version
 
     def maybe_lose_answer(self) -> None:
-        """Lose the answer to a write that has taken effect."""
+        """Raise if the answer to a write that took effect is lost."""
         lost = self.rng.random() < self.lose_answers
         if self.lose_next:
             self.lose_next -= 1
@@ -116,7 +118,7 @@
 
 
 class MemoryStore:
-    """The object API as one instance calls it; see `ObjectStore`."""
+    """Store client of one instance; implements `ObjectStore`."""
 
     def __init__(
         self, clock: Clock, state: StoreState | None = None, caller: str = ''
@@ -126,7 +128,7 @@
         self._caller = caller
 
     def get(self, path: str) -> StoredObject | None:
-        """Return the object, or nothing."""
+        """Return the object, or `None`."""
         self._call('get')
         return self.state.get_readable().get(path)
 
@@ -145,20 +147,20 @@
         value: bytes,
         expected: Revision | None,
     ) -> Revision:
-        """Write if the object's version is as expected."""
+        """Write if the object has the expected version."""
         self._call('put', path)
-        self._call_write_hook('put', path, done=False)
+        self._call_write_hook('put', path, applied=False)
         if self.state.rng.random() < self.state.late_write_share:
             self._put_later(path, value, expected)
             raise _unavailable()
         self.state.check_version(path, expected)
         version = self.state.change(path, value)
         self.state.maybe_lose_answer()
-        self._call_write_hook('put', path, done=True)
+        self._call_write_hook('put', path, applied=True)
         return version
 
     def delete(self, path: str, expected: Revision | None) -> None:
-        """Delete under the same condition."""
+        """Delete if the object has the expected version."""
         self._call('delete', path)
         self.state.check_version(path, expected)
         if path in self.state.objects:
@@ -192,10 +194,10 @@
     def _put_later(
         self, path: str, value: bytes, expected: Revision | None
     ) -> None:
-        """Write after the caller was left without an answer.
+        """Apply a write later, although its caller got no answer.
 
-        It happens at the store, so it does not matter what becomes of the
-        caller meanwhile.
+        The store applies it, so it takes effect even if the caller has been
+        paused or killed.
         """
         wait = self.state.rng.uniform(*_LATE_WRITE_SECONDS)
 
@@ -208,15 +210,15 @@
         sleep = self.state.sleep or self.clock.sleep
         gevent.spawn(put)
 
-    def _call_write_hook(self, name: str, path: str, *, done: bool) -> None:
-        """Let a fault strike at this call."""
+    def _call_write_hook(self, name: str, path: str, *, applied: bool) -> None:
+        """Call the hook that injects a fault at a write."""
         if self.state.on_write is not None:
-            self.state.on_write(self._caller, name, path, done)
-            # A caller that was killed or paused by it does not go on.
+            self.state.on_write(self._caller, name, path, applied)
+            # Stops here if the hook killed or paused the caller.
             self.clock.sleep(0)
 
     def _wait(self, end: float) -> None:
-        """Wait for any change."""
+        """Wait for any change until a point in time."""
         try:
             with self.clock.timeout(end - self.clock.now(), TimeoutError):
                 self.state.changed.wait()
@@ -224,7 +226,7 @@
             return
 
     def _call(self, name: str, path: str = '') -> None:
-        """Count a call, take its time, fail in an outage."""
+        """Count a call, wait for its duration and fail during an outage."""
         state = self.state
         state.calls[name] += 1
         if path:
@@ -239,7 +241,7 @@
 
 
 def _unavailable() -> StoreUnavailableError:
-    """Make the error of an outage or a lost answer."""
+    """Return the error of an outage or a lost answer."""
     return StoreUnavailableError(
-        'the object API gave no answer', 'read back before writing again'
+        'the object API did not answer', 'read back before writing again'
     )
--- a/guavagate/measure/fakes/_world.py
+++ b/guavagate/measure/fakes/_world.py
@@ -1,4 +1,4 @@
-"""A handful of fake instances on one paused clock."""
+"""Fake instances that share a paused clock, a network and a store."""
 
 import random
 from collections.abc import Callable
@@ -24,11 +24,11 @@
         self._subscribers: list[Callable[[], None]] = []
 
     def alive(self) -> list[PeerSettings]:
-        """Return all usable instances, this one included, by id."""
+        """Return all live instances, including this one, ordered by id."""
         return [self.peers[name] for name in sorted(self.peers)]
 
     def get(self, instance: InstanceId) -> PeerSettings | None:
-        """Return a usable instance, or nothing."""
+        """Return a live instance, or `None`."""
         return self.peers.get(instance)
 
     def subscribe(self, changed: Callable[[], None]) -> None:
@@ -36,7 +36,7 @@
         self._subscribers.append(changed)
 
     def update(self, peer: PeerSettings, *, alive: bool) -> None:
-        """Take in one change."""
+        """Apply one change of an instance's liveness."""
         if alive == (peer.id in self.peers):
             return
         if alive:
@@ -48,7 +48,7 @@
 
 
 class FakeTeams:
-    """Teams' settings that a test puts in force; see `Teams`."""
+    """Fake of `Teams` whose settings a test puts in force."""
 
     def __init__(self, teams: list[TeamSettings] | None = None) -> None:
         self.teams = {one.team: one for one in teams or []}
@@ -74,7 +74,7 @@
 
 
 class FakeDecisionLog:
-    """Keeps decisions in a list; see `DecisionLog`."""
+    """Fake of `DecisionLog` that stores decisions in a list."""
 
     def __init__(self) -> None:
         self.entries: list[tuple[str, str, str, str]] = []
@@ -87,18 +87,18 @@
         reason: str,
         turned_down: dict[str, str] | None = None,
     ) -> None:
-        """Keep a decision."""
+        """Store a decision."""
         self.entries.append((subject, kind, choice, reason))
 
 
 class World:
-    """Instances, their network and their store.
+    """Simulated cluster: instances, their network and their store.
 
     Parameters
     ----------
     detection_delay
-        Seconds after which the others take a killed, paused or returned
-        instance for what it is.
+        Seconds after which the other instances notice that an instance was
+        killed or paused; they notice a resume after half of that.
     """
 
     def __init__(self, seed: int = 0, detection_delay: float = 2.0) -> None:
@@ -113,7 +113,7 @@
         self._changes: dict[InstanceId, int] = {}
 
     def add(self, name: str, zone: str = '') -> Host:
-        """Start an instance, or start one again under the same id."""
+        """Start an instance, or restart one under the same id."""
         instance = InstanceId(name)
         host = Host(instance, self.clock)
         self.hosts[instance] = host
@@ -139,7 +139,7 @@
         return self.network.buses[InstanceId(name)]
 
     def store_of(self, name: str) -> MemoryStore:
-        """Return the store as an instance calls it."""
+        """Return the store client of an instance."""
         clock = self.hosts[InstanceId(name)].clock
         return MemoryStore(clock, self.store, name)
 
@@ -161,12 +161,12 @@
         self.announce(InstanceId(name), alive=False, after=self.detection_delay)
 
     def pause(self, name: str) -> None:
-        """Pause an instance; the others take it for dead later."""
+        """Pause an instance; the others consider it dead later."""
         self.hosts[InstanceId(name)].pause()
         self.announce(InstanceId(name), alive=False, after=self.detection_delay)
 
     def resume(self, name: str) -> None:
-        """Resume an instance; the others take it back later."""
+        """Resume an instance; the others consider it alive later."""
         self.hosts[InstanceId(name)].resume()
         self.announce(
             InstanceId(name), alive=True, after=self.detection_delay / 2
@@ -175,7 +175,7 @@
     def announce(
         self, instance: InstanceId, *, alive: bool, after: float
     ) -> None:
-        """Let each other instance learn of a change, unless it is undone."""
+        """Report a change to all other instances unless a newer one follows."""
         number = self._changes.get(instance, 0) + 1
         self._changes[instance] = number
         for other in list(self.hosts):
@@ -190,7 +190,7 @@
         alive: bool,
         after: float,
     ) -> None:
-        """Let one instance learn of a change."""
+        """Report a change to one instance."""
         wait = after + self.random.uniform(0, 0.2)
 
         def learn() -> None:
--- a/tests/test_fakes.py
+++ b/tests/test_fakes.py
@@ -1,4 +1,4 @@
-"""Tests of the fakes that other tests stand on."""
+"""Tests of the fakes that other tests use."""
 
 import pytest
 
@@ -16,8 +16,8 @@
     number: int
 
 
-def test_a_paused_instance_answers_after_it_wakes() -> None:
-    """The asker's time is up first; what was asked is done on waking."""
+def test_a_paused_instance_answers_after_its_resume() -> None:
+    """The requester times out; the request is handled after the resume."""
     world = World()
     world.add('a')
     world.add('b')
@@ -48,7 +48,7 @@
 
 
 def test_a_lost_answer_hides_a_write_that_took_effect() -> None:
-    """The writer gets an error; whoever reads finds the write."""
+    """The writer gets an error, but readers see the write."""
     world = World()
     world.add('a')
     store = world.store_of('a')
@@ -60,8 +60,8 @@
     assert world.store.objects['x'].value == b'1'
 
 
-def test_others_learn_late_of_a_death() -> None:
-    """Until then they take the dead instance for alive."""
+def test_others_notice_a_death_after_the_detection_delay() -> None:
+    """Until the detection delay ends they list it as alive."""
     world = World(detection_delay=2)
     for name in 'abc':
         world.add(name)
