--- a/guavagate/measure/_checks.py
+++ b/guavagate/measure/_checks.py
@@ -1,4 +1,4 @@
-"""How each promise is judged from a history."""
+"""Checks that find violations of each promise in a history."""
 
 import bisect
 from collections import Counter, defaultdict
@@ -15,34 +15,34 @@
     """Find non-idempotent requests that ran more than once."""
     once = {
         event.request
-        for event in _pick(events, hist.SentRequest)
+        for event in _select(events, hist.SentRequest)
         if not event.idempotent
     }
-    runs = Counter(ran.request for ran in _pick(events, hist.RanAtUpstream))
+    runs = Counter(ran.request for ran in _select(events, hist.RanAtUpstream))
     for request, count in runs.items():
         if request in once and count > 1:
             yield hist.Violation(
                 hist.Promise.RUN_AT_MOST_ONCE,
                 request,
                 f'it ran {count} times',
-                _about(events, request),
+                _select_trace(events, request),
             )
 
 
 def check_answers(events: _History) -> Iterator[hist.Violation]:
-    """Find answers that no upstream gave whole to that very request."""
-    given: dict[str, set[str]] = defaultdict(set)
-    for answer in _pick(events, hist.AnsweredByUpstream):
-        given[answer.request].add(answer.answer)
+    """Find answers that no upstream gave in full to the same request."""
+    upstream_answers: dict[str, set[str]] = defaultdict(set)
+    for answer in _select(events, hist.AnsweredByUpstream):
+        upstream_answers[answer.request].add(answer.answer)
     answer_counts: Counter[str] = Counter()
-    for received in _pick(events, hist.Received):
+    for received in _select(events, hist.Received):
         answer_counts[received.attempt] += 1
-        if received.answer not in given[received.request]:
+        if received.answer not in upstream_answers[received.request]:
             yield hist.Violation(
                 hist.Promise.OWN_WHOLE_ANSWER,
                 received.request,
-                f'no upstream gave it the answer {received.answer!r}',
-                _about(events, received.request),
+                f'no upstream gave this answer: {received.answer!r}',
+                _select_trace(events, received.request),
             )
     for attempt, count in answer_counts.items():
         if count > 1:
@@ -50,21 +50,22 @@
                 hist.Promise.OWN_WHOLE_ANSWER,
                 attempt,
                 f'one attempt was answered {count} times',
-                _about(events, attempt),
+                _select_trace(events, attempt),
             )
 
 
 def check_refusals(events: _History) -> Iterator[hist.Violation]:
-    """Find refusals that say "not run" of a request that ran.
+    """Find refusals that report "not run" for a request that ran.
 
-    A run before the refusal breaks it, whichever attempt made it. A later
-    one does unless another attempt was or came under way.
+    A run before the refusal violates the promise, whichever attempt caused
+    it. A later run violates it unless another attempt was in flight or
+    started before that run.
     """
     runs: dict[str, list[float]] = defaultdict(list)
-    for ran in _pick(events, hist.RanAtUpstream):
+    for ran in _select(events, hist.RanAtUpstream):
         runs[ran.request].append(ran.at)
-    others = _find_open_times(events)
-    for refusal in _pick(events, hist.ReceivedRefusal):
+    others = _find_attempt_times(events)
+    for refusal in _select(events, hist.ReceivedRefusal):
         if refusal.not_run != 'true':
             continue
         explained = [
@@ -80,21 +81,21 @@
                 hist.Promise.NOT_RUN_IS_TRUE,
                 refusal.request,
                 'a refusal said that it did not run, but it ran',
-                _about(events, refusal.request),
+                _select_trace(events, refusal.request),
             )
 
 
 def check_deliveries(events: _History) -> Iterator[hist.Violation]:
-    """Find samples taken in twice, and whole steps that lack some.
+    """Find samples delivered twice and complete steps with missing ones.
 
-    A batch counts as delivered when its cursor is acknowledged; a repeated
-    pull at the same cursor must bring the same samples.
+    A batch counts as delivered when its cursor is acknowledged. All batches
+    that end at the same cursor must contain the same samples.
     """
     batches: dict[tuple[str, str, str], hist.PulledBatch] = {}
-    for batch in _pick(events, hist.PulledBatch):
-        place = (batch.run, batch.step, batch.follows)
-        first = batches.setdefault(place, batch)
-        if _names(first) != _names(batch):
+    for batch in _select(events, hist.PulledBatch):
+        batch_key = (batch.run, batch.step, batch.follows)
+        first = batches.setdefault(batch_key, batch)
+        if _list_samples(first) != _list_samples(batch):
             yield hist.Violation(
                 hist.Promise.DELIVERED_ONCE,
                 batch.step,
@@ -105,26 +106,26 @@
 
 
 def check_versions(events: _History) -> Iterator[hist.Violation]:
-    """Find samples whose versions are not those of their pieces."""
+    """Find samples that report other versions than their pieces have."""
     made: dict[str, dict[str, list[hist.GeneratedPiece]]] = defaultdict(dict)
-    for piece in _pick(events, hist.GeneratedPiece):
+    for piece in _select(events, hist.GeneratedPiece):
         made[piece.sample].setdefault(piece.exchange, []).append(piece)
-    for batch in _pick(events, hist.PulledBatch):
+    for batch in _select(events, hist.PulledBatch):
         for sample in batch.samples:
-            if not _can_have_made(sample, made[sample.sample]):
+            if not _can_explain(sample, made[sample.sample]):
                 yield hist.Violation(
                     hist.Promise.TRUE_VERSIONS,
                     sample.sample,
-                    f'it names versions {sample.versions}',
+                    f'the sample reports versions {sample.versions}',
                     (batch,),
                 )
 
 
 def check_staleness(events: _History) -> Iterator[hist.Violation]:
-    """Find samples older than the bound when they were handed out.
+    """Find samples that exceeded the staleness bound on delivery.
 
-    A version whose publication was confirmed before the pull was sent
-    counts; one confirmed while the pull was under way does not.
+    A version counts as published if its publication was confirmed before
+    the pull was sent, not if it was confirmed during the pull.
     """
     bounds: dict[str, int] = {}
     for event in events:
@@ -139,21 +140,22 @@
                 yield hist.Violation(
                     hist.Promise.FRESH,
                     sample.sample,
-                    f'version {oldest} handed out at {event.newest}',
+                    f'version {oldest} delivered at version {event.newest}',
                     (event,),
                 )
 
 
 def check_commands(events: _History) -> Iterator[hist.Violation]:
-    """Find counters that lost, doubled or forked additions.
+    """Find counters with lost, duplicated or forked additions.
 
-    Each answered addition has a total of its own; one sent after another's
-    answer has a higher one; no total exceeds what was sent by then.
+    Each answered addition has a unique total. An addition that was sent
+    after another was answered has a higher total. No total exceeds the number
+    of additions sent by then that may have been applied.
     """
-    sent = {one.command: one.at for one in _pick(events, hist.SentCommand)}
+    sent = {one.command: one.at for one in _select(events, hist.SentCommand)}
     possible = _find_possible_times(events)
     groups: dict[str, list[hist.CommandApplied]] = defaultdict(list)
-    for answer in _pick(events, hist.CommandApplied):
+    for answer in _select(events, hist.CommandApplied):
         groups[answer.key].append(answer)
     for key, answers in groups.items():
         for answer in answers:
@@ -175,7 +177,7 @@
 def _contradicts(
     answer: hist.CommandApplied, other: hist.CommandApplied, sent: float
 ) -> bool:
-    """Say whether another answer can't be true beside this one."""
+    """Return whether two answers contradict each other."""
     if other is answer:
         return False
     if other.total == answer.total:
@@ -184,10 +186,10 @@
 
 
 def _find_possible_times(events: _History) -> dict[str, list[float]]:
-    """Return, by counter, when additions were sent that may be applied."""
-    refused = {one.command for one in _pick(events, hist.CommandRefused)}
+    """Return when the additions that may be applied were sent, by counter."""
+    refused = {one.command for one in _select(events, hist.CommandRefused)}
     times: dict[str, list[float]] = defaultdict(list)
-    for sent in _pick(events, hist.SentCommand):
+    for sent in _select(events, hist.SentCommand):
         if sent.command not in refused:
             times[sent.key].append(sent.at)
     return times
@@ -197,43 +199,44 @@
     events: _History,
     batches: dict[tuple[str, str, str], hist.PulledBatch],
 ) -> Iterator[hist.Violation]:
-    """Judge what each step's trainer took in."""
-    taken: dict[tuple[str, str], Counter[str]] = defaultdict(Counter)
+    """Find duplicate and missing samples in the accepted batches."""
+    delivered: dict[tuple[str, str], Counter[str]] = defaultdict(Counter)
     acked = {
-        (one.run, one.step, one.cursor) for one in _pick(events, hist.Acked)
+        (one.run, one.step, one.cursor) for one in _select(events, hist.Acked)
     }
-    for place in acked & batches.keys():
-        taken[place[:2]].update(_names(batches[place]))
-    for (_, step), samples in taken.items():
-        doubled = [name for name, count in samples.items() if count > 1]
-        if doubled:
+    for batch_key in acked & batches.keys():
+        delivered[batch_key[:2]].update(_list_samples(batches[batch_key]))
+    for (_, step), samples in delivered.items():
+        duplicates = [name for name, count in samples.items() if count > 1]
+        if duplicates:
             yield hist.Violation(
                 hist.Promise.DELIVERED_ONCE,
                 step,
-                f'delivered more than once: {doubled[:3]}',
+                f'delivered more than once: {duplicates[:3]}',
             )
     wanted = {
         (one.run, one.step): one.groups * one.samples_per_group
-        for one in _pick(events, hist.SubmittedStep)
+        for one in _select(events, hist.SubmittedStep)
     }
-    for done in _pick(events, hist.StepDone):
-        place_of_step = (done.run, done.step)
-        got = len(taken[place_of_step])
-        if got != wanted.get(place_of_step):
+    for done in _select(events, hist.StepDone):
+        step_key = (done.run, done.step)
+        got = len(delivered[step_key])
+        if got != wanted.get(step_key):
             yield hist.Violation(
                 hist.Promise.DELIVERED_ONCE,
                 done.step,
-                f'{got} of {wanted.get(place_of_step)} samples delivered',
+                f'{got} of {wanted.get(step_key)} samples delivered',
                 (done,),
             )
 
 
-def _find_open_times(
+def _find_attempt_times(
     events: _History,
 ) -> dict[str, list[tuple[str, float, float]]]:
     """Return each request's attempts with their start and end.
 
-    An attempt that broke off has no end: what it set off may still run.
+    An attempt that ended without an answer has no end, because the request
+    may still run.
     """
     ends = {
         event.attempt: event.at
@@ -241,64 +244,64 @@
         if isinstance(event, hist.Received | hist.ReceivedRefusal)
     }
     found: dict[str, list[tuple[str, float, float]]] = defaultdict(list)
-    for sent in _pick(events, hist.SentRequest):
+    for sent in _select(events, hist.SentRequest):
         end = ends.get(sent.attempt, float('inf'))
         found[sent.request].append((sent.attempt, sent.at, end))
     return found
 
 
-def _can_have_made(
+def _can_explain(
     sample: hist.PulledSample,
     made: dict[str, list[hist.GeneratedPiece]],
 ) -> bool:
-    """Say whether pieces made the text, and their versions are those named.
+    """Return whether pieces explain a sample's text and versions.
 
-    A sample that names its exchanges is made of these; one that does not is
-    of a single exchange, or of pieces whose order nobody recorded.
+    A sample that lists its exchanges consists of these. Any other sample
+    comes from a single exchange, or from pieces in an unrecorded order.
     """
     named = set(sample.versions)
     if not made and not sample.exchanges:
-        # Engines that don't know sample ids record none; their histories
-        # are judged by the texts (see `standins`), not here.
+        # Engines that don't know sample ids record none. `standins` checks
+        # their histories by the texts instead.
         return True
     if len(sample.exchanges) > 1:
         parts = [made.get(exchange, []) for exchange in sample.exchanges]
         return named <= _list_versions(parts)
     wanted = sample.exchanges or tuple(made)
-    whole = [
+    complete = [
         made[exchange]
         for exchange in wanted
         if exchange in made and _join(made[exchange]) == sample.text
     ]
-    if whole:
-        return any(_list_versions([pieces]) == named for pieces in whole)
+    if complete:
+        return any(_list_versions([pieces]) == named for pieces in complete)
     return not sample.exchanges and named <= _list_versions(made.values())
 
 
 def _join(pieces: list[hist.GeneratedPiece]) -> str:
-    """Return the text of pieces."""
+    """Return the concatenated text of pieces."""
     return ''.join(piece.text for piece in pieces)
 
 
 def _list_versions(
     exchanges: Iterable[list[hist.GeneratedPiece]],
 ) -> set[int]:
-    """Return the versions that made some exchanges' pieces."""
+    """Return the versions that generated the pieces of exchanges."""
     return {piece.version for pieces in exchanges for piece in pieces}
 
 
-def _names(batch: hist.PulledBatch) -> list[str]:
+def _list_samples(batch: hist.PulledBatch) -> list[str]:
     """Return the names of a batch's samples."""
     return [sample.sample for sample in batch.samples]
 
 
-def _pick(events: _History, kind: type[_Kind]) -> list[_Kind]:
+def _select(events: _History, kind: type[_Kind]) -> list[_Kind]:
     """Return the events of one kind."""
     return [event for event in events if isinstance(event, kind)]
 
 
-def _about(events: _History, subject: str) -> tuple[hist.Event, ...]:
-    """Return the events of one request, with the faults between them."""
+def _select_trace(events: _History, subject: str) -> tuple[hist.Event, ...]:
+    """Return the events of one request or attempt, and all faults."""
     return tuple(
         event
         for event in events
--- a/guavagate/measure/_events.py
+++ b/guavagate/measure/_events.py
@@ -1,4 +1,4 @@
-"""What callers, trainers and upstreams record of what they saw."""
+"""Events that callers, trainers and upstreams record in a history."""
 
 import enum
 from typing import TypeAlias
@@ -12,9 +12,9 @@
     Parameters
     ----------
     at
-        Seconds on one clock that all recorders share.
+        Seconds on a clock that all recorders share.
     who
-        Who recorded it: a caller's, trainer's or upstream's name.
+        Name of the caller, trainer or upstream that recorded it.
     """
 
     at: float
@@ -27,11 +27,11 @@
     Parameters
     ----------
     request
-        The same for all attempts of one request.
+        Id of the request, shared by all its attempts.
     attempt
-        Unique.
+        Unique id of the attempt.
     key
-        Idempotency key, empty when none was sent.
+        Idempotency key, or empty if none was sent.
     idempotent
         Whether the request may run more than once.
     """
@@ -44,7 +44,7 @@
 
 
 class RanAtUpstream(_Event, frozen=True, kw_only=True):
-    """An upstream started to run a request: `body` is what it was asked."""
+    """An upstream started to run a request with `body`."""
 
     request: str
     body: str = ''
@@ -52,7 +52,7 @@
 
 
 class AnsweredByUpstream(_Event, frozen=True, kw_only=True):
-    """An upstream gave its whole answer."""
+    """An upstream sent its complete answer."""
 
     request: str
     answer: str
@@ -60,7 +60,7 @@
 
 
 class Received(_Event, frozen=True, kw_only=True):
-    """A caller received a whole answer to an attempt."""
+    """A caller received the complete answer to an attempt."""
 
     request: str
     attempt: str
@@ -78,14 +78,14 @@
 
 
 class BrokeOff(_Event, frozen=True, kw_only=True):
-    """An attempt ended without an answer: connection lost or timed out."""
+    """An attempt lost its connection or timed out without an answer."""
 
     request: str
     attempt: str
 
 
 class SubmittedStep(_Event, frozen=True, kw_only=True):
-    """A trainer submitted a step; a repeated submit repeats its name."""
+    """A trainer submitted a step; a resubmission has the same name."""
 
     run: str
     step: str
@@ -117,9 +117,9 @@
     Parameters
     ----------
     cursor
-        What the pull presented.
+        Cursor that the pull sent.
     follows
-        The cursor to present next.
+        Cursor for the next pull.
     newest
         Newest version that the trainer had published when it pulled.
     """
@@ -133,7 +133,7 @@
 
 
 class PulledSample(msgspec.Struct, frozen=True, kw_only=True):
-    """One sample of a batch, with the versions it names."""
+    """One sample of a batch, with the weight versions that it reports."""
 
     sample: str
     versions: tuple[int, ...]
@@ -142,7 +142,7 @@
 
 
 class Acked(_Event, frozen=True, kw_only=True):
-    """A trainer took in the batch that ends at a cursor."""
+    """A trainer accepted the batch that ends at a cursor."""
 
     run: str
     step: str
@@ -150,21 +150,21 @@
 
 
 class StepDone(_Event, frozen=True, kw_only=True):
-    """A trainer was told that its step is whole and delivered."""
+    """A trainer was notified that its step is complete and delivered."""
 
     run: str
     step: str
 
 
 class SentCommand(_Event, frozen=True, kw_only=True):
-    """A client asked a partition to add one to a counter."""
+    """A client sent a partition a command to increment a counter."""
 
     key: str
     command: str
 
 
 class CommandApplied(_Event, frozen=True, kw_only=True):
-    """The counter's total after it, as answered."""
+    """A partition answered a command with the counter's new total."""
 
     key: str
     command: str
@@ -172,14 +172,14 @@
 
 
 class CommandRefused(_Event, frozen=True, kw_only=True):
-    """The command was certainly not applied."""
+    """A command failed and is known not to have been applied."""
 
     key: str
     command: str
 
 
 class FaultInjected(_Event, frozen=True, kw_only=True):
-    """A fault, for the trace alone."""
+    """A fault was injected; recorded only to explain traces."""
 
     fault: str
 
@@ -205,7 +205,7 @@
 
 
 class Promise(enum.Enum):
-    """What must always hold and a history can decide."""
+    """Guarantees that a history can verify."""
 
     RUN_AT_MOST_ONCE = 'a non-idempotent request runs at most once'
     OWN_WHOLE_ANSWER = 'a caller receives the whole answer to its request'
@@ -217,7 +217,7 @@
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """A promise broken, with the events that show it."""
+    """A broken promise, with the events that show it."""
 
     promise: Promise
     subject: str
--- a/guavagate/measure/history.py
+++ b/guavagate/measure/history.py
@@ -1,7 +1,8 @@
-"""Histories: what callers, trainers and upstreams sent, ran and received.
+"""Record and check histories of callers, trainers and upstreams.
 
-A history is a list of events, recorded outside guavagate by those it serves;
-in files it is JSON lines. `check` judges each promise from it alone.
+A history is a list of events that the clients and upstreams of guavagate
+record themselves; files store it as JSON lines. `check` finds violations of
+every promise from the history alone.
 """
 
 from collections.abc import Iterable
@@ -69,7 +70,7 @@
 
 
 def read_history(*paths: Path) -> list[Event]:
-    """Read histories of several recorders and order them by time."""
+    """Read the histories of several recorders, ordered by time."""
     decoder = msgspec.json.Decoder(Event)
     events: list[Event] = []
     for path in paths:
@@ -79,9 +80,9 @@
 
 
 def check(history: Iterable[Event]) -> list[Violation]:
-    """Judge every promise from a history.
+    """Return every violation of a promise that a history shows.
 
-    Events may come in any order; they are taken by time.
+    Events may come in any order; they are sorted by time.
     """
     ordered = sorted(history, key=lambda event: event.at)
     return [violation for find in CHECKS for violation in find(ordered)]
--- a/guavagate/measure/settings.py
+++ b/guavagate/measure/settings.py
@@ -1,4 +1,4 @@
-"""Settings in force on a fleet under virtual time: fleet and measurement."""
+"""Measures how settings propagate through a fleet in virtual time."""
 
 import functools
 import random
@@ -22,14 +22,14 @@
 
 
 class PropagationResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What a run of changes showed; times in seconds.
+    """Result of a series of changes; times in seconds.
 
     Parameters
     ----------
     reverts
-        Times that an instance's revision went down.
+        Number of times that an instance's revision decreased.
     late
-        Changes that were not in force everywhere within the limit.
+        Changes that were not in force on every instance within the limit.
     """
 
     instances: int
@@ -50,9 +50,9 @@
     Attributes
     ----------
     effective_at
-        When each instance put each revision in force.
+        When each revision came into force on each instance.
     reverts
-        Times that an instance's revision went down.
+        Number of times that an instance's revision decreased.
     """
 
     def __init__(self, names: list[str], seed: int = 0) -> None:
@@ -96,23 +96,23 @@
         name: str,
         base: int,
         weight: float,
-        **wanted: str,
+        **details: str,
     ) -> SettingsRecord | GuavagateError:
         """Have an operator change the team's weight through an instance."""
-        task = self.world.clock.spawn(self._change, name, base, weight, wanted)
+        task = self.world.clock.spawn(self._change, name, base, weight, details)
         self.world.clock.run_until(task.ready, limit=60)
         outcome: SettingsRecord | GuavagateError = task.get(block=False)
         return outcome
 
     def revision(self, name: str) -> int:
-        """Return the revision in force, 0 when the instance knows none."""
+        """Return the revision in force on an instance, 0 if there is none."""
         teams = self.teams[name]
         if teams.get(TEAM) is None:
             return 0
         return teams.table.revision(TEAM)
 
     def revisions(self, *names: str) -> set[int]:
-        """Return the revisions in force on some instances, or on all."""
+        """Return the revisions in force on the given instances, or on all."""
         return {self.revision(name) for name in names or self.teams}
 
     def stored(self) -> bytes:
@@ -120,7 +120,7 @@
         return self.world.store.objects[settings_path(TEAM)].value
 
     def _change(
-        self, name: str, base: int, weight: float, wanted: dict[str, str]
+        self, name: str, base: int, weight: float, details: dict[str, str]
     ) -> SettingsRecord | GuavagateError:
         try:
             return self.teams[name].change(
@@ -128,9 +128,9 @@
                     team=TEAM,
                     toml=f'team = "{TEAM}"\nweight = {weight}\n',
                     base=Revision(base),
-                    who=wanted.get('who', 'amina'),
-                    why=wanted.get('why', 'more room'),
-                    change_id=wanted.get('change_id', ''),
+                    who=details.get('who', 'amina'),
+                    why=details.get('why', 'more room'),
+                    change_id=details.get('change_id', ''),
                 )
             )
         except GuavagateError as error:
@@ -147,12 +147,12 @@
 def measure_propagation(
     instances: int = 9, changes: int = 200, seed: int = 0
 ) -> PropagationResult:
-    """Make changes with one instance killed and one paused on the way.
+    """Measure changes while one instance is killed and one is paused.
 
-    Both come back a tenth of the run later. A change counts as in force when
-    every instance that runs has it, counted from the operator's request; one
-    that was started or woken counts from the next change on, whatever it had
-    missed.
+    Both return a tenth of the run later. The time of a change runs from the
+    operator's request until every running instance has it in force. A
+    restarted or resumed instance counts from the next change on, because it
+    missed earlier ones.
     """
     names = [f'i{number:03}' for number in range(instances)]
     fleet = SettingsFleet(names, seed)
@@ -200,7 +200,7 @@
 def _inject_faults(
     fleet: SettingsFleet, names: list[str], number: int, changes: int
 ) -> None:
-    """Kill and pause on the way, and undo both a tenth of the run later."""
+    """Kill and pause an instance, and undo both a tenth of the run later."""
     killed, paused = names[len(names) // 3], names[-1]
     tenth = changes // 10
     if number == 2 * tenth:
