--- a/guavagate/measure/outcomes/__init__.py
+++ b/guavagate/measure/outcomes/__init__.py
@@ -1,4 +1,4 @@
-"""Random operations and faults over fakes, judged by their history."""
+"""Random operations and faults on fakes, checked by their history."""
 
 from guavagate.measure.outcomes._counters import (
     Add,
--- a/guavagate/measure/outcomes/_command.py
+++ b/guavagate/measure/outcomes/_command.py
@@ -1,4 +1,4 @@
-"""``script/measure outcomes``: runs, mutations and costs."""
+"""Command ``script/measure outcomes``: runs, mutations and costs."""
 
 import multiprocessing
 import os
@@ -25,14 +25,14 @@
     as_json: bool,
     part: str,
 ) -> None:
-    """Run the part that was asked for; exit 1 when something is wrong."""
+    """Run the selected part; exit with 1 if it finds a failure."""
     if part == 'costs':
-        wrong = _show_costs()
+        failed = _show_costs()
     elif part == 'mutations':
-        wrong = _show_mutations(runs, seed)
+        failed = _show_mutations(runs, seed)
     else:
-        wrong = _show_runs(_run_all(runs, seed, jobs), as_json)
-    sys.exit(int(wrong))
+        failed = _show_runs(_run_all(runs, seed, jobs), as_json)
+    sys.exit(int(failed))
 
 
 outcomes: Final = click.Command(
@@ -41,12 +41,12 @@
     params=[
         click.Option(['--runs'], default=100, help='Number of runs.'),
         click.Option(['--seed'], default=1, help='First seed.'),
-        click.Option(['--jobs'], default=1, help='Processes to share them.'),
+        click.Option(['--jobs'], default=1, help='Number of processes.'),
         click.Option(['--json', 'as_json'], is_flag=True, help='As JSON.'),
         click.Option(
             ['--mutations', 'part'],
             flag_value='mutations',
-            help='Remove each safeguard until a run catches it.',
+            help='Remove each safeguard and find a run that detects it.',
         ),
         click.Option(
             ['--costs', 'part'],
@@ -54,7 +54,7 @@
             help='Measure takeovers, messages and store calls.',
         ),
     ],
-    help='Random operations and faults, judged from their history.',
+    help='Run random operations and faults, and check the history.',
 )
 
 
@@ -63,25 +63,25 @@
     seeds = range(seed, seed + runs)
     if jobs <= 1:
         return [run_once(number) for number in seeds]
-    # A hash seed of its own for each process must not change a run.
+    # Each spawned process has its own hash seed, which must not change a run.
     context = multiprocessing.get_context('spawn')
     with ProcessPoolExecutor(min(jobs, os.cpu_count() or 1), context) as pool:
         return list(pool.map(run_once, seeds, chunksize=4))
 
 
 def _show_runs(results: list[Run], as_json: bool) -> bool:
-    """Print what came of the runs; say whether something is wrong."""
-    wrong = [one for one in results if one.violations or not one.finished]
+    """Print the results of the runs; return whether any failed."""
+    failed = [one for one in results if one.violations or not one.finished]
     if as_json:
         click.echo(msgspec.json.encode(results).decode())
-        return bool(wrong)
-    held = Counter(fault for one in results for fault in one.faults)
-    click.echo('runs that held each fault:')
-    for fault, count in sorted(held.items()):
+        return bool(failed)
+    fault_counts = Counter(fault for one in results for fault in one.faults)
+    click.echo('runs with each fault:')
+    for fault, count in sorted(fault_counts.items()):
         click.echo(f'  {count:6}  {fault}')
-    for one in wrong[:5]:
+    for one in failed[:5]:
         _show_run(one)
-    broken = Counter(
+    violation_counts = Counter(
         violation.promise.name
         for one in results
         for violation in one.violations
@@ -89,19 +89,19 @@
     click.echo(
         f'outcomes: runs={len(results)} '
         f'answered={sum(one.answered for one in results)} '
-        f'violations={sum(broken.values())} '
+        f'violations={sum(violation_counts.values())} '
         f'unfinished={sum(not one.finished for one in results)}'
     )
-    for name, count in broken.items():
+    for name, count in violation_counts.items():
         click.echo(f'  {count:6}  {name}')
-    return bool(wrong)
+    return bool(failed)
 
 
 def _show_run(run: Run) -> None:
     """Print a short trace of the first violation."""
     click.echo(f'seed {run.seed}: {", ".join(run.faults)}')
     if not run.finished:
-        click.echo('  operations did not come to an end')
+        click.echo('  operations did not finish')
     for violation in run.violations[:1]:
         click.echo(f'  {violation.promise.value}: {violation.subject}')
         click.echo(f'  {violation.problem}')
@@ -114,14 +114,14 @@
     fields = msgspec.to_builtins(event)
     at = fields.pop('at')
     kind = fields.pop('event')
-    rest = ' '.join(
+    details = ' '.join(
         f'{name}={text}' for name, text in fields.items() if text != ''
     )
-    return f'{at:10.3f} {kind} {rest}'
+    return f'{at:10.3f} {kind} {details}'
 
 
 def _show_mutations(runs: int, seed: int) -> bool:
-    """Print the table as Markdown; say whether a safeguard was missed."""
+    """Print a Markdown table; return whether any removal went undetected."""
     click.echo('| safeguard removed | caught by | promise broken | runs |')
     click.echo('|---|---|---|---|')
     missed = 0
@@ -135,7 +135,7 @@
 
 
 def _show_costs() -> bool:
-    """Print each cost as a line; a measurement that fails raises."""
+    """Print each cost on a line; a failed measurement raises."""
     for name, measure in COSTS.items():
         click.echo(f'{name}: {measure()}')
     return False
--- a/guavagate/measure/outcomes/_costs.py
+++ b/guavagate/measure/outcomes/_costs.py
@@ -1,4 +1,4 @@
-"""What partitions and the ledger cost, on fakes under virtual time."""
+"""Measures what partitions and the ledger cost, in virtual time."""
 
 import time
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 def measure_takeover() -> str:
-    """Kill a primary; wait for an answer of its partition."""
+    """Measure the time from a primary's death to its partition's answer."""
     waits: list[float] = []
     for seed in range(_TAKEOVERS):
         fleet = Fleet('abcde', seed, _make_counters)
@@ -45,7 +45,7 @@
 
 
 def measure_ledger() -> str:
-    """Run keyed requests one after the other, their work taking no time."""
+    """Measure keyed requests in sequence, with work that takes no time."""
     fleet = Fleet('abcde', 1, make_ledger_states, partitions=_PARTITIONS)
     ids = (f'id-{number}' for number in range(10 * _REQUESTS))
     ledger = Ledger(fleet.runtimes['a'], lambda: next(ids))
@@ -82,7 +82,7 @@
 
 
 def measure_idle() -> str:
-    """Count what a fleet without requests sends and asks of the store."""
+    """Count the messages and store calls of an idle fleet."""
     fleet = Fleet('abcdefg', 1, make_ledger_states, partitions=_PARTITIONS)
     fleet.clock.advance(_IDLE_SECONDS)
     store, network = fleet.world.store, fleet.world.network
@@ -101,7 +101,7 @@
 
 
 def measure_zone_loss() -> str:
-    """Kill one of three availability zones; count the store's writes."""
+    """Count the store's writes after the loss of one of three zones."""
     fleet = Fleet('abcdefghi', 1, make_ledger_states, partitions=_PARTITIONS)
     fleet.clock.advance(_IDLE_SECONDS)
     store = fleet.world.store
@@ -112,7 +112,7 @@
     fleet.clock.advance(_WARM_UP_SECONDS)
     times = [at - start for at, _ in store.writes]
     if not times:
-        raise RuntimeError('nothing was written')
+        raise RuntimeError('no partition was written to the store')
     busiest = max(
         sum(1 for at in times if begin <= at < begin + 1) for begin in times
     )
@@ -123,17 +123,17 @@
 
 
 def _make_counters(partition: PartitionId) -> dict[type[Add], Counters]:
-    """Make one counter."""
+    """Return the state of one partition."""
     return {Add: Counters()}
 
 
 def _answer() -> Answer:
-    """Answer at once."""
+    """Return an answer of 200 B immediately."""
     return Answer(status=200, body=b'x' * 200)
 
 
 def _describe(values: list[float], scale: float) -> str:
-    """Return median, 99th percentile and maximum."""
+    """Format the median, 99th percentile and maximum."""
     scaled = np.array(values) * scale
     p50, p99 = np.percentile(scaled, (50, 99))
     return f'p50 {p50:.2f}, p99 {p99:.2f}, max {scaled.max():.2f}'
--- a/guavagate/measure/outcomes/_counters.py
+++ b/guavagate/measure/outcomes/_counters.py
@@ -1,4 +1,4 @@
-"""Clients that count through partitions: each answer shows what was kept."""
+"""Clients that increment counters in partitions and record the totals."""
 
 import random
 from typing import Any, Final
@@ -20,26 +20,26 @@
 
 
 class Add(Command, frozen=True, kw_only=True):
-    """Add to a counter."""
+    """Add an amount to a counter."""
 
     key: str
     amount: int = 1
 
 
 class Total(Outcome, frozen=True, kw_only=True):
-    """What the counter shows then."""
+    """Total of a counter after an addition."""
 
     total: int
 
 
 class Counters:
-    """Counts by key; a `PartitionState`."""
+    """Counters by key; implements `PartitionState`."""
 
     def __init__(self) -> None:
         self.totals: dict[str, int] = {}
 
     def apply(self, command: Command) -> Outcome:
-        """Add."""
+        """Apply an addition."""
         return self._add(command)
 
     def snapshot(self) -> bytes:
@@ -58,18 +58,18 @@
 
 
 class CounterWorkload:
-    """The workload of counting clients; see `Workload`."""
+    """Workload of clients that increment counters; see `Workload`."""
 
     def __init__(self) -> None:
         self.history: list[hist.Event] = []
         self.answered = 0
 
     def make_states(self, partition: Any) -> dict[Any, Any]:
-        """Make the counters."""
+        """Return the counters of one partition."""
         return {Add: Counters()}
 
     def start_components(self, runtime: Runtime) -> None:
-        """Start nothing."""
+        """Start nothing; counters need no component besides partitions."""
 
     def drive(
         self, fleet: Fleet, upstream: Upstream, rng: random.Random
@@ -85,7 +85,7 @@
         ]
 
     def _count(self, key: str, end: float) -> None:
-        """Add one after the other, at any instance that runs."""
+        """Send additions in sequence, each to any running instance."""
         clock = self._fleet.clock
         while clock.now() < end:
             clock.sleep(self._rng.uniform(*_PAUSE_SECONDS))
@@ -94,7 +94,7 @@
                 self._add(key, self._rng.choice(running))
 
     def _add(self, key: str, name: str) -> None:
-        """Add one at an instance and record what it answers."""
+        """Send an addition to an instance and record its answer."""
         self._number += 1
         command = f'{key}/{self._number}'
         clock = self._fleet.clock
@@ -125,7 +125,7 @@
             )
 
     def _submit(self, key: str, name: str) -> Total | GuavagateError:
-        """Submit one addition."""
+        """Submit one addition; return an error rather than raise it."""
         command = Add(at=self._fleet.clock.wall(), key=key)
         try:
             return self._fleet.partitions[name].submit(
--- a/guavagate/measure/outcomes/_fault_injector.py
+++ b/guavagate/measure/outcomes/_fault_injector.py
@@ -1,4 +1,4 @@
-"""What brings faults about in a fleet, and takes them back."""
+"""Injects faults into a fleet and reverts them."""
 
 import functools
 import random
@@ -17,12 +17,12 @@
 
 
 class FaultInjector:
-    """Brings faults about in a fleet, and takes them back.
+    """Injects faults into a fleet and reverts them.
 
     Attributes
     ----------
     injected
-        The names of those that happened.
+        Names of the faults that happened.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._world = fleet.world
 
     def heal(self) -> None:
-        """End every fault that lasts and start the dead again."""
+        """End every active fault and restart dead instances."""
         world = self._world
         world.store.outage = False
         world.store.added_delay = 0
@@ -57,7 +57,7 @@
                 self._fleet.restart(name)
 
     def kill(self, name: str) -> None:
-        """Kill an instance; it is started again after a while or at last."""
+        """Kill an instance; it restarts after some seconds or in `heal`."""
         if not name or self._fleet.host(name).dead:
             return
         self._record('killed', name)
@@ -66,7 +66,7 @@
             self._schedule(self._rng.uniform(0.2, 8), lambda: self._start(name))
 
     def pause(self, name: str) -> None:
-        """Pause an instance for a while."""
+        """Pause an instance for some seconds."""
         if not name or self._fleet.host(name).paused:
             return
         self._record('paused', name)
@@ -75,7 +75,7 @@
         self._schedule(wait, lambda: self._resume(name))
 
     def pick(self, role: str) -> str:
-        """Return a running instance of a role, or nothing."""
+        """Return a running instance with a role, or an empty string."""
         primaries = self._fleet.list_primaries()
         found = {
             'primary': primaries,
@@ -93,69 +93,75 @@
         return self._fleet.list_running()
 
     def on_message(self, act: Callable[[str], None], role: str) -> None:
-        """Act as some instance sends the nth message of one kind."""
+        """Act when an instance sends the nth message of a random kind."""
         kind = self._rng.choice(_MESSAGE_KINDS)
-        left = [self._rng.randint(1, 12)]
+        remaining = [self._rng.randint(1, 12)]
 
-        def watch(host: Host, sent: str, message: Any) -> None:
-            if sent != kind or left[0] <= 0:
+        def act_on_send(host: Host, sent_kind: str, message: Any) -> None:
+            if sent_kind != kind or remaining[0] <= 0:
                 return
             if role == 'primary' and host.instance not in (
                 self._fleet.list_primaries()
             ):
                 return
-            left[0] -= 1
-            if not left[0]:
+            remaining[0] -= 1
+            if not remaining[0]:
                 self._record(f'{role} at {kind}', host.instance)
                 act(host.instance)
 
-        self._world.network.on_send = watch
+        self._world.network.on_send = act_on_send
 
-    def on_write(self, act: Callable[[str], None], *, done: bool) -> None:
-        """Act as the nth write of a partition reaches the store.
+    def on_write(
+        self, act: Callable[[str], None], *, after_write: bool
+    ) -> None:
+        """Act when the nth write of a partition reaches the store.
 
         Parameters
         ----------
-        done
-            Whether the write has taken effect then, its answer on its way.
+        after_write
+            Whether to act after the write took effect, before its answer.
         """
-        left = [self._rng.randint(1, 40)]
+        remaining = [self._rng.randint(1, 40)]
 
-        def watch(who: str, name: str, path: str, after: bool) -> None:
-            if after is not done or not path.startswith(_PARTITION_PREFIX):
+        def act_on_put(
+            caller: str, call: str, path: str, applied: bool
+        ) -> None:
+            if applied is not after_write or not path.startswith(
+                _PARTITION_PREFIX
+            ):
                 return
-            left[0] -= 1
-            if not left[0]:
-                self._record('struck at a write', who)
-                act(who)
+            remaining[0] -= 1
+            if not remaining[0]:
+                self._record('struck at a write', caller)
+                act(caller)
 
-        self._world.store.on_write = watch
+        self._world.store.on_write = act_on_put
 
     def on_upstream_call(self, act: Callable[[str], None]) -> None:
-        """Act on an entry before, during or after its upstream call."""
-        wanted = self._rng.choice(STAGES)
-        left = [self._rng.randint(1, 6)]
+        """Act on an entry before, during or after an upstream call."""
+        chosen_stage = self._rng.choice(STAGES)
+        remaining = [self._rng.randint(1, 6)]
 
-        def reach(host: Host, stage: str) -> None:
-            if stage != wanted or left[0] <= 0:
+        def act_at_stage(host: Host, stage: str) -> None:
+            if stage != chosen_stage or remaining[0] <= 0:
                 return
-            left[0] -= 1
-            if not left[0]:
+            remaining[0] -= 1
+            if not remaining[0]:
                 self._record(f'entry {stage} the upstream call', host.instance)
                 act(host.instance)
 
-        self._upstream.on_stage = reach
+        self._upstream.on_stage = act_at_stage
 
     def inject_temporarily(
         self, name: str, begin: Callable[[], Any], end: Callable[[], Any]
     ) -> None:
-        """Let something last for a while."""
+        """Begin a fault and end it after some seconds."""
         self._record(name, '')
         begin()
         self._schedule(self._rng.choice((0.5, 2, 6, 20)), end)
 
     def block_one_way(self) -> None:
-        """Let nothing pass from one instance to another."""
+        """Drop all messages from one instance to another."""
         names = [InstanceId(name) for name in self._fleet.partitions]
         pair = tuple(self._rng.sample(names, 2))
         blocked = self._world.network.blocked
@@ -166,7 +172,7 @@
         )
 
     def stop_one(self) -> None:
-        """Stop an instance as planned, then start it again."""
+        """Stop an instance in an orderly way, then start it again."""
         name = self.pick('entry')
         if name:
             self._record('planned stop', name)
@@ -176,14 +182,14 @@
             self._fleet.clock.spawn(self._exit, name, stop)
 
     def _exit(self, name: str, stop: Task) -> None:
-        """End a process that has stopped, and start another later."""
+        """Kill a process after its stop and schedule its restart."""
         stop.join()
         if not self._fleet.host(name).dead:
             self._world.kill(name)
             self._schedule(self._rng.uniform(0.2, 8), lambda: self._start(name))
 
     def mark_falsely_dead(self, name: str) -> None:
-        """Let some others take a living instance for dead for a while."""
+        """Report a live instance as dead to some others for some seconds."""
         instance = InstanceId(name)
         peer = self._world.peers[instance]
         for other in sorted(self._world.members):
@@ -198,36 +204,38 @@
 
     def set_store_faults(self, **faults: Any) -> None:
         """Set faults of the store."""
-        for name, how in faults.items():
-            setattr(self._world.store, name, how)
+        for name, setting in faults.items():
+            setattr(self._world.store, name, setting)
 
     def set_network_faults(self, **faults: Any) -> None:
         """Set faults of the network."""
-        for name, how in faults.items():
-            setattr(self._world.network, name, how)
+        for name, setting in faults.items():
+            setattr(self._world.network, name, setting)
 
     def get_store_objects(self) -> dict[str, Any]:
-        """Return what the store holds now."""
+        """Return the objects in the store."""
         return self._world.store.objects
 
     def record(self, name: str) -> None:
-        """Write down a fault."""
+        """Record a fault."""
         self._record(name, '')
 
     def schedule(self, low: float, high: float, act: Callable[[], Any]) -> None:
-        """Act between two times from now."""
+        """Act after a random delay between two bounds, in seconds."""
         self._schedule(self._rng.uniform(low, high), act)
 
-    def _record(self, name: str, who: str) -> None:
-        """Write down what happened."""
+    def _record(self, name: str, instance: str) -> None:
+        """Record a fault and the instance that it affects."""
         now = self._fleet.clock.now()
         self.injected.append(name)
         self.events.append(
-            hist.FaultInjected(at=now, who=who, fault=f'{name} {who}'.strip())
+            hist.FaultInjected(
+                at=now, who=instance, fault=f'{name} {instance}'.strip()
+            )
         )
 
     def _schedule(self, wait: float, act: Callable[[], Any]) -> None:
-        """Act in a task of its own after some time."""
+        """Act in a new task after some seconds."""
         clock = self._fleet.clock
 
         def run() -> None:
@@ -237,13 +245,13 @@
         clock.spawn(run)
 
     def _start(self, name: str) -> None:
-        """Start a dead instance again."""
+        """Restart an instance if it is dead."""
         if self._fleet.host(name).dead:
             self._record('restarted', name)
             self._fleet.restart(name)
 
     def _resume(self, name: str) -> None:
-        """Resume a paused instance."""
+        """Resume an instance if it is paused."""
         host = self._fleet.host(name)
         if host.paused and not host.dead:
             self._world.resume(name)
--- a/guavagate/measure/outcomes/_fault_kinds.py
+++ b/guavagate/measure/outcomes/_fault_kinds.py
@@ -1,4 +1,4 @@
-"""The faults that a run may hold, each drawn and timed by the seed."""
+"""Kinds of faults; the seed of a run selects and times them."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -8,19 +8,19 @@
 
 
 def _kill_all(injector: FaultInjector) -> None:
-    """Kill all instances at once, as when a site loses power."""
+    """Kill all instances at once, like a power failure of a site."""
     for name in injector.list_running():
         injector.kill(name)
 
 
 def _pause_all(injector: FaultInjector) -> None:
-    """Pause all instances together."""
+    """Pause all instances at once."""
     for name in injector.list_running():
         injector.pause(name)
 
 
 def _lose_primary_around_outage(injector: FaultInjector, when: str) -> None:
-    """Kill the primary with the store down before, during or after."""
+    """Kill a primary with a store outage before, during or after that."""
     begin = {
         'before': lambda: injector.schedule(0.5, 2, _outage(injector)),
         'during': _outage(injector),
@@ -32,7 +32,7 @@
 
 
 def _outage(injector: FaultInjector) -> Callable[[], None]:
-    """Return what brings an outage about."""
+    """Return a function that injects a store outage."""
     return lambda: injector.inject_temporarily(
         'store outage',
         lambda: injector.set_store_faults(outage=True),
@@ -41,7 +41,7 @@
 
 
 def _race_takeovers(injector: FaultInjector) -> None:
-    """Let several take the partitions of a dead primary, the store slow."""
+    """Let several instances take over from a dead primary, on a slow store."""
     injector.record('racing takeovers')
     injector.set_store_faults(added_delay=0.5)
     primary = injector.pick('primary')
@@ -52,7 +52,7 @@
 
 
 def _mark_primary_falsely_dead(injector: FaultInjector) -> None:
-    """Let others take a living primary for dead, with the store slow."""
+    """Report a live primary as dead to others, with a slow store."""
     name = injector.pick('primary')
     if not name:
         return
@@ -63,7 +63,7 @@
 
 
 def _lose_write(injector: FaultInjector) -> None:
-    """Lose the answers to some writes, and kill the primary."""
+    """Lose the answers to some writes and kill the primary."""
     injector.record('primary killed after lost writes')
     injector.set_store_faults(lose_next=3)
     injector.schedule(0, 0.5, lambda: injector.kill(injector.pick('primary')))
@@ -78,16 +78,16 @@
     'all killed': _kill_all,
     'all paused': _pause_all,
     'struck before a write': lambda injector: injector.on_write(
-        injector.kill, done=False
+        injector.kill, after_write=False
     ),
     'struck after a write': lambda injector: injector.on_write(
-        injector.kill, done=True
+        injector.kill, after_write=True
     ),
     'paused before a write': lambda injector: injector.on_write(
-        injector.pause, done=False
+        injector.pause, after_write=False
     ),
     'paused after a write': lambda injector: injector.on_write(
-        injector.pause, done=True
+        injector.pause, after_write=True
     ),
     'writes late': lambda injector: injector.inject_temporarily(
         'writes late',
@@ -145,7 +145,7 @@
 
 
 def inject(injector: FaultInjector, name: str) -> None:
-    """Bring about one fault now; count it under its name, too."""
+    """Inject a fault now; record its name too if it had an effect."""
     before = len(injector.injected)
     FAULTS[name](injector)
     if len(injector.injected) > before:
@@ -153,7 +153,7 @@
 
 
 def draw_faults(rng: random.Random) -> Iterator[tuple[float, str]]:
-    """Draw the faults of a run, with the time of each."""
+    """Draw the faults of a run, each with its time in seconds."""
     names = sorted(FAULTS)
     for _ in range(rng.choice((1, 1, 2, 2, 3, 4))):
         yield rng.uniform(0, 10), rng.choice(names)
--- a/guavagate/measure/outcomes/_fleet.py
+++ b/guavagate/measure/outcomes/_fleet.py
@@ -1,4 +1,4 @@
-"""Fake instances with stored partitions and whatever runs on them."""
+"""Fake instances with stored partitions and further components."""
 
 import random
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 def _start_nothing(runtime: Runtime) -> None:
-    """Start nothing besides the partitions."""
+    """Start no components besides the partitions."""
 
 
 class Fleet:
@@ -24,7 +24,7 @@
     Parameters
     ----------
     start_components
-        Starts further components on an instance, whenever it is started.
+        Starts further components on an instance at each of its starts.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         return self.world.hosts[InstanceId(name)]
 
     def restart(self, name: str) -> None:
-        """Start a killed instance again, with an empty memory."""
+        """Restart a killed instance without its in-memory state."""
         zone = self.world.peers[InstanceId(name)].availability_zone
         self.world.add(name, zone)
         self._start(name)
@@ -69,7 +69,7 @@
         ]
 
     def list_primaries(self) -> list[str]:
-        """Return the running instances that decide something."""
+        """Return the running instances that own a partition."""
         return [
             name
             for name in self.list_running()
@@ -77,7 +77,7 @@
         ]
 
     def _start(self, name: str) -> None:
-        """Start what an instance runs."""
+        """Start the components of an instance."""
         world, instance = self.world, InstanceId(name)
         runtime = Runtime(
             settings=world.settings_of(name),
--- a/guavagate/measure/outcomes/_mutations.py
+++ b/guavagate/measure/outcomes/_mutations.py
@@ -1,4 +1,4 @@
-"""Each safeguard removed in turn, and the run that catches it."""
+"""Mutation tests: removes each safeguard and finds a run that detects it."""
 
 from collections.abc import Callable, Iterator
 from typing import Final
@@ -17,14 +17,14 @@
 
 
 class Mutation(msgspec.Struct, frozen=True, kw_only=True):
-    """What came of the search without one safeguard.
+    """Result of the search without one safeguard.
 
     Parameters
     ----------
     caught
-        Name of the scenario or number of the seed; empty when none did.
+        Scenario or seed that detected the removal, or empty.
     tried
-        Runs made.
+        Number of runs.
     """
 
     safeguard: str
@@ -35,13 +35,13 @@
 
 
 def find_catching_runs(runs: int, seed: int) -> Iterator[Mutation]:
-    """Remove each safeguard in turn until a run catches it."""
+    """Remove each safeguard in turn and find a run that detects it."""
     for name in (*PARTITION_SAFEGUARDS, *LEDGER_SAFEGUARDS):
         yield find_catching_run(name, runs, seed)
 
 
 def find_catching_run(name: str, runs: int, seed: int) -> Mutation:
-    """Remove one safeguard; try its scenario, then random runs."""
+    """Remove one safeguard; try its scenario first, then random runs."""
     run = make_runner_without(name)
     scenario = SCENARIOS.get(name)
     if scenario is not None and scenario(Safeguards(**{name: False})):
@@ -65,7 +65,7 @@
 
 
 def make_runner_without(name: str) -> Callable[[int], Run]:
-    """Return what runs a seed without one safeguard."""
+    """Return a function that runs a seed without one safeguard."""
     if name in PARTITION_SAFEGUARDS:
         safeguards = Safeguards(**{name: False})
         return lambda seed: run_once(seed, safeguards=safeguards)
--- a/guavagate/measure/outcomes/_requests.py
+++ b/guavagate/measure/outcomes/_requests.py
@@ -1,4 +1,4 @@
-"""Callers that send keyed requests, retry them and record what they get."""
+"""Callers that send and retry keyed requests and record the answers."""
 
 import random
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
 
 class RequestWorkload:
-    """The workload of callers; see `Workload`."""
+    """Workload of callers; see `Workload`."""
 
     def __init__(
         self,
@@ -51,11 +51,11 @@
         self._ids: Callable[[], str] = str
 
     def make_states(self, partition: PartitionId) -> dict:  # type: ignore[type-arg]
-        """Make the ledger's states."""
+        """Return the ledger's states for one partition."""
         return make_ledger_states(partition, self._limits, self._safeguards)
 
     def start_components(self, runtime: Runtime) -> None:
-        """Give an instance its ledger."""
+        """Start the ledger of an instance."""
         ledger = Ledger(runtime, lambda: self._ids(), self._limits)
         self._ledgers[runtime.settings.id] = ledger
         ledger.start()
@@ -78,13 +78,13 @@
         ]
 
     def _call_all(self, caller: str) -> None:
-        """Send one request after the other."""
+        """Send requests in sequence."""
         for number in range(self._requests):
             self._fleet.clock.sleep(self._rng.uniform(0, 2 * _GAP_SECONDS))
             request = f'{caller}/{number}'
             self._call_one(caller, request, request)
             if self._rng.random() < _KEY_REUSE_SHARE:
-                # A program's fault: another request under the same key.
+                # Simulates a client bug: another request with the same key.
                 self._call_one(caller, f'{request}-other', request, 1)
 
     def _call_one(
@@ -94,7 +94,7 @@
         key: str,
         max_attempts: int = _MAX_ATTEMPTS,
     ) -> None:
-        """Send a request until it is answered or its outcome is final."""
+        """Send a request until it is answered or all attempts are used."""
         for attempt in range(max_attempts):
             concurrent = 2 if self._rng.random() < _CONCURRENT_SHARE else 1
             tasks = [
@@ -116,7 +116,7 @@
     def _attempt(
         self, caller: str, request: str, key: str, attempt: str
     ) -> bool:
-        """Send one attempt to some instance; say whether it was answered."""
+        """Send one attempt to an instance; return whether it was answered."""
         entry = self._rng.choice(sorted(self._ledgers))
         now = self._fleet.clock.now
         self.history.append(
@@ -161,7 +161,7 @@
     def _reach(
         self, entry: str, caller: str, request: str, key: str
     ) -> Answer | RefusalError | None:
-        """Send to an instance; return nothing when the caller disconnects."""
+        """Send to an instance; return `None` if the caller disconnects."""
         host = self._fleet.host(entry)
         answer: AsyncResult[Answer | RefusalError | None] = AsyncResult()
         host.deliver(
@@ -185,7 +185,7 @@
         key: str,
         answer: 'AsyncResult[Answer | RefusalError | None]',
     ) -> None:
-        """Handle a request at an instance, as its HTTP edge does."""
+        """Handle a request in an instance, as its HTTP layer does."""
         host = self._fleet.host(entry)
         keyed = KeyedRequest(
             team=TeamId('team'),
--- a/guavagate/measure/outcomes/_run.py
+++ b/guavagate/measure/outcomes/_run.py
@@ -1,4 +1,4 @@
-"""One run: a seed's operations and faults, and what came of them."""
+"""One run: the operations and faults of a seed, and their result."""
 
 import random
 from collections.abc import Callable
@@ -26,33 +26,33 @@
 
 
 class Workload(Protocol):
-    """Operations on the fleet, recorded by those who ask for them.
+    """Operations on a fleet, recorded by the clients that send them.
 
     Attributes
     ----------
     history
-        Takes the events.
+        Events that the clients recorded.
     answered
-        Operations that came to their end.
+        Number of operations that completed.
     """
 
     history: list[hist.Event]
     answered: int
 
     def make_states(self, partition: Any) -> dict[Any, Any]:
-        """Make the partition's states that the workload needs."""
+        """Return the states that the workload needs in a partition."""
 
     def start_components(self, runtime: Runtime) -> None:
-        """Start what an instance runs for it."""
+        """Start the components that the workload needs on an instance."""
 
     def drive(
         self, fleet: Fleet, upstream: Upstream, rng: random.Random
     ) -> list[Task]:
-        """Start the operations; the tasks end when they have."""
+        """Start the operations; return the tasks that complete with them."""
 
 
 class Run(msgspec.Struct, frozen=True, kw_only=True):
-    """What came of one seed."""
+    """Result of one seed."""
 
     seed: int
     faults: tuple[str, ...]
@@ -69,7 +69,7 @@
     make_workloads: Callable[[], list[Workload]] | None = None,
     faults: tuple[tuple[float, str], ...] | None = None,
 ) -> Run:
-    """Run a seed; its faults are drawn unless they are given."""
+    """Run a seed; draw its faults unless they are given."""
     rng = random.Random(seed)
     workloads = (make_workloads or _make_default_workloads)()
     fleet = Fleet(
@@ -94,34 +94,34 @@
     fleet.clock.spawn(_inject_all, fleet, injector, sorted(drawn))
     fleet.clock.advance(_FAULT_SECONDS)
     injector.heal()
-    done = fleet.clock.run_until(
+    finished = fleet.clock.run_until(
         lambda: all(task.ready() for task in tasks), _LIMIT_SECONDS
     )
     _kill_all(fleet)
     for task in tasks:
-        # A driver that fell over would leave a history without faults.
-        if task.exception is not None and done:
+        # A crashed workload records too little to show a violation.
+        if task.exception is not None and finished:
             raise task.exception
     history.extend(injector.events)
     return Run(
         seed=seed,
         faults=tuple(sorted(set(injector.injected))),
         answered=sum(workload.answered for workload in workloads),
-        finished=done,
+        finished=finished,
         violations=tuple(hist.check(history)),
         events=len(history),
     )
 
 
 def _make_default_workloads() -> list[Workload]:
-    """Make the workloads that a run has unless told otherwise."""
+    """Return the default workloads of a run."""
     return [RequestWorkload(), CounterWorkload(), TrainerWorkload()]
 
 
 def _inject_all(
     fleet: Fleet, injector: FaultInjector, drawn: list[tuple[float, str]]
 ) -> None:
-    """Bring each fault about at its time."""
+    """Inject each fault at its time."""
     start = fleet.clock.now()
     for at, name in drawn:
         fleet.clock.sleep(start + at - fleet.clock.now())
@@ -129,7 +129,7 @@
 
 
 def _merge_states(workloads: list[Workload], partition: Any) -> dict[Any, Any]:
-    """Collect what all workloads keep in a partition."""
+    """Return the states of all workloads in a partition."""
     states: dict[Any, Any] = {}
     for workload in workloads:
         states.update(workload.make_states(partition))
@@ -137,13 +137,13 @@
 
 
 def _start_all_components(workloads: list[Workload], runtime: Runtime) -> None:
-    """Start what all workloads run on an instance."""
+    """Start the components of all workloads on an instance."""
     for workload in workloads:
         workload.start_components(runtime)
 
 
 def _kill_all(fleet: Fleet) -> None:
-    """End all instances, so that their tasks can be collected."""
+    """Kill all instances so that their tasks can be garbage-collected."""
     for name in list(fleet.partitions):
         fleet.host(name).kill()
     fleet.clock.settle()
--- a/guavagate/measure/outcomes/_scenarios.py
+++ b/guavagate/measure/outcomes/_scenarios.py
@@ -1,7 +1,7 @@
-"""Orders of events that random runs seldom hold, one for each safeguard.
+"""Sequences of events that random runs seldom contain, one per safeguard.
 
-Each returns whether a promise was broken: an answered addition is missing,
-doubled, or was given the total of another.
+Each scenario returns whether a promise was broken: an answered addition is
+missing, was applied twice, or has the same total as another.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class CounterFleet:
-    """A fleet with one counter, and every addition asked of it."""
+    """Fleet with one counter that tracks every addition sent to it."""
 
     def __init__(self, names: str, safeguards: Safeguards) -> None:
         self.fleet = Fleet(
@@ -31,11 +31,11 @@
         self.clock.advance(_WARM_UP_SECONDS)
 
     def primary(self) -> str:
-        """Return the instance that decides."""
+        """Return the instance that owns the partition."""
         return self.fleet.list_primaries()[0]
 
     def add(self, name: str, amount: int = 1) -> Task:
-        """Ask for an addition at an instance."""
+        """Send an addition to an instance."""
         command = Add(at=self.clock.wall(), key=_KEY, amount=amount)
         task = self.fleet.runtimes[name].clock.spawn(
             self._submit, name, command
@@ -45,14 +45,14 @@
         return task
 
     def _submit(self, name: str, command: Add) -> Total | GuavagateError:
-        """Submit; return an error rather than raise it."""
+        """Submit an addition; return an error rather than raise it."""
         try:
             return self.fleet.partitions[name].submit(_KEY, command, Total, 6)
         except GuavagateError as error:
             return error
 
     def block(self, one: str, other: str) -> None:
-        """Let nothing pass between two instances."""
+        """Drop all messages between two instances."""
         pair = InstanceId(one), InstanceId(other)
         back = pair[1], pair[0]
         self.world.network.blocked.update((pair, back))
@@ -60,13 +60,13 @@
     def set_alive(
         self, observer: str, subject: str, *, alive: bool = False
     ) -> None:
-        """Let one instance take another for dead, or for alive again."""
+        """Report an instance to an observer as dead or alive."""
         instance = InstanceId(subject)
         members = self.world.members[InstanceId(observer)]
         members.update(self.world.peers[instance], alive=alive)
 
     def breaks_promise(self, name: str) -> bool:
-        """Heal all; say whether an answer or a refusal was not kept."""
+        """End all faults; return whether an answer or a refusal was wrong."""
         self.world.network.blocked.clear()
         self.world.network.on_send = None
         self.world.store.outage = False
@@ -88,8 +88,8 @@
         refused = sum(
             isinstance(task.value, NotAppliedError) for task in self._tasks
         )
-        kept = last.value.total
-        if not len(totals) <= kept <= len(self._tasks) - refused:
+        total = last.value.total
+        if not len(totals) <= total <= len(self._tasks) - refused:
             return True
         return len(set(totals)) < len(totals)
 
@@ -97,8 +97,9 @@
 def write_records_at_once(safeguards: Safeguards) -> bool:
     """Show what `conditional` prevents.
 
-    Two instances lose each other. Each takes the partition and answers
-    additions; without the condition each write undoes the other's.
+    Two instances lose their connection. Each takes over the partition and
+    answers additions. Without conditional writes, each overwrites the
+    other's.
     """
     fleet = CounterFleet('ab', safeguards)
     fleet.block('a', 'b')
@@ -115,8 +116,8 @@
 def die_before_the_store_answers(safeguards: Safeguards) -> bool:
     """Show what `durable_first` prevents.
 
-    The store is slow. Its primary answers an addition that the store has not
-    taken yet, and is killed.
+    The store is slow. The primary answers an addition that the store has not
+    written yet, and is killed.
     """
     fleet = CounterFleet('abc', safeguards)
     primary = fleet.primary()
@@ -131,8 +132,8 @@
 def take_a_lost_answer_for_a_refusal(safeguards: Safeguards) -> bool:
     """Show what `settle` prevents.
 
-    The store takes an addition and its answer is lost. The caller is told
-    that the addition was not made.
+    The store writes an addition and its answer is lost. The caller gets the
+    error that the addition was not applied.
     """
     fleet = CounterFleet('abc', safeguards)
     fleet.world.store.lose_next = 1
@@ -144,9 +145,10 @@
 def go_on_from_what_was_never_kept(safeguards: Safeguards) -> bool:
     """Show what `discard` prevents.
 
-    A primary is paused, with an addition applied that the store has not
-    taken; others go on. It wakes, is refused, and takes the partition again:
-    with what it had applied, the addition counts though it was given up.
+    A primary is paused after it applied an addition that the store has not
+    written. Another instance takes over. The primary resumes, its write is
+    rejected, and it takes over the partition again. If it keeps its state,
+    the addition counts although its caller was refused.
     """
     fleet = CounterFleet('abc', safeguards)
     primary = fleet.primary()
@@ -169,8 +171,8 @@
 def repeat_after_a_lost_reply(safeguards: Safeguards) -> bool:
     """Show what `deduplicate` prevents.
 
-    The primary applies an addition and its reply does not come through; the
-    entry asks again.
+    The primary applies an addition and its reply is lost. The entry submits
+    the addition again.
     """
     fleet = CounterFleet('abc', safeguards)
     primary = fleet.primary()
--- a/guavagate/measure/outcomes/_steps.py
+++ b/guavagate/measure/outcomes/_steps.py
@@ -1,4 +1,4 @@
-"""A trainer that publishes, submits a step and pulls it through faults."""
+"""Trainer that publishes versions, submits steps and pulls their samples."""
 
 import random
 from collections.abc import Callable
@@ -43,7 +43,7 @@
 
 
 class TrainerWorkload:
-    """The workload of one trainer and its workers; see `Workload`."""
+    """Workload of one trainer and its workers; see `Workload`."""
 
     def __init__(self) -> None:
         self.history: list[hist.Event] = []
@@ -60,17 +60,17 @@
         self._done = False
 
     def make_states(self, partition: Any) -> dict[Any, Any]:
-        """Make the runs' state."""
+        """Return the runs' state for one partition."""
         return dict.fromkeys(RUN_COMMANDS, RunsState())
 
     def start_components(self, runtime: Runtime) -> None:
-        """Give an instance its client."""
+        """Create the client of an instance."""
         self._clients[runtime.settings.id] = RunsClient(runtime)
 
     def drive(
         self, fleet: Fleet, upstream: Upstream, rng: random.Random
     ) -> list[Task]:
-        """Start the trainer, its publications and the workers."""
+        """Start the trainer, its publisher and the workers."""
         self._fleet = fleet
         self._rng = rng
         spawn = fleet.clock.spawn
@@ -80,7 +80,7 @@
         return [spawn(self._train)]
 
     def _train(self) -> None:
-        """Submit one step after the other and pull each whole."""
+        """Submit steps in sequence and pull each until it is complete."""
         cursor = ''
         self._retry_until(lambda: self._newest > 0)
         for number in range(_STEPS):
@@ -100,7 +100,7 @@
         self._done = True
 
     def _pull_all(self, cursor: str) -> str:
-        """Pull until the step is whole; return the cursor then held."""
+        """Pull until the step is complete; return the last cursor."""
         while True:
             concurrent = 2 if self._rng.random() < _CONCURRENT_SHARE else 1
             calls = [
@@ -112,7 +112,7 @@
                 call.join()
                 accepted = accepted or call.value
             if accepted is None:
-                # The answer may be lost; submitting it again is harmless.
+                # The submission may have been lost; repeating it is idempotent.
                 self._fleet.clock.sleep(0.2)
                 self._submit()
                 continue
@@ -123,7 +123,7 @@
                 return cursor
 
     def _pull(self, cursor: str) -> Batch | None:
-        """Pull once at some instance; return a batch that may be accepted."""
+        """Pull once from a random instance; return a batch to accept."""
         newest = self._newest
         batch = self._call(
             lambda client: client.pull(self._address, cursor, 3, 0.5)
@@ -148,13 +148,13 @@
         return batch if batch.follows == cursor else None
 
     def _publish_all(self) -> None:
-        """Publish versions while the trainer trains."""
+        """Publish versions while the trainer runs."""
         while not self._done:
             self._fleet.clock.sleep(self._rng.uniform(*_PUBLISH_SECONDS))
             self._retry_until(self._publish)
 
     def _publish(self) -> bool:
-        """Publish one version at some instance; say whether it is known."""
+        """Publish one version; return whether it was confirmed."""
         version = self._newest + 1
         outcome = self._call(
             lambda client: client.publish(self._address, WeightVersion(version))
@@ -168,7 +168,7 @@
         return True
 
     def _submit(self) -> bool:
-        """Submit the step at some instance."""
+        """Submit the step; return whether it was confirmed."""
         groups = tuple(
             GroupSpec(
                 group_id=f'g{group}',
@@ -188,7 +188,7 @@
         )
 
     def _work(self) -> None:
-        """Generate samples of the step, some twice, some never entered."""
+        """Generate samples of the step; repeat some and never send others."""
         while not self._done:
             step = self._step
             version = self._newest
@@ -219,7 +219,7 @@
                 self._finish(step, sample)
 
     def _finish(self, step: str, sample: FinishedSample) -> None:
-        """Enter a sample at some instance."""
+        """Send a finished sample to a random instance."""
         address = self._address
         self._call(
             lambda client: client.finish(
@@ -228,12 +228,12 @@
         )
 
     def _retry_until(self, act: Callable[[], bool]) -> None:
-        """Try until it is done."""
+        """Repeat an action until it succeeds."""
         while not act():
             self._fleet.clock.sleep(0.3)
 
     def _call(self, call: Callable[[RunsClient], _Result]) -> _Result | None:
-        """Ask at some running instance; nothing when it fails."""
+        """Call a random running instance; return `None` on failure."""
         running = self._fleet.list_running()
         if not running:
             self._fleet.clock.sleep(0.5)
@@ -248,7 +248,7 @@
         except TimeoutError:
             return None
         answer = task.value
-        # A killed instance's task ends with a value, too: its exit.
+        # The task of a killed instance ends with `GreenletExit` as its value.
         if isinstance(answer, gevent.GreenletExit):
             return None
         if isinstance(answer, RefusalError):
@@ -262,14 +262,14 @@
     def _call_client(
         self, call: Callable[[RunsClient], Any], client: RunsClient
     ) -> Any:
-        """Return an error rather than raise it."""
+        """Call a client; return an error rather than raise it."""
         try:
             return call(client)
         except GuavagateError as error:
             return error
 
     def _record(self, kind: Any, **fields: Any) -> None:
-        """Record an event of the run."""
+        """Record an event of the trainer."""
         if kind is not hist.PublishedVersion:
             fields['step'] = self._step
         self.history.append(
--- a/guavagate/measure/outcomes/_upstream.py
+++ b/guavagate/measure/outcomes/_upstream.py
@@ -1,4 +1,4 @@
-"""A plain service's upstream that records what it runs and answers."""
+"""Fake upstream of a plain service that records its runs and answers."""
 
 import random
 from collections.abc import Callable
@@ -20,13 +20,13 @@
 
 
 class Upstream:
-    """Runs whatever reaches it, each time anew, with an answer of its own.
+    """Upstream that runs every request it receives, with a unique answer.
 
     Attributes
     ----------
     on_stage
-        Called as an instance calls it, before, during and after; faults hook
-        in here.
+        Called before, during and after each call by an instance; a hook for
+        fault injection.
     """
 
     def __init__(
@@ -39,11 +39,13 @@
         self.on_stage: Callable[[Host, str], None] | None = None
 
     def call(self, host: Host, request: str, body: str) -> Answer:
-        """Call it from an instance and wait for the answer."""
+        """Call the upstream from an instance and wait for the answer."""
         self._call_stage_hook(host, 'before')
         host.clock.sleep(_DELAY_SECONDS)
         if self._rng.random() < _REFUSAL_SHARE:
-            raise UpstreamNotStartedError('it is leaving', 'try another')
+            raise UpstreamNotStartedError(
+                'the upstream is shutting down', 'try another upstream'
+            )
         result: AsyncResult[Answer] = AsyncResult()
         self._world.clock.spawn(self._run, host, request, body, result)
         self._call_stage_hook(host, 'during')
@@ -52,7 +54,7 @@
         return answer
 
     def _call_stage_hook(self, host: Host, stage: str) -> None:
-        """Let a fault happen at this stage."""
+        """Call the hook that injects a fault at a stage."""
         if self.on_stage is not None:
             self.on_stage(host, stage)
             host.wait_until_running()
@@ -64,7 +66,7 @@
         body: str,
         result: 'AsyncResult[Answer]',
     ) -> None:
-        """Run a request, whatever becomes of the one who called."""
+        """Run a request, even if the calling instance stops meanwhile."""
         self._runs += 1
         number = self._runs
         clock = self._world.clock
@@ -75,7 +77,9 @@
         )
         clock.sleep(self._rng.uniform(*_WORK_SECONDS))
         if self._rng.random() < _CRASH_SHARE:
-            error = UpstreamError('it broke off', 'ask what became of it')
+            error = UpstreamError(
+                'the upstream crashed', 'check whether the request ran'
+            )
             host.deliver(lambda: result.set_exception(error))
             return
         text = f'{body} done as run {number}'
--- a/guavagate/measure/slopes/__init__.py
+++ b/guavagate/measure/slopes/__init__.py
@@ -1,4 +1,4 @@
-"""Slopes: what one more of something costs a role, measured in one process."""
+"""Measures the marginal cost of samples, permits and requests per role."""
 
 from guavagate.measure.slopes._command import main
 from guavagate.measure.slopes._fit import Slope, fit_slope
--- a/guavagate/measure/slopes/_command.py
+++ b/guavagate/measure/slopes/_command.py
@@ -1,4 +1,4 @@
-"""``script/measure slopes``."""
+"""Command ``script/measure slopes``."""
 
 import click
 import msgspec
@@ -10,7 +10,7 @@
 
 
 def measure_all() -> list[Slope]:
-    """Return every slope."""
+    """Measure and return every slope."""
     return [*measure_runs(), *measure_permits(), *measure_bus()]
 
 
--- a/guavagate/measure/slopes/_fit.py
+++ b/guavagate/measure/slopes/_fit.py
@@ -1,4 +1,4 @@
-"""A line through what was measured at several sizes."""
+"""Fits a line to measurements at several sizes."""
 
 import gc
 import time
@@ -9,14 +9,14 @@
 
 
 class Slope(msgspec.Struct, frozen=True, kw_only=True):
-    """One measured line.
+    """Line fitted to measurements.
 
     Parameters
     ----------
     unit
-        Of the slope, such as ``us a sample``.
+        Unit of the slope, such as ``us a sample``.
     slope, base
-        The line's coefficients.
+        Slope and intercept of the line.
     error
         Standard error of the slope.
     """
@@ -36,9 +36,9 @@
     sizes: Sequence[float],
     measured: Sequence[float],
 ) -> Slope:
-    """Return the line through the points, at least four of them."""
+    """Fit a line to at least four points."""
     if len(sizes) < 4:
-        raise ValueError('a slope needs four sizes or more')
+        raise ValueError('a slope needs at least four sizes')
     (slope, base), covariance = np.polyfit(sizes, measured, 1, cov=True)
     return Slope(
         name=name,
@@ -52,18 +52,18 @@
 
 
 def time_us(run: Callable[[], object], repeats: int) -> float:
-    """Return the least processor time of a call, in microseconds.
+    """Return the minimum processor time of a call, in microseconds.
 
-    The least of several: whatever else the machine does only adds to it.
+    The minimum of several calls excludes the noise that other load adds.
     """
     best = float('inf')
     gc.collect()
     gc.disable()
     try:
         for _ in range(repeats):
-            begun = time.process_time_ns()
+            started_at = time.process_time_ns()
             run()
-            best = min(best, time.process_time_ns() - begun)
+            best = min(best, time.process_time_ns() - started_at)
     finally:
         gc.enable()
     return best / 1000
--- a/guavagate/measure/slopes/_permits.py
+++ b/guavagate/measure/slopes/_permits.py
@@ -1,4 +1,4 @@
-"""What one request costs on the bus between an entry and a home."""
+"""Measures what permits cost between an entry and a queue owner."""
 
 from typing import Final
 
@@ -24,11 +24,14 @@
 
 
 def measure_permits() -> list[Slope]:
-    """Return the slopes of permits by requests and by permits held."""
+    """Return the slopes by number of requests and of permits in use."""
     messages = _list_messages()
     size = sum(len(msgspec.msgpack.encode(one)) for one in messages)
     times = [_time_codec(messages, count) for count in _COUNTS]
-    held = [len(msgspec.msgpack.encode(_hold(count))) for count in _COUNTS]
+    sizes = [
+        len(msgspec.msgpack.encode(_make_permits_in_use(count)))
+        for count in _COUNTS
+    ]
     return [
         fit_slope(
             'permit messages',
@@ -37,7 +40,7 @@
             [size * count for count in _COUNTS],
         ),
         fit_slope('permit codec', 'us a request', _COUNTS, times),
-        fit_slope('permits held', 'B a permit', _COUNTS, held),
+        fit_slope('permits held', 'B a permit', _COUNTS, sizes),
     ]
 
 
@@ -86,7 +89,7 @@
     return time_us(run, _REPEATS)
 
 
-def _hold(count: int) -> HeldPermits:
+def _make_permits_in_use(count: int) -> HeldPermits:
     sampler = UpstreamId(SamplerId('consent-llm-3'))
     return HeldPermits(
         pool=_POOL,
--- a/guavagate/measure/slopes/_runs.py
+++ b/guavagate/measure/slopes/_runs.py
@@ -1,4 +1,4 @@
-"""What a step's samples cost the primary of their partition, and a backup."""
+"""Measures what samples cost the primary of their partition and a backup."""
 
 import itertools
 from functools import partial
@@ -20,35 +20,37 @@
 
 _DEPLOYMENT: Final = DeploymentId('team/deployment')
 _RUN: Final = RunId('run')
-_GROUP: Final = 8
+_SAMPLES_PER_GROUP: Final = 8
 _SIZES: Final = (256, 512, 1024, 2048)
 _TEXT_BYTES: Final = 2_000
 _REPEATS: Final = 5
 
 
 def measure_runs() -> list[Slope]:
-    """Return the slopes of steps by their samples."""
-    state_bytes, scans, entries, pulls = [], [], [], []
+    """Return the slopes of a step by its number of samples."""
+    state_bytes, lookup_times, finish_times, pull_times = [], [], [], []
     for size in _SIZES:
-        state = _make_step(size)
-        scans.append(
+        state = _make_state(size)
+        lookup_times.append(
             time_us(partial(state.list_pending_by_run, _DEPLOYMENT), _REPEATS)
         )
-        entries.append(_time_entries(size))
-        full = _make_step(size)
-        _enter_all(full, size)
+        finish_times.append(_time_finishes(size))
+        full = _make_state(size)
+        _finish_all(full, size)
         state_bytes.append(len(full.snapshot()))
-        pulls.append(_time_pull(full, size))
+        pull_times.append(_time_pull(full, size))
     return [
         fit_slope('step state', 'B a sample', _SIZES, state_bytes),
-        fit_slope('pending look-up', 'us a pending sample', _SIZES, scans),
-        fit_slope('sample entry', 'us a sample', _SIZES, entries),
-        fit_slope('hand-out', 'us a sample', _SIZES, pulls),
+        fit_slope(
+            'pending look-up', 'us a pending sample', _SIZES, lookup_times
+        ),
+        fit_slope('sample entry', 'us a sample', _SIZES, finish_times),
+        fit_slope('hand-out', 'us a sample', _SIZES, pull_times),
         _measure_entry_bytes(),
     ]
 
 
-def _make_step(size: int) -> RunsState:
+def _make_state(size: int) -> RunsState:
     state = RunsState()
     state.apply(
         PublishVersion(
@@ -57,12 +59,12 @@
     )
     groups = tuple(
         GroupSpec(
-            group_id=f'g{place}',
+            group_id=f'g{index}',
             prompt='p' * 400,
-            samples=_GROUP,
+            samples=_SAMPLES_PER_GROUP,
             max_tokens=512,
         )
-        for place in range(size // _GROUP)
+        for index in range(size // _SAMPLES_PER_GROUP)
     )
     state.apply(
         SubmitStep(
@@ -79,7 +81,9 @@
 
 
 def _list_commands(size: int, text_bytes: int) -> list[FinishSample]:
-    places = itertools.product(range(size // _GROUP), range(_GROUP))
+    positions = itertools.product(
+        range(size // _SAMPLES_PER_GROUP), range(_SAMPLES_PER_GROUP)
+    )
     return [
         FinishSample(
             at=3,
@@ -94,27 +98,27 @@
                 score=0.5,
             ),
         )
-        for group, index in places
+        for group, index in positions
     ]
 
 
-def _enter_all(state: RunsState, size: int) -> None:
+def _finish_all(state: RunsState, size: int) -> None:
     for command in _list_commands(size, _TEXT_BYTES):
         state.apply(command)
 
 
-def _time_entries(size: int) -> float:
+def _time_finishes(size: int) -> float:
     commands = [
         msgspec.msgpack.encode(one) for one in _list_commands(size, _TEXT_BYTES)
     ]
-    states = iter([_make_step(size) for _ in range(_REPEATS)])
+    states = iter([_make_state(size) for _ in range(_REPEATS)])
 
-    def enter() -> None:
+    def finish_samples() -> None:
         state = next(states)
         for packed in commands:
             state.apply(msgspec.msgpack.decode(packed, type=FinishSample))
 
-    return time_us(enter, _REPEATS)
+    return time_us(finish_samples, _REPEATS)
 
 
 def _time_pull(state: RunsState, size: int) -> float:
@@ -124,19 +128,19 @@
         copy = RunsState()
         copy.restore(packed)
         states.append(copy)
-    rest = iter(states)
+    remaining = iter(states)
     pull = PullBatch(
         at=4, deployment=_DEPLOYMENT, run=_RUN, cursor='', max_samples=size
     )
     return time_us(
-        lambda: msgspec.msgpack.encode(next(rest).apply(pull)), _REPEATS
+        lambda: msgspec.msgpack.encode(next(remaining).apply(pull)), _REPEATS
     )
 
 
 def _measure_entry_bytes() -> Slope:
     sizes = (500, 1_000, 2_000, 4_000, 8_000)
     measured = [
-        len(msgspec.msgpack.encode(_list_commands(_GROUP, size)[0]))
+        len(msgspec.msgpack.encode(_list_commands(_SAMPLES_PER_GROUP, size)[0]))
         for size in sizes
     ]
     return fit_slope('entry message', 'B a text byte', sizes, measured)
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Random runs, seeds that failed once, and each safeguard removed."""
+"""Random runs, seeds that once failed, and runs without a safeguard."""
 
 from typing import Any
 
@@ -39,44 +39,44 @@
 @pytest.mark.parametrize(
     'seed',
     [
-        16,  # an aborted attempt's record, as all instances died
-        48,  # instances that took a partition from each other
+        16,  # the record of an aborted attempt, as all instances died
+        48,  # instances that took over a partition from each other
         80,  # a step whose primary and all others died
-        60,  # a publication taken for confirmed though its instance died
+        60,  # a publication counted as confirmed though its instance died
         133,  # a stopped instance that never exits
     ],
 )
 def test_seeds_that_failed_once(seed: int) -> None:
-    """Runs that broke a promise or did not end, before they were mended."""
+    """Seeds that broke a promise or did not finish before a fix."""
     run = run_once(seed)
     assert run.finished
     assert not run.violations
 
 
 @pytest.mark.parametrize('name', sorted(SCENARIOS))
-def test_a_scenario_catches_its_safeguard(name: str) -> None:
-    """An answered command is lost or forked without it, and not with it."""
+def test_a_scenario_detects_a_removed_safeguard(name: str) -> None:
+    """Only without its safeguard is an answered command lost or forked."""
     scenario = SCENARIOS[name]
     assert scenario(Safeguards(**{name: False}))
     assert not scenario(Safeguards())
 
 
 @pytest.mark.parametrize('name', ['keep_unknown', 'compare_digest', 'join'])
-def test_a_run_catches_its_safeguard(name: str) -> None:
-    """The checker sees what callers see when the ledger forgets a rule."""
+def test_a_run_detects_a_removed_safeguard(name: str) -> None:
+    """The checks detect the removal of a rule of the ledger."""
     assert make_runner_without(name)(1).violations
 
 
-def test_a_history_survives_its_file_form() -> None:
-    """Recorders write JSON lines; the checker reads them back."""
+def test_an_event_round_trips_through_json() -> None:
+    """An event that was written as JSON decodes to the same event."""
     event = hist.Received(at=1, request='r', attempt='r#0', answer='x')
     raw = msgspec.json.encode(event)
     assert msgspec.json.decode(raw, type=hist.Event) == event
     assert hist.check([event])[0].promise is hist.Promise.OWN_WHOLE_ANSWER
 
 
-def test_each_sample_judge_can_fail() -> None:
-    """A batch delivers a sample twice, names a false version and is stale."""
+def test_each_check_of_samples_can_fail() -> None:
+    """A batch repeats a sample, reports a wrong version and is stale."""
     sample = hist.PulledSample(
         sample='s', versions=(1,), text='ab', exchanges=('x',)
     )
