--- a/tests/test_settings_in_force.py
+++ b/tests/test_settings_in_force.py
@@ -157,7 +157,7 @@
 
     It is not ready then, because nothing answered it for longer than the
     limit. The others ignore the older revision that it still sends, and a
-    digest shows it that it lags.
+    differing digest makes it fetch the newest.
     """
     fleet = make_fleet()
     paused = _find_relay(fleet)
