--- a/guavagate/assembly.py
+++ b/guavagate/assembly.py
@@ -1,4 +1,4 @@
-"""Wires one instance over real links, clock and platform."""
+"""Assembles one instance with real links, clock and object API."""
 
 import logging
 from pathlib import Path
@@ -29,15 +29,15 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# The balancer takes an instance out after it has seen it unready; requests
-# that it still sends meanwhile are served.
-BALANCER_SECONDS: Final = 2.0
-# What others take to hear that this instance leaves, by their probes.
-LEAVING_SECONDS: Final = 1.5
+# The balancer stops sending requests once it has seen that an instance isn't
+# ready; requests that arrive until then are served.
+BALANCER_REACTION_SECONDS: Final = 2.0
+# The time until all peers know, from their probes, that this instance leaves.
+LEAVE_PROPAGATION_SECONDS: Final = 1.5
 
 
 class Process:
-    """A running instance: its runtime's own parts, and those above it."""
+    """The process of one instance: its runtime and the parts that use it."""
 
     def __init__(self, settings: InstanceSettings) -> None:
         clock = SystemClock()
@@ -50,15 +50,15 @@
             clock,
             credential,
         )
-        carry = make_http_transport(
+        transport = make_http_transport(
             settings.platform.object_api,
             _read_secret(settings.platform.credentials_file).decode(),
             clock,
         )
         self._list = InstanceListPoller(
-            carry, clock, self._members.update_candidates
+            transport, clock, self._members.update_candidates
         )
-        store = ObjectApi(carry, clock, self._count_members)
+        store = ObjectApi(transport, clock, self._count_members)
         decisions = RecentDecisions(clock, settings.id)
         self._teams = TeamSettingsManager(
             settings, clock, self._bus, store, self._members, decisions
@@ -90,13 +90,13 @@
             self._list_hosted,
             self._partitions.list_owned,
         )
-        self._instance.readiness.add('stop', self._why_stopping)
+        self._instance.readiness.add('stop', self._check_stopping)
         self._runtime.metrics.add_refresher(self._count_traffic)
-        self._instance.readiness.add('id', self._why_superseded)
-        self._asked = Event()
+        self._instance.readiness.add('id', self._check_superseded)
+        self._stop_requested = Event()
 
     def start(self) -> None:
-        """Start everything, the callers' edge last."""
+        """Start all parts; the callers' edge starts last."""
         self._members.start()
         self._bus.start()
         self._teams.start()
@@ -106,36 +106,36 @@
         self._instance.start()
 
     def request_stop(self) -> None:
-        """Begin a planned stop; returns at once."""
-        self._asked.set()
+        """Start a planned stop without waiting for it."""
+        self._stop_requested.set()
 
     def reload(self, path: str) -> None:
-        """Tell that the file at a path is read at the start only."""
+        """Log that a changed settings file requires a restart."""
         write(_LOGGER, events.SETTINGS_NEED_RESTART, path=path)
 
     def wait_stop_requested(self) -> None:
-        """Block until a planned stop is asked for."""
-        self._asked.wait()
+        """Block until a planned stop is requested."""
+        self._stop_requested.wait()
 
     def stop(self) -> None:
-        """Stop as planned: cut no request, leave no gap; bounded in time.
+        """Stop within the time limit, without cutting a request.
 
-        Callers are kept out first, then peers give no new work here, then
-        what is decided here moves, and only then is the edge closed. Asked
-        the other way round, a request that the balancer still sends would
-        meet a closed edge.
+        The order matters: first the balancer stops sending callers, then
+        peers stop sending work, then the partitions move to other instances,
+        and only then does the edge close. If the edge closed earlier, requests
+        that the balancer still sends would be refused.
         """
         clock = self._runtime.clock
         end = clock.now() + parse_duration(self._runtime.settings.stop_limit)
         self._log('not ready, waiting for the balancer')
-        clock.sleep(BALANCER_SECONDS)
+        clock.sleep(BALANCER_REACTION_SECONDS)
         self._instance.active.closing = True
         self._log('leaving, waiting for peers')
         self._members.start_leaving()
-        clock.sleep(LEAVING_SECONDS)
+        clock.sleep(LEAVE_PROPAGATION_SECONDS)
         self._log('handing partitions over')
-        whole = self._partitions.stop(max(end - clock.now(), 0) / 2)
-        self._log('finishing what is held', handed_over=whole)
+        complete = self._partitions.stop(max(end - clock.now(), 0) / 2)
+        self._log('completing requests in flight', handed_over=complete)
         self._instance.finish(max(end - clock.now(), 0))
         self._close()
 
@@ -150,7 +150,7 @@
         self._log('stopped', cut=cut)
 
     def _count_traffic(self) -> None:
-        """Export what goes between the instances."""
+        """Update the metrics of the traffic between instances."""
         metrics = self._runtime.metrics
         for by, traffic in (
             ('links', self._bus.traffic),
@@ -164,12 +164,16 @@
                 metrics.set_total(names.PEER_MESSAGES, messages, **labels)
                 metrics.set_total(names.PEER_BYTES, size, **labels)
 
-    def _why_superseded(self) -> str:
+    def _check_superseded(self) -> str:
         lost = self._members.superseded()
-        return 'a later process carries this instance id' if lost else ''
+        return 'a later process uses this instance id' if lost else ''
 
-    def _why_stopping(self) -> str:
-        return 'the instance is being stopped' if self._asked.is_set() else ''
+    def _check_stopping(self) -> str:
+        return (
+            'the instance is being stopped'
+            if self._stop_requested.is_set()
+            else ''
+        )
 
     def _count_members(self) -> int:
         return len(self._members.alive())
@@ -188,7 +192,7 @@
 def make_states(
     partition: PartitionId,
 ) -> dict[type[Command], PartitionState]:
-    """Return the states of one partition by the commands they take."""
+    """Return one partition's states by the commands that they apply."""
     runs = RunsState()
     states: dict[type[Command], PartitionState] = {}
     for command in RUN_COMMANDS:
@@ -198,5 +202,5 @@
 
 
 def _read_secret(path: str) -> bytes:
-    """Return a credential from its file; without a file, none."""
+    """Read a credential file; return nothing if no file is configured."""
     return Path(path).read_bytes().strip() if path else b''
--- a/guavagate/clock.py
+++ b/guavagate/clock.py
@@ -1,8 +1,8 @@
-"""The runtime's clock: the system's in the daemon, a paused one in tests.
+"""Clocks: the system clock in the daemon, a manually advanced one in tests.
 
-All waiting goes through a clock. Code that blocks on gevent primitives bounds
-the wait with ``clock.timeout``; tests then advance a `PausedClock` and a seed
-replays exactly.
+All code waits through a clock. Code that blocks on gevent primitives limits
+the wait with ``clock.timeout``, so that tests can advance a `PausedClock` and
+a test with the same seed runs identically.
 """
 
 import contextlib
@@ -18,37 +18,37 @@
 Task: TypeAlias = gevent.Greenlet
 
 
-# Not an Exception: a retry loop's ``except Exception`` inside the bounded
-# block would swallow the timeout and wait on, past its caller's deadline.
+# Not an Exception: a retry loop's ``except Exception`` inside the limited
+# block would swallow the timeout and continue past its caller's deadline.
 class ClockTimeout(BaseException):  # noqa: WPS418
-    """Raised inside ``clock.timeout`` blocks; never crosses them."""
+    """Raised inside a ``clock.timeout`` block; never leaves the block."""
 
 
 class Clock(Protocol):
-    """What all waiting code asks of time; seconds throughout."""
+    """The interface of all clocks; all values are in seconds."""
 
     def now(self) -> float:
-        """Return seconds since an arbitrary start, never going back."""
+        """Return monotonic seconds since an arbitrary start."""
 
     def wall(self) -> float:
-        """Return seconds since the epoch, for records only."""
+        """Return seconds since the Unix epoch, for timestamps only."""
 
     def sleep(self, seconds: float) -> None:
-        """Block this task."""
+        """Suspend the current task."""
 
     def timeout(
         self,
         seconds: float,
         error: Callable[[], Exception],
     ) -> contextlib.AbstractContextManager[None]:
-        """Bound a block; raise ``error()`` when it takes longer."""
+        """Limit a block's duration; raise ``error()`` when it is exceeded."""
 
     def spawn(self, run: Callable[..., Any], *args: Any) -> Task:
         """Start a task."""
 
 
 class SystemClock:
-    """The machine's clock."""
+    """The operating system's clock."""
 
     def now(self) -> float:
         """Return the monotonic time."""
@@ -59,7 +59,7 @@
         return time.time()
 
     def sleep(self, seconds: float) -> None:
-        """Block this task."""
+        """Suspend the current task."""
         gevent.sleep(max(seconds, 0))
 
     @contextlib.contextmanager
@@ -68,7 +68,7 @@
         seconds: float,
         error: Callable[[], Exception],
     ) -> Iterator[None]:
-        """Bound a block; raise ``error()`` when it takes longer."""
+        """Limit a block's duration; raise ``error()`` when it is exceeded."""
         timer = gevent.Timeout.start_new(max(seconds, 0))
         try:
             yield
@@ -85,10 +85,10 @@
 
 
 class PausedClock:
-    """A clock that moves only when told; replays a seed exactly.
+    """A clock that moves only when advanced, for reproducible tests.
 
-    Sockets must not be used under it: settling waits only for tasks that are
-    ready to run.
+    Don't use sockets with it: `settle` runs only tasks that are ready and
+    doesn't wait for I/O.
     """
 
     def __init__(self, start: float = 1000.0) -> None:
@@ -101,17 +101,17 @@
         return self._now
 
     def wall(self) -> float:
-        """Return the virtual time as a date."""
+        """Return the virtual time as seconds since the Unix epoch."""
         return self._now + 1_700_000_000.0
 
     def sleep(self, seconds: float) -> None:
-        """Block this task until the clock has been advanced far enough."""
+        """Suspend the current task until the clock has advanced so far."""
         woken = Event()
         self.call_at(self._now + max(seconds, 0), woken.set)
         woken.wait()
 
     def call_at(self, when: float, run: Callable[[], None]) -> None:
-        """Run a non-blocking callable at a virtual time."""
+        """Schedule a non-blocking callable at a virtual time."""
         heapq.heappush(self._timers, (when, next(self._sequence), run))
 
     @contextlib.contextmanager
@@ -120,20 +120,22 @@
         seconds: float,
         error: Callable[[], Exception],
     ) -> Iterator[None]:
-        """Bound a block in virtual time."""
+        """Limit a block's duration in virtual time."""
         owner = gevent.getcurrent()
-        mark = ClockTimeout()
+        timeout_error = ClockTimeout()
         active = [True]
 
         def expire() -> None:
             if active[0] and not owner.dead:
-                gevent.get_hub().loop.run_callback(_throw, owner, mark, active)
+                gevent.get_hub().loop.run_callback(
+                    _throw, owner, timeout_error, active
+                )
 
         self.call_at(self._now + max(seconds, 0), expire)
         try:
             yield
         except ClockTimeout as caught:
-            if caught is not mark:
+            if caught is not timeout_error:
                 raise
             raise error() from None
         finally:
@@ -144,11 +146,11 @@
         return gevent.spawn(run, *args)
 
     def settle(self) -> None:
-        """Let every task that is ready run until all of them wait."""
+        """Run ready tasks until all tasks wait."""
         gevent.idle()
 
     def advance(self, seconds: float) -> None:
-        """Move time on, running each timer in order."""
+        """Advance the time and run each timer that is due, in order."""
         target = self._now + seconds
         self.settle()
         while self._timers and self._timers[0][0] <= target:
@@ -161,7 +163,7 @@
     def run_until(
         self, done: Callable[[], bool], limit: float = 3600.0
     ) -> bool:
-        """Advance timer by timer until ``done()`` or the limit is reached."""
+        """Advance timer by timer; return whether ``done()`` came in time."""
         target = self._now + limit
         self.settle()
         while not done():
@@ -171,6 +173,6 @@
         return True
 
 
-def _throw(owner: Any, mark: ClockTimeout, active: list[bool]) -> None:
+def _throw(owner: Any, timeout_error: ClockTimeout, active: list[bool]) -> None:
     if active[0] and not owner.dead:
-        owner.throw(mark)
+        owner.throw(timeout_error)
--- a/guavagate/const.py
+++ b/guavagate/const.py
@@ -1,4 +1,4 @@
-"""Names and defaults that more than one part of guavagate uses."""
+"""Names and defaults shared by several packages."""
 
 from typing import Final
 
--- a/guavagate/daemon.py
+++ b/guavagate/daemon.py
@@ -1,4 +1,4 @@
-"""``guavagated``: one instance as a process."""
+"""``guavagated``: runs one instance as a process."""
 
 import logging
 import os
@@ -10,7 +10,7 @@
 from guavagate.helpers.listeners import listen_early
 from guavagate.platform.listen_addresses import read_listen_addresses
 
-# As many connections as a server of ours lets wait.
+# The same backlog as the HTTP servers use.
 if '--on-platform' in sys.argv:
     listen_early(read_listen_addresses(), backlog=1024)
 
@@ -29,7 +29,7 @@
 from guavagate.helpers.logs import set_up_logging  # noqa: E402
 from guavagate.platform.const import SETTINGS_VARIABLE  # noqa: E402
 
-# Run by its name this module is `__main__`, of which nothing is logged.
+# Run as a script, this module is `__main__`, whose logger has no handler.
 _LOGGER = logging.getLogger('guavagate.daemon')
 
 
@@ -71,28 +71,28 @@
     write(_LOGGER, events.EDGE_LISTENING, settings=str(settings_file))
     _serve(process, settings_file)
     logging.shutdown()
-    # What still runs here are tasks that wait; joining them would outlast
-    # the time that a planned stop is given.
+    # The remaining tasks only wait; joining them would exceed the time limit
+    # of a planned stop.
     os._exit(0)
 
 
 class Stoppable(Protocol):
-    """What the daemon runs."""
+    """An instance process that the daemon can start and stop."""
 
     def start(self) -> None:
-        """Start every part."""
+        """Start all parts."""
 
     def request_stop(self) -> None:
-        """Begin a planned stop; returns at once."""
+        """Start a planned stop without waiting for it."""
 
     def wait_stop_requested(self) -> None:
-        """Block until a planned stop is asked for."""
+        """Block until a planned stop is requested."""
 
     def reload(self, path: str) -> None:
-        """Read the settings file again."""
+        """Handle a changed settings file."""
 
     def stop(self) -> None:
-        """Stop as planned."""
+        """Stop without cutting a request."""
 
 
 def _make_instance(settings_file: Path, level: int) -> Stoppable:
@@ -112,22 +112,22 @@
 
 
 def _serve(process: Stoppable, settings_file: Path) -> None:
-    asked = Event()
+    stop_requested = Event()
 
-    def ask() -> None:
-        write(_LOGGER, events.STOP_PROGRESS, phase='asked')
-        asked.set()
+    def handle_terminate() -> None:
+        write(_LOGGER, events.STOP_PROGRESS, phase='requested')
+        stop_requested.set()
         process.request_stop()
 
-    def interrupt() -> None:
-        # A person at the keyboard who asks twice wants it to end now; a
-        # supervisor that sends SIGTERM again must not cut what is held.
-        if asked.is_set():
+    def handle_interrupt() -> None:
+        # A second Ctrl-C ends the process at once. A repeated SIGTERM from a
+        # supervisor must not cut the requests in flight.
+        if stop_requested.is_set():
             sys.exit(1)
-        ask()
+        handle_terminate()
 
-    gevent.signal_handler(signal.SIGTERM, ask)
-    gevent.signal_handler(signal.SIGINT, interrupt)
+    gevent.signal_handler(signal.SIGTERM, handle_terminate)
+    gevent.signal_handler(signal.SIGINT, handle_interrupt)
     gevent.signal_handler(
         signal.SIGHUP, lambda: process.reload(str(settings_file))
     )
--- a/guavagate/exceptions.py
+++ b/guavagate/exceptions.py
@@ -1,4 +1,4 @@
-"""The exception tree; every message names the remedy."""
+"""Exception classes; each message contains the remedy."""
 
 from typing import TYPE_CHECKING
 
@@ -9,14 +9,14 @@
 
 
 class GuavagateError(Exception):
-    """Base of all guavagate errors.
+    """Base class of all guavagate errors.
 
     Parameters
     ----------
     problem
         What went wrong.
     remedy
-        What the reader can do about it.
+        What the reader of the message can do.
     """
 
     def __init__(self, problem: str, remedy: str) -> None:
@@ -26,29 +26,29 @@
 
 
 class SettingsError(GuavagateError):
-    """Settings are not acceptable."""
+    """The settings are invalid."""
 
 
 class LinkError(GuavagateError):
-    """A peer could not be reached, or gave no answer in time."""
+    """A peer is unreachable or didn't answer in time."""
 
 
 class LinkRefusedError(LinkError):
-    """The message was not sent, so the peer has not acted on it."""
+    """The message wasn't sent, so the peer didn't process it."""
 
 
 class StoreError(GuavagateError):
-    """The platform's object API gave no usable answer."""
+    """The platform's object API didn't return a usable answer."""
 
 
 class StoreUnavailableError(StoreError):
-    """The object API can't be reached.
+    """The object API is unreachable.
 
     Parameters
     ----------
     may_be_written
-        Whether the write that met it may have taken effect; then read back
-        to learn it. False only when that is certain.
+        Whether the failed write may have taken effect; the caller then has
+        to read the object back. False only if it certainly didn't.
     """
 
     def __init__(
@@ -63,12 +63,12 @@
 
 
 class StoreConflictError(StoreError):
-    """A conditional update met another version.
+    """A conditional update found another version.
 
     Parameters
     ----------
     current
-        The object as it is, where the store told.
+        The current object, if the store returned it.
     """
 
     def __init__(
@@ -82,11 +82,11 @@
 
 
 class PartitionError(GuavagateError):
-    """A partition did not carry out a command."""
+    """A partition didn't execute a command."""
 
 
 class NotAppliedError(PartitionError):
-    """The command has certainly not been applied and never will be."""
+    """The command wasn't applied and never will be."""
 
 
 class OutcomeUnknownError(PartitionError):
@@ -98,15 +98,15 @@
 
 
 class UpstreamNotStartedError(UpstreamError):
-    """The upstream has certainly not started the work."""
+    """The upstream didn't start the work."""
 
 
 class UpstreamUnreachableError(UpstreamNotStartedError):
-    """No connection to the upstream could be made."""
+    """Connecting to the upstream failed."""
 
 
 class UpstreamLeavingError(UpstreamNotStartedError):
-    """The upstream refuses new work because it leaves; nothing started."""
+    """The upstream refused the work because it is leaving."""
 
 
 class RefusalError(GuavagateError):
@@ -119,9 +119,9 @@
     status
         HTTP status.
     not_run
-        Whether the request ran; ``TRUE`` only when that is certain.
+        Whether the request didn't run; ``TRUE`` only when that is certain.
     retry_after
-        Seconds after which a retry makes sense, if any.
+        Seconds after which the caller may retry, if a retry makes sense.
     """
 
     def __init__(
--- a/guavagate/health.py
+++ b/guavagate/health.py
@@ -1,16 +1,16 @@
-"""Liveness and readiness of one instance."""
+"""Liveness and readiness endpoints of one instance."""
 
 from collections.abc import Callable
 
 import falcon
 import msgspec
 
-# Returns why the instance is not ready, or an empty text.
+# Returns why the instance is not ready, or an empty string.
 Check = Callable[[], str]
 
 
 class Readiness:
-    """Collects the reasons for which an instance should get no callers."""
+    """Collects the reasons why an instance should not receive requests."""
 
     def __init__(self) -> None:
         self._checks: dict[str, Check] = {}
@@ -20,23 +20,23 @@
         self._checks[name] = check
 
     def reasons(self) -> dict[str, str]:
-        """Return what is not ready, by check."""
+        """Return the reasons of the failed checks by check name."""
         found = {name: check() for name, check in self._checks.items()}
         return {name: reason for name, reason in found.items() if reason}
 
 
 class HealthResource:
-    """``GET /healthz``: the process answers."""
+    """``GET /healthz``: 200 while the process responds."""
 
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
-        """Answer."""
+        """Return 200."""
         response.data = b'{"status":"ok"}'
 
 
 class ReadinessResource:
-    """``GET /readyz``: 200 when callers may be sent here, else 503."""
+    """``GET /readyz``: 200 if the instance accepts requests, else 503."""
 
     def __init__(self, readiness: Readiness) -> None:
         self._readiness = readiness
@@ -44,7 +44,7 @@
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
-        """List the reasons for not being ready."""
+        """Return the readiness and the reasons against it."""
         reasons = self._readiness.reasons()
         response.status = 503 if reasons else 200
         response.data = msgspec.json.encode(
--- a/guavagate/helpers/__init__.py
+++ b/guavagate/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers that need the runtime."""
+"""Helpers that depend on other packages of guavagate."""
--- a/guavagate/helpers/event_stream.py
+++ b/guavagate/helpers/event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events of a sampler's stream, whatever its chunks."""
+"""Parses a sampler's event stream into complete events."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -17,40 +17,40 @@
     Parameters
     ----------
     version_name
-        Of the header, and of an event's line, that tell the version of the
-        weights; in lower case.
+        Name of the header and of the event line that contain the weight
+        version; in lower case.
     """
 
     def __init__(
         self, answer: Answer, resume_after: int, version_name: bytes
     ) -> None:
         self._answer = answer
-        self._last = resume_after
+        self._last_number = resume_after
         self._version_name = version_name.decode()
         self._version = WeightVersion(
             int(answer.get_header(version_name).split(',')[-1] or 0)
         )
 
     def events(self) -> Iterator[TextEvent]:
-        """Yield whole events; ends cleanly only at the stream's whole end."""
+        """Yield complete events; raise if the stream ends within an event."""
         rest = b''
         for chunk in self._answer.chunks():
-            *whole, rest = (rest + chunk).split(_EVENT_END)
-            for block in whole:
+            *blocks, rest = (rest + chunk).split(_EVENT_END)
+            for block in blocks:
                 yield self._parse(block)
         if rest.strip():
             self.cancel()
             raise UpstreamError(
                 'ended in the middle of an event',
-                'nothing; the item goes on elsewhere',
+                'nothing; the item resumes on another sampler',
             )
 
     def cancel(self) -> None:
-        """Leave; the sampler drops the work."""
+        """Close the stream; the sampler then drops the work."""
         self._answer.close()
 
     def _parse(self, block: bytes) -> TextEvent:
-        number = self._last + 1
+        number = self._last_number + 1
         data: list[str] = []
         for line in block.decode('utf-8', 'surrogateescape').split('\n'):
             name, _, value = line.partition(':')
@@ -61,5 +61,5 @@
                 number = int(value)
             elif name == self._version_name and value.isdigit():
                 self._version = WeightVersion(int(value))
-        self._last = number
+        self._last_number = number
         return TextEvent(number, '\n'.join(data), self._version)
--- a/guavagate/helpers/lenient.py
+++ b/guavagate/helpers/lenient.py
@@ -1,4 +1,4 @@
-"""JSON of other writers, of which what can be read is read."""
+"""Leniently decodes JSON that other programs wrote."""
 
 import json
 from typing import TypeVar
@@ -9,15 +9,15 @@
 
 
 def decode_leniently(body: bytes, kind: type[Kind]) -> Kind:
-    """Return a JSON text as a type.
+    """Decode JSON as a type, tolerating invalid characters and numbers.
 
-    An object by another writer may hold bytes that are no text, half of a
-    character, or a number that is none; what stands beside it holds.
+    An object of another writer may contain invalid UTF-8, half of a surrogate
+    pair, or a number such as NaN; the other values are still valid.
 
     Raises
     ------
     msgspec.MsgspecError
-        It is nothing of the kind, however it is read.
+        The body does not match the type even when it is read leniently.
     """
     try:
         return msgspec.json.decode(body, type=kind)
@@ -26,11 +26,11 @@
 
 
 def _clean(body: bytes) -> bytes:
-    """Return a body without what only a lenient reader takes for JSON."""
+    """Rewrite a body as strict JSON; return it unchanged if that fails."""
     try:
-        found = json.loads(
+        decoded = json.loads(
             body.decode('utf-8', 'replace'), parse_constant=lambda _: None
         )
     except ValueError:
         return body
-    return json.dumps(found, ensure_ascii=False).encode('utf-8', 'replace')
+    return json.dumps(decoded, ensure_ascii=False).encode('utf-8', 'replace')
--- a/guavagate/helpers/listeners.py
+++ b/guavagate/helpers/listeners.py
@@ -1,11 +1,11 @@
-"""Sockets that listen before the rest of the program is loaded.
-
-A start takes tenths of a second of processor time, most of it to load the
-program. Callers whose instance starts are refused a connection meanwhile, and
-when all instances start at once every caller is. One that finds a listening
-socket waits in its queue instead, and is served as soon as there is a server.
-Measured in paired plays of days that end with a kill of all: a hundredth more
-of the worst two seconds' requests in time, and no day worse.
+"""Opens listening sockets before the rest of the program is loaded.
+
+A start takes tenths of a second of CPU time, mostly to load the program.
+Without a listening socket, callers are refused a connection meanwhile; when
+all instances start at once, every caller is refused. With one, connections
+wait in its backlog until the server runs. In paired runs of days that end
+with a kill of all instances, one percent more of the requests in the worst two
+seconds were in time, and no day got worse.
 """
 
 import contextlib
@@ -16,9 +16,10 @@
 
 
 def listen_early(addresses: Iterable[str], backlog: int) -> None:
-    """Listen at addresses, each an IP and a port.
+    """Open a listening socket for each ``IP:port`` address.
 
-    One that can't be had now is left to its server, which says why.
+    An address that fails is skipped: its server fails on it later, with an
+    error that names it.
     """
     for address in addresses:
         host, _, port = address.rpartition(':')
@@ -29,5 +30,5 @@
 
 
 def take_listener(address: str) -> socket.socket | None:
-    """Return the socket that listens at an address; the caller owns it."""
+    """Return and give up the socket of an address, if it is open."""
     return _listening.pop(address, None)
--- a/guavagate/helpers/logs.py
+++ b/guavagate/helpers/logs.py
@@ -1,4 +1,4 @@
-"""Log lines for people and for machines."""
+"""Formats log lines as text or as JSON."""
 
 import logging
 import sys
@@ -13,39 +13,41 @@
 
 
 class HumanFormatter(logging.Formatter):
-    """One line: time, level, event code and text, then its fields."""
+    """Formats a record as time, level, event code, text and fields."""
 
     def __init__(self) -> None:
         super().__init__()
         self._second = 0
-        self._shown = ''
+        self._formatted = ''
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record as one line, a traceback below it."""
+        """Return the record as one line, followed by any traceback."""
         parts = [
-            self._show_time(record.created),
+            self._format_time(record.created),
             record.levelname,
             record.getMessage(),
         ]
         fields = getattr(record, 'fields', None) or {}
-        parts += [f'{name}={_show(value)}' for name, value in fields.items()]
+        parts += [
+            f'{name}={_format_value(value)}' for name, value in fields.items()
+        ]
         line = ' '.join(parts)
         if record.exc_info:
             return f'{line}\n{self.formatException(record.exc_info)}'
         return line
 
-    def _show_time(self, created: float) -> str:
-        # Hundreds of lines share a second, and rendering it costs as much as
-        # the rest of a line.
+    def _format_time(self, created: float) -> str:
+        # Hundreds of lines share a second, and formatting the second costs as
+        # much as the rest of the line.
         second = int(created)
         if second != self._second:
             self._second = second
-            self._shown = time.strftime(_TIME, time.gmtime(second))
-        return f'{self._shown}.{int(created * _MILLIS) % _MILLIS:03}Z'
+            self._formatted = time.strftime(_TIME, time.gmtime(second))
+        return f'{self._formatted}.{int(created * _MILLIS) % _MILLIS:03}Z'
 
 
 class JsonFormatter(logging.Formatter):
-    """One JSON object a line."""
+    """Formats each record as a JSON object on one line."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the record as JSON."""
@@ -67,15 +69,16 @@
     level: int = logging.INFO,
     stream: TextIO | None = None,
 ) -> None:
-    """Send guavagate's log to a stream, standard error by default.
+    """Send the log to a stream, by default to standard error.
 
     Parameters
     ----------
     log_format
         ``human`` or ``json``.
     """
-    # Nothing prints the caller's file, thread or process, and finding them
-    # costs each line a quarter of its time (see Optimization in logging).
+    # No format contains the caller's file, thread or process, and looking them
+    # up takes a quarter of each line's time (see "Optimization" in the docs of
+    # the logging module).
     logging._srcfile = None  # type: ignore[attr-defined]
     logging.logThreads = False
     logging.logProcesses = False
@@ -91,7 +94,7 @@
     logger.propagate = False
 
 
-def _show(value: Any) -> str:
+def _format_value(value: Any) -> str:
     text = str(value)
     if not text or ' ' in text or '\n' in text or '"' in text:
         return msgspec.json.encode(text).decode()
--- a/guavagate/helpers/mirror.py
+++ b/guavagate/helpers/mirror.py
@@ -1,4 +1,4 @@
-"""A copy of all objects under a prefix of the store, kept by one watch."""
+"""Mirrors all objects under a prefix of the store through a watch."""
 
 import logging
 from collections.abc import Callable
@@ -15,16 +15,16 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# A waiting watch counts as a call, so a longer wait is cheaper; a dead
-# connection is noticed by TCP's own probes and not by this time.
+# Each watch counts as one call, so a longer wait is cheaper. TCP keepalive, not
+# this limit, detects a dead connection.
 WATCH_SECONDS: Final = 15.0
-# After a failure; an outage's end is then noticed well within the second or
-# two in which a configuration must be in force.
+# After a failure. It detects the end of an outage well within the one to two
+# seconds in which a configuration must be in force.
 RETRY_SECONDS: Final = 0.25
-# The first time it is likely that another way is known by now.
+# After the first failure, as another route to the store is probably known.
 FIRST_RETRY_SECONDS: Final = 0.05
-# What is missing from a list soon after an outage may have lapsed with it and
-# registers itself again within about two seconds.
+# An object that is missing soon after an outage may have expired during it; its
+# writer registers it again within about two seconds.
 EXPIRY_GRACE_SECONDS: Final = 2.2
 
 Put = Callable[[str, StoredObject], None]
@@ -32,36 +32,36 @@
 
 
 class Mirror:
-    """Lists once, then watches; tells each change.
+    """Lists the objects once, then watches them and reports each change.
 
     Parameters
     ----------
     put
-        Called, without blocking, with an object's name and the object.
+        Called with the name and content of an object; must not block.
     remove
-        Called, without blocking, with the name of an object that is gone;
-        without it, such an object is forgotten silently.
+        Called with the name of a deleted object; must not block. Without it,
+        deletions aren't reported.
     wait, pause
-        Seconds that a watch may wait, and that are let pass after a change
-        so that the next ones come together.
+        Seconds that a watch may wait, and seconds to pause after a change so
+        that the next changes arrive together.
     pause_after_list
-        Whether the first watch, too, waits for the pause.
+        Whether to pause between the list and the first watch too.
     known_revisions
-        Versions known from elsewhere, by path; what a list lacks of them is
-        told as gone.
+        Revisions known from another source, by path; those that a list lacks
+        are reported as deleted.
     expires_in_outage
-        Whether objects may lapse while the store is away and come back by
-        themselves; then one that is missing is kept for a while.
+        Whether objects may expire during an outage of the store and be
+        registered again; a missing one is then retained for a while.
     on_loaded
-        Called, without blocking, each time that all was listed.
+        Called after each complete list; must not block.
     on_proved
-        Called, without blocking, each time that all is held that the store
-        had at some moment, with that moment by the boot clock: when the call
-        was sent, as its answer may have been on its way for as long as the
-        call took.
+        Called each time that the mirror contains everything that the store
+        had at some time, with that time by the boot clock; must not block.
+        The time is when the request was sent, because its answer may have
+        been in transit for the whole duration of the call.
     watch_proves
-        Whether a watch that ends tells this too. It may hear nothing of a
-        change while the store drops its history; a list never does.
+        Whether a completed watch counts as such a proof too. A watch may miss
+        a change while the store drops its history; a list never does.
     """
 
     def __init__(
@@ -105,17 +105,17 @@
         self._unreadable = UnreadableObjects()
         self._task: Task | None = None
         self.loaded = False
-        # Whether what is told just now has happened just now: a list tells of
-        # what may be as old as the watch before it.
+        # Whether the reported change has just happened: a change that a list
+        # reveals may be as old as the previous watch.
         self.is_live_change = False
 
     def start(self) -> None:
-        """Begin to follow the store."""
+        """Start mirroring the store."""
         if self._task is None:
             self._task = self._clock.spawn(self._run)
 
     def stop(self) -> None:
-        """Stop following and forget what is held."""
+        """Stop mirroring and forget all known revisions."""
         if self._task is not None:
             self._task.kill(block=False)
             self._task = None
@@ -129,12 +129,15 @@
             try:
                 self._follow()
             except WatchCompactedError:
-                _LOGGER.debug('the history of %s is gone', self._prefix)
+                _LOGGER.debug(
+                    'the store has dropped the watch history of %s',
+                    self._prefix,
+                )
             except StoreUnavailableError as error:
-                again = self._outage_since is not None
+                is_retry = self._outage_since is not None
                 self._record_outage(error)
                 self._clock.sleep(
-                    RETRY_SECONDS if again else FIRST_RETRY_SECONDS
+                    RETRY_SECONDS if is_retry else FIRST_RETRY_SECONDS
                 )
 
     def _follow(self) -> None:
@@ -153,14 +156,14 @@
                 self._clock.sleep(self._pause)
             return
         wait = EXPIRY_GRACE_SECONDS if self._missing else self._wait
-        # A watch that is asked again from before a dropped history may be
-        # kept waiting, and tell of the loss only when it ends: changes made
-        # meanwhile would stay unseen. So a watch that was cut off is never
-        # gone on with; the list says what is there now.
+        # If the store has dropped its history, a watch that resumes from an
+        # older revision may wait and report the loss only at its end, which
+        # would hide changes until then. An interrupted watch is therefore
+        # never resumed; a new list returns the current objects.
         self._since = None
-        changes, seen = self._store.watch(self._prefix, since, wait)
+        changes, watched_to = self._store.watch(self._prefix, since, wait)
         self._record_recovery()
-        self._record_revision(seen)
+        self._record_revision(watched_to)
         self.is_live_change = True
         for change in changes:
             if change.value is None:
--- a/guavagate/helpers/patching.py
+++ b/guavagate/helpers/patching.py
@@ -5,16 +5,17 @@
 
 
 def patch_blocking_calls() -> None:
-    """Have the standard library's blocking calls let other tasks run.
+    """Make the standard library's blocking calls yield to other tasks.
 
-    Before and after each of its steps gevent looks for plugins among all
-    installed packages, 25 times in all. That was two thirds of the processor
-    time of a start, 0.3 s of it on half a core, in which a restarted instance
-    serves nobody. No plugin is wanted, so its subscribers alone are told.
+    Around each patching step, gevent searches all installed packages for
+    plugins, 25 times in total. That took two thirds of the CPU time of a start
+    (0.3 s on half a core), during which a restarted instance serves no
+    callers. guavagate needs no plugins, so only the subscribers of gevent's
+    events are notified.
     """
-    looking_up = gevent_events.notify_and_call_entry_points
+    original_notify = gevent_events.notify_and_call_entry_points
     gevent_events.notify_and_call_entry_points = gevent_events.notify
     try:
         monkey.patch_all()
     finally:
-        gevent_events.notify_and_call_entry_points = looking_up
+        gevent_events.notify_and_call_entry_points = original_notify
--- a/guavagate/helpers/reference.py
+++ b/guavagate/helpers/reference.py
@@ -1,7 +1,7 @@
-"""Writes the reference pages that are generated from the code.
+"""Generates the reference pages from the code.
 
 ``script/docs`` writes docs/events.md, docs/metrics.md and docs/settings.md;
-a test compares them.
+a test checks that they are up to date.
 """
 
 import importlib
@@ -65,9 +65,9 @@
         '',
         _NOTE,
         '',
-        '`/metrics` of each instance has these, with the labels `instance`'
-        ' and `availability_zone` on each. `guavagate report` draws those'
-        ' marked so.',
+        'Each instance exports these at `/metrics`, all with the labels'
+        ' `instance` and `availability_zone`. `guavagate report` draws those'
+        ' marked as drawn.',
         '',
         '| metric | kind | labels | drawn | meaning |',
         '|---|---|---|---|---|',
@@ -92,7 +92,7 @@
     ):
         lines += ['', f'## {title}']
         for name, node in _walk('', inspected.type_info(schema)):
-            lines.extend(('', *_tell_table(name, node)))
+            lines.extend(('', *_render_table(name, node)))
     return _join(lines)
 
 
@@ -105,13 +105,13 @@
 _SETTINGS_TEXT: Final = (
     'All settings are TOML. Durations are a number with `ms`, `s`, `m`, `h` or'
     ' `d`; sizes one with `B`, `KB`, `MB` or `GB`. An unknown key, a wrong'
-    ' value, an id that is there twice and a reference that leads nowhere are'
-    ' all refused, and all problems are told at once, each with its path, its'
-    ' value and the remedy.',
+    ' value, a duplicate id and a reference to a missing id are all rejected;'
+    ' all problems are reported at once, each with its path, its value and the'
+    ' remedy.',
     '',
-    "An instance reads its own file once, at start. A team's subtree is kept"
+    "An instance reads its own file once, at start. A team's subtree is stored"
     ' in the object API under `settings/TEAM`; change it with `guavagate'
-    ' settings`. How a change comes into force is in'
+    ' settings`. How a change takes effect is described in'
     ' [settings-in-force.md](settings-in-force.md).',
 )
 
@@ -132,7 +132,7 @@
 
 
 def _walk(path: str, node: Any) -> Iterator[tuple[str, inspected.StructType]]:
-    """Yield each table of a schema under its path."""
+    """Yield each table of a schema with its path."""
     if isinstance(node, inspected.Metadata):
         node = node.type
     if isinstance(node, inspected.VarTupleType):
@@ -141,11 +141,11 @@
         return
     yield path, node
     for field in node.fields:
-        below = f'{path}.{field.name}' if path else field.name
-        yield from _walk(below, field.type)
+        field_path = f'{path}.{field.name}' if path else field.name
+        yield from _walk(field_path, field.type)
 
 
-def _tell_table(path: str, node: inspected.StructType) -> Iterator[str]:
+def _render_table(path: str, node: inspected.StructType) -> Iterator[str]:
     if path:
         yield f'### `{path}`'
         yield ''
@@ -155,52 +155,54 @@
     yield '|---|---|---|---|'
     for field in node.fields:
         text, kind = _describe(field.type)
-        yield (f'| `{field.name}` | {kind} | {_tell_default(field)} | {text} |')
+        yield (
+            f'| `{field.name}` | {kind} | {_render_default(field)} | {text} |'
+        )
 
 
 def _describe(node: Any) -> tuple[str, str]:
     if not isinstance(node, inspected.Metadata):
-        return _tell_doc(node), _tell_kind(node)
+        return _render_doc(node), _render_kind(node)
     extra: dict[str, str] = node.extra or {}
     schema: dict[str, str] = node.extra_json_schema or {}
-    kind = extra.get('kind') or _tell_kind(node.type)
+    kind = extra.get('kind') or _render_kind(node.type)
     return schema.get('description', ''), kind
 
 
-def _tell_doc(node: Any) -> str:
+def _render_doc(node: Any) -> str:
     if isinstance(node, inspected.VarTupleType):
-        return _tell_doc(node.item_type)
+        return _render_doc(node.item_type)
     described = getattr(node, 'cls', None)
     return (described.__doc__ or '').partition('\n')[0] if described else ''
 
 
-def _tell_kind(node: Any) -> str:
+def _render_kind(node: Any) -> str:
     if isinstance(node, inspected.Metadata):
         return _describe(node)[1]
     if isinstance(node, inspected.VarTupleType):
-        return f'list of: {_tell_kind(node.item_type)}'
+        return f'list of: {_render_kind(node.item_type)}'
     if isinstance(node, inspected.StructType):
         return 'table'
     if isinstance(node, inspected.EnumType):
-        return _tell_choice(member.value for member in node.cls)
+        return _render_choice(member.value for member in node.cls)
     if isinstance(node, inspected.LiteralType):
-        return _tell_choice(node.values)
-    bounds = _tell_bounds(node)
+        return _render_choice(node.values)
+    bounds = _render_bounds(node)
     return f'{_KINDS[type(node)]}{bounds}'
 
 
-def _tell_choice(values: Any) -> str:
+def _render_choice(values: Any) -> str:
     return ', '.join(f'`{value}`' for value in values)
 
 
-def _tell_bounds(node: Any) -> str:
-    above, least = getattr(node, 'gt', None), getattr(node, 'ge', None)
+def _render_bounds(node: Any) -> str:
+    above, minimum = getattr(node, 'gt', None), getattr(node, 'ge', None)
     if above is not None:
         return f' above {above}'
-    return '' if least is None else f' from {least}'
+    return '' if minimum is None else f' from {minimum}'
 
 
-def _tell_default(field: inspected.Field) -> str:
+def _render_default(field: inspected.Field) -> str:
     if field.required:
         return 'required'
     if isinstance(field.default, msgspec.Struct):
--- a/guavagate/helpers/store_writes.py
+++ b/guavagate/helpers/store_writes.py
@@ -1,4 +1,4 @@
-"""Writes whose outcome has to be known, over a store that may lose answers."""
+"""Creates objects with a known outcome in a store that may lose answers."""
 
 from typing import Final
 
@@ -13,11 +13,11 @@
 
 
 class NotWrittenError(Exception):
-    """The object was certainly not written, and will not be."""
+    """The object was not written and will not be."""
 
 
 class MaybeWrittenError(Exception):
-    """The object may have been written, or may still be."""
+    """The object may have been written or may still be written."""
 
 
 def create(
@@ -27,49 +27,49 @@
     value: bytes,
     limit: float,
 ) -> StoredObject | None:
-    """Create an object; return nothing, or the other one that was there.
+    """Create an object; return a different one that already exists, or None.
 
-    A create is safe to repeat: an object that is there with the same content
-    is ours, whichever attempt wrote it, now or seconds later.
+    Repeating a create is safe: an existing object with the same content counts
+    as created, whichever attempt wrote it and whenever it arrived.
 
     Parameters
     ----------
     value
         JSON.
     limit
-        Seconds to go on trying.
+        Seconds during which failed attempts are retried.
 
     Raises
     ------
     NotWrittenError
-        No attempt was seen by the store.
+        No attempt reached the store.
     MaybeWrittenError
-        Some attempt got no answer and none settled it.
+        An attempt got no answer and no later one clarified its outcome.
     """
-    until = clock.now() + limit
-    unsure = False
+    give_up_at = clock.now() + limit
+    uncertain = False
     while True:
         try:
             store.put(path, value, expected=_MISSING)  # type: ignore[arg-type]
         except StoreConflictError as conflict:
             other = conflict.current or store.get(path)
             if other is not None:
-                return None if is_same(other.value, value) else other
+                return None if _is_same_json(other.value, value) else other
         except StoreUnavailableError as error:
-            unsure = unsure or error.may_be_written
-            if clock.now() + RETRY_SECONDS >= until:
-                raise _give_up(unsure=unsure) from error
+            uncertain = uncertain or error.may_be_written
+            if clock.now() + RETRY_SECONDS >= give_up_at:
+                raise _make_write_error(uncertain=uncertain) from error
             clock.sleep(RETRY_SECONDS)
         else:
             return None
 
 
-def is_same(one: bytes, other: bytes) -> bool:
-    """Return whether two JSON texts say the same."""
+def _is_same_json(one: bytes, other: bytes) -> bool:
+    """Return whether two JSON texts have equal content."""
     if one == other:
         return True
     return msgspec.json.decode(one) == msgspec.json.decode(other)
 
 
-def _give_up(*, unsure: bool) -> Exception:
-    return MaybeWrittenError() if unsure else NotWrittenError()
+def _make_write_error(*, uncertain: bool) -> Exception:
+    return MaybeWrittenError() if uncertain else NotWrittenError()
--- a/guavagate/helpers/unreadable.py
+++ b/guavagate/helpers/unreadable.py
@@ -1,10 +1,10 @@
-"""Objects of the store that can not be read, told once each.
+"""Logs each unreadable object of the store once.
 
-Other writers may put an object of any content under the kinds that are read
-here, and an upstream's registration changes with each heartbeat. One bad
-object must not fill the log: each path is told once, and again only when its
-problem is another or it could be read in between. The counter of the event
-counts what was told.
+Other writers may store an object with any content under the prefixes that
+guavagate reads, and an upstream's registration changes with each heartbeat. So
+that one bad object doesn't fill the log, a path is logged again only if its
+problem changes or if it was readable in between. The event's counter counts
+the logged lines.
 """
 
 import logging
@@ -16,27 +16,27 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Of a few kinds, each with a handful of bad objects; an older one that is
-# told twice does no harm.
+# A few prefixes with a handful of bad objects each are expected; logging an
+# evicted path twice does no harm.
 MAX_PATHS: Final = 1000
 
 
 class UnreadableObjects:
-    """Which objects were told to be unreadable."""
+    """The unreadable objects that have been logged."""
 
     def __init__(self) -> None:
-        self._told: OrderedDict[str, str] = OrderedDict()
+        self._reported: OrderedDict[str, str] = OrderedDict()
 
     def report(self, path: str, problem: str) -> None:
-        """Tell that an object can not be read, unless that is known."""
-        if self._told.get(path) == problem:
+        """Log an unreadable object unless this problem was logged."""
+        if self._reported.get(path) == problem:
             return
-        self._told[path] = problem
-        self._told.move_to_end(path)
-        while len(self._told) > MAX_PATHS:
-            self._told.popitem(last=False)
+        self._reported[path] = problem
+        self._reported.move_to_end(path)
+        while len(self._reported) > MAX_PATHS:
+            self._reported.popitem(last=False)
         write(_LOGGER, events.OBJECT_UNREADABLE, path=path, problem=problem)
 
     def forget(self, path: str) -> None:
-        """Note that an object was read, or is gone."""
-        self._told.pop(path, None)
+        """Forget an object that was read or deleted."""
+        self._reported.pop(path, None)
--- a/guavagate/helpers/waits.py
+++ b/guavagate/helpers/waits.py
@@ -1,4 +1,4 @@
-"""Waits that the runtime's clock bounds, so that tests can advance them."""
+"""Waits limited by the runtime's clock, so that tests can advance them."""
 
 from typing import Any
 
@@ -9,11 +9,11 @@
 
 
 class _WaitExpiredError(Exception):
-    """The time is over."""
+    """The time limit has passed."""
 
 
 def wait_for(clock: Clock, event: Event, seconds: float) -> bool:
-    """Wait for an event; return whether it came within so many seconds."""
+    """Wait for an event; return whether it was set within the limit."""
     try:
         with clock.timeout(seconds, _WaitExpiredError):
             event.wait()
@@ -23,7 +23,7 @@
 
 
 class QueueTimeoutError(Exception):
-    """Nothing came in time."""
+    """The queue got no entry in time."""
 
 
 def get_within(clock: Clock, queue: Queue, seconds: float) -> Any:
@@ -32,7 +32,7 @@
     Raises
     ------
     QueueTimeoutError
-        None came within so many seconds.
+        The queue stayed empty for `seconds`.
     """
     with clock.timeout(seconds, QueueTimeoutError):
         return queue.get()
--- a/guavagate/instance.py
+++ b/guavagate/instance.py
@@ -1,4 +1,4 @@
-"""The parts of one instance above its runtime, wired and started in order."""
+"""Creates the parts of an instance on its runtime and starts them in order."""
 
 from typing import Final
 
@@ -31,11 +31,11 @@
 from guavagate.web import ActiveRequests, add_error_handlers, make_server
 from guavagate.weights import WeightRollout
 
-FINISH_PAUSE: Final = 0.05
+FINISH_POLL_SECONDS: Final = 0.05
 
 
 class Instance:
-    """The parts of one instance above its runtime."""
+    """The parts of one instance that use its runtime."""
 
     def __init__(self, runtime: Runtime, hosted: HostedStates) -> None:
         self.runtime = runtime
@@ -75,7 +75,7 @@
         )
 
     def start(self) -> None:
-        """Start every part, the edge last."""
+        """Start all parts; the HTTP server starts last."""
         self.queue_owner.start()
         self.permits.start()
         self.reports.start()
@@ -85,20 +85,20 @@
         self.server.start()
 
     def finish(self, limit: float) -> None:
-        """Answer what is held, then close the edge; bounded in seconds."""
+        """Complete requests for up to `limit` seconds, then stop the server."""
         try:
             with self.runtime.clock.timeout(limit, TimeoutError):
-                self._wait_finished()
+                self._wait_idle()
         except TimeoutError:
             return
         finally:
             self.server.stop(timeout=1)
 
-    def _wait_finished(self) -> None:
-        """Wait for the answers and samples held, and what they need."""
+    def _wait_idle(self) -> None:
+        """Wait until no request, sample or permit is in flight."""
         self.active.wait_idle()
         while self.worker.count_active() or self.permits.count_permits():
-            self.runtime.clock.sleep(FINISH_PAUSE)
+            self.runtime.clock.sleep(FINISH_POLL_SECONDS)
 
     def _make_app(self) -> falcon.App:
         app = falcon.App()
--- a/guavagate/lifecycle.py
+++ b/guavagate/lifecycle.py
@@ -1,4 +1,4 @@
-"""When an instance is ready, and how it stops without cutting a request."""
+"""Reports an instance's readiness and stops it without cutting a request."""
 
 import logging
 from collections.abc import Callable, Sequence
@@ -14,10 +14,11 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# The balancer asks once a second and takes an instance out after two misses.
-BALANCER_SECONDS: Final = 2.6
-# Of the grace time; the rest is for the process's end on a slow machine.
-STOP_SHARE: Final = 0.875
+# The balancer probes once a second and removes an instance after two failures.
+BALANCER_REACTION_SECONDS: Final = 2.6
+# Share of the grace period for draining; the rest is for ending the process on
+# a slow machine.
+DRAIN_SHARE: Final = 0.875
 
 
 class _Members(Protocol):
@@ -25,16 +26,16 @@
 
 
 class Lifecycle:
-    """Tells the balancer whether callers may come, and stops as planned.
+    """Answers the balancer's readiness probes and runs a planned stop.
 
     Parameters
     ----------
-    is_able
-        Returns whether callers can be served.
+    can_serve
+        Returns whether this instance can serve callers.
     hand_over
-        Leaves work for all to other instances.
+        Hands work for the whole fleet over to other instances.
     grace
-        Seconds between the request to stop and the kill.
+        Seconds between the stop request and the kill.
     """
 
     def __init__(
@@ -42,51 +43,51 @@
         clock: Clock,
         metrics: Metrics,
         members: _Members,
-        is_able: Callable[[], bool],
+        can_serve: Callable[[], bool],
         hand_over: Callable[[], None],
         grace: float,
     ) -> None:
         self._clock = clock
         self._metrics = metrics
         self._members = members
-        self._is_able = is_able
+        self._can_serve = can_serve
         self._hand_over = hand_over
         self._grace = grace
-        self._asked = Event()
+        self._stop_requested = Event()
         self._stopping = False
 
     def answer_readiness(self, exchange: Exchange) -> None:
-        """Answer the balancer."""
+        """Answer a readiness probe of the balancer."""
         exchange.read_body(0)
-        ready = self._is_able() and not self._stopping
+        ready = self._can_serve() and not self._stopping
         self._metrics.set_gauge(names.READY, int(ready))
         exchange.respond(200 if ready else 503, [], b'')
 
     def request_stop(self) -> None:
-        """Begin a planned stop; returns at once."""
-        self._asked.set()
+        """Start a planned stop without waiting for it."""
+        self._stop_requested.set()
 
     def wait_stop_requested(self) -> None:
-        """Block until a planned stop is asked for."""
-        self._asked.wait()
+        """Block until a planned stop is requested."""
+        self._stop_requested.wait()
 
     def stop(
         self, servers: Sequence[HttpServer], *, behind_balancer: bool
     ) -> None:
-        """Stop as planned: cut no request.
+        """Stop without cutting a request.
 
-        Work for all goes to another instance at once; callers are served until
-        the balancer, if it sends any here, has seen that this instance is not
+        Work for the whole fleet moves to other instances at once. Behind a
+        balancer, callers are served until it has seen that this instance isn't
         ready.
         """
         self._stopping = True
-        until = self._clock.now() + self._grace * STOP_SHARE
+        drain_until = self._clock.now() + self._grace * DRAIN_SHARE
         self._hand_over()
         for server in servers:
             server.announce_stop()
         if behind_balancer:
-            self._clock.sleep(BALANCER_SECONDS)
-        cut = sum(server.drain(until) for server in servers)
+            self._clock.sleep(BALANCER_REACTION_SECONDS)
+        cut = sum(server.drain(drain_until) for server in servers)
         self._members.stop()
         write(
             _LOGGER,
--- a/guavagate/models.py
+++ b/guavagate/models.py
@@ -1,4 +1,4 @@
-"""Ids and states that every part of guavagate shares."""
+"""Ids and states shared by all packages."""
 
 import enum
 from typing import NewType
@@ -22,7 +22,7 @@
 
 
 class NotRun(enum.Enum):
-    """What a refusal says about whether its request ran."""
+    """Whether a refused request is known not to have run."""
 
     TRUE = 'true'
     FALSE = 'false'
@@ -30,7 +30,7 @@
 
 
 class UpstreamState(enum.Enum):
-    """Whether an upstream may be given work."""
+    """Whether an upstream accepts work."""
 
     SERVING = 'serving'
     LEAVING = 'leaving'
--- a/guavagate/operations.py
+++ b/guavagate/operations.py
@@ -1,4 +1,4 @@
-"""What operators see and do on one instance, wired to its parts."""
+"""Connects the operators' API, metrics and time series to an instance."""
 
 from guavagate.explain import Explainer, RecentDecisions
 from guavagate.instance import Instance
@@ -16,7 +16,7 @@
 
 
 class Operations:
-    """The operators' routes, metrics and time series of one instance."""
+    """The operators' API, metrics and time series of one instance."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
             runtime.settings.id, runtime.bus, runtime.members, recent
         )
         runtime.metrics.add_refresher(self._refresh)
-        instance.readiness.add('settings', self._why_settings)
+        instance.readiness.add('settings', self._check_settings)
         add_metrics_route(instance.app, runtime.metrics)
         add_routes(
             instance.app,
@@ -48,14 +48,14 @@
         )
 
     def start(self) -> None:
-        """Start keeping the time series."""
+        """Start recording the time series."""
         self._series.start()
 
     def stop(self) -> None:
-        """Stop keeping them."""
+        """Stop recording the time series."""
         self._series.stop()
 
-    def _why_settings(self) -> str:
+    def _check_settings(self) -> str:
         return '; '.join(self._teams.unready_reasons())
 
     def _refresh(self) -> None:
--- a/guavagate/reports.py
+++ b/guavagate/reports.py
@@ -1,4 +1,4 @@
-"""What one instance tells operators of itself, read from its parts."""
+"""Reports the state of one instance to operators."""
 
 import os
 import signal
@@ -53,7 +53,7 @@
         self._draining = False
 
     def describe_instance(self) -> InstanceReport:
-        """Return this instance: state, load, roles and repairs."""
+        """Return the state, load, roles and repairs of this instance."""
         pools = self._instance.queue_owner.list_owned()
         reasons = self._instance.readiness.reasons()
         return InstanceReport(
@@ -70,7 +70,7 @@
         )
 
     def list_samplers(self) -> list[SamplerReport]:
-        """Return the samplers whose home is here."""
+        """Return the samplers of the pools whose queue this instance owns."""
         return [
             report
             for owned in self._instance.queue_owner.list_owned()
@@ -78,7 +78,7 @@
         ]
 
     def list_runs(self) -> list[RunReport]:
-        """Return the runs whose primary is here."""
+        """Return the runs whose primary is this instance."""
         found: list[RunReport] = []
         for _, state in self._hosted():
             for name, lineage in state.lineages.items():
@@ -90,22 +90,22 @@
         return found
 
     def start_drain(self) -> None:
-        """Begin a planned stop, once: a second signal would cut requests."""
+        """Start a planned stop once; a second signal would cut requests."""
         if self._draining:
             return
         self._draining = True
         os.kill(os.getpid(), signal.SIGTERM)
 
     def refresh(self, metrics: Metrics) -> None:
-        """Set the gauges of what is known here."""
+        """Update the gauges of this instance's own state."""
         metrics.set_gauge(
             names.READY, float(not self._instance.readiness.reasons())
         )
         metrics.set_gauge(
             names.MEMBERS, float(len(self._runtime.members.alive()))
         )
-        led = len(list(self._list_owned()))
-        metrics.set_gauge(names.PARTITIONS_LED, float(led))
+        led_count = len(list(self._list_owned()))
+        metrics.set_gauge(names.PARTITIONS_LED, float(led_count))
         metrics.clear(names.QUEUED)
         metrics.clear(names.RUNNING)
         for owned in self._instance.queue_owner.list_owned():
@@ -119,11 +119,11 @@
         return _READY if ready else _NOT_READY
 
     def _list_partitions(self) -> Iterator[PartitionReport]:
-        for held in self._list_owned():
+        for owned in self._list_owned():
             yield PartitionReport(
-                partition=held.partition,
+                partition=owned.partition,
                 role='primary',
-                epoch=held.epoch,
+                epoch=owned.epoch,
                 members=(self._me,),
             )
 
@@ -131,7 +131,7 @@
         now = self._runtime.clock.now()
         for owned in pools:
             if now < owned.grants_from:
-                yield f'pool {owned.spec.key} counts what already runs'
+                yield f'pool {owned.spec.key} counts the work that already runs'
 
     def _list_pool(self, owned: OwnedPool) -> Iterator[SamplerReport]:
         deployment = owned.spec.deployment
@@ -139,7 +139,7 @@
             return
         reports = self._instance.reports.reports()
         for member in owned.spec.members:
-            seen = reports.get(member.id)
+            report = reports.get(member.id)
             leaving = SamplerId(member.id) in owned.leaving
             yield SamplerReport(
                 team=owned.spec.team,
@@ -151,7 +151,7 @@
                     UpstreamState.LEAVING
                     if leaving
                     else UpstreamState.SERVING
-                    if seen
+                    if report
                     else UpstreamState.GONE
                 ),
                 running=sum(
@@ -161,7 +161,7 @@
                 slots=member.slots,
                 pool=owned.spec.key,
                 pool_queued=len(owned.queued),
-                version=seen.version if seen else None,
+                version=report.version if report else None,
             )
 
     def _describe_run(
@@ -184,7 +184,7 @@
 
 
 def refresh_process(metrics: Metrics) -> None:
-    """Set what the operating system knows of this process."""
+    """Update the metrics of this process's CPU time and memory."""
     process = psutil.Process()
     with process.oneshot():
         times = process.cpu_times()
--- a/guavagate/retirement.py
+++ b/guavagate/retirement.py
@@ -1,4 +1,4 @@
-"""An instance that is to be emptied: it hands its work over and says so."""
+"""Hands over the work of an instance that is to be removed."""
 
 import logging
 from collections.abc import Callable
@@ -13,37 +13,40 @@
 
 
 class Retirement:
-    """Empties this instance when it is asked to leave.
+    """Hands over all work when the instance is requested to leave.
 
     Parameters
     ----------
     hand_over
-        Gives what is owned here to others; nothing is kept on a disk.
-    tell
-        Says that it is done; tried again while the store is away.
+        Hands all owned work over to other instances; none remains on disk.
+    report_done
+        Reports the completed handover; retried while the store is
+        unavailable.
     """
 
     def __init__(
         self,
         clock: Clock,
         hand_over: Callable[[], None],
-        tell: Callable[[str], None],
+        report_done: Callable[[str], None],
     ) -> None:
         self._clock = clock
         self._hand_over = hand_over
-        self._tell = tell
+        self._report_done = report_done
 
     def start(self, path: str) -> None:
-        """Leave, as the object at a path asks; returns at once."""
+        """Start the handover that the object at a path requests."""
         self._clock.spawn(self._run, path)
 
     def _run(self, path: str) -> None:
         self._hand_over()
         while True:
             try:
-                self._tell(path)
+                self._report_done(path)
             except StoreError as error:
-                _LOGGER.debug('%s is not told yet: %s', path, error)
+                _LOGGER.debug(
+                    'could not report the retirement %s: %s', path, error
+                )
                 self._clock.sleep(RETRY_SECONDS)
             else:
                 return
--- a/guavagate/runs/_worker.py
+++ b/guavagate/runs/_worker.py
@@ -50,8 +50,9 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# A sample that takes longer is abandoned and reassigned. In two years of
-# records, the longest steps were complete within twelve minutes.
+# A sample that takes longer is abandoned and reassigned. At the size that the
+# project is designed for, the longest steps have to be complete within twelve
+# minutes.
 SAMPLE_TIMEOUT_SECONDS: Final = 720.0
 # A finished sample is retained and recorded again for this long; if the store
 # is unavailable for longer, the sample is lost.
--- a/guavagate/runtime.py
+++ b/guavagate/runtime.py
@@ -1,4 +1,4 @@
-"""What every component of one instance is given."""
+"""The dependencies shared by all components of one instance."""
 
 import dataclasses
 from collections.abc import Callable
@@ -18,16 +18,16 @@
 
 
 class Members(Protocol):
-    """Who is alive, as this instance sees it."""
+    """The live instances, as this instance sees them."""
 
     def alive(self) -> list[PeerSettings]:
-        """Return all usable instances, this one included, by id."""
+        """Return all usable instances, including this one, ordered by id."""
 
     def get(self, instance: InstanceId) -> PeerSettings | None:
-        """Return a usable instance, or nothing."""
+        """Return an instance, or None if it isn't usable."""
 
     def subscribe(self, changed: Callable[[], None]) -> None:
-        """Call back, without blocking, after each change."""
+        """Register a callback for each change; it must not block."""
 
 
 class Teams(Protocol):
@@ -40,11 +40,11 @@
         """Return every team's settings in force."""
 
     def subscribe(self, changed: Callable[[TeamId], None]) -> None:
-        """Call back, without blocking, after each change."""
+        """Register a callback for each change; it must not block."""
 
 
 class DecisionLog(Protocol):
-    """Keeps each decision with its reason, for the log and for explain."""
+    """Records each decision with its reason, for the log and for explain."""
 
     def record(
         self,
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass
 class Runtime:
-    """The parts of one running instance, wired by the daemon or a test."""
+    """The parts of one instance, assembled by the daemon or a test."""
 
     settings: InstanceSettings
     clock: Clock
--- a/guavagate/scoring.py
+++ b/guavagate/scoring.py
@@ -1,4 +1,4 @@
-"""Has samples scored by a team's scoring service, under its permits."""
+"""Scores samples with a team's scoring service; each call needs a permit."""
 
 import uuid
 from typing import Final
@@ -10,12 +10,12 @@
 from guavagate.permits import PermitClient, Release
 from guavagate.runtime import Runtime
 
-SCORE_TIMEOUT: Final = 10.0
-SCORE_DEADLINE: Final = 60.0
+SCORE_TIMEOUT_SECONDS: Final = 10.0
+SCORE_DEADLINE_SECONDS: Final = 60.0
 
 
 class Scorer:
-    """Scores samples; scoring is idempotent."""
+    """Scores samples; scoring is idempotent, so a retry is safe."""
 
     def __init__(self, runtime: Runtime, permits: PermitClient) -> None:
         self._runtime = runtime
@@ -35,28 +35,28 @@
         Raises
         ------
         GuavagateError
-            No upstream of the service gave a score.
+            No upstream of the service returned a score.
         """
         work = Work(
             id=RequestId(f'score-{uuid.uuid4().hex}'),
             team=team,
             caller=CallerId('scoring'),
             kind=Kind.ROLLOUT,
-            deadline=self._runtime.clock.now() + SCORE_DEADLINE,
+            deadline=self._runtime.clock.now() + SCORE_DEADLINE_SECONDS,
             expected_tokens=1,
         )
         permit = self._permits.acquire(f'{team}/{service}/0', work)
-        ended = Release.CANCELLED
-        begun = self._runtime.clock.now()
+        release = Release.CANCELLED
+        started_at = self._runtime.clock.now()
         try:
             score = self._service.score(
-                permit.address, sample_id, prompt, text, SCORE_TIMEOUT
+                permit.address, sample_id, prompt, text, SCORE_TIMEOUT_SECONDS
             )
-            ended = Release.DONE
+            release = Release.DONE
         except UpstreamError:
-            ended = Release.FAILED
+            release = Release.FAILED
             raise
         finally:
-            seconds = self._runtime.clock.now() - begun
-            self._permits.release(permit, ended, tokens=1, seconds=seconds)
+            seconds = self._runtime.clock.now() - started_at
+            self._permits.release(permit, release, tokens=1, seconds=seconds)
         return score
--- a/guavagate/service.py
+++ b/guavagate/service.py
@@ -1,4 +1,4 @@
-"""The services with jobs: who owns each, and what the owner runs."""
+"""Starts and stops the job owners and coordinators of services with jobs."""
 
 import logging
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 
 class _Service:
-    """One service's owner and coordinator."""
+    """The job owner, coordinator and scaler of one service."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.scaler = scaler
 
     def start(self) -> None:
-        """Work on the service."""
+        """Start working on the service's jobs."""
         self.owner.start()
         self.owner.mark_uncertain()
         self.coordinator.start()
@@ -60,7 +60,7 @@
             self.scaler.start()
 
     def stop(self) -> None:
-        """Leave it to others."""
+        """Stop, so that another instance can take the service over."""
         if self.scaler is not None:
             self.scaler.stop()
         self.coordinator.stop()
@@ -68,7 +68,7 @@
 
 
 class JobServices:
-    """Starts and stops what this instance does for the services it owns."""
+    """Starts and stops the work for the services that this instance owns."""
 
     def __init__(
         self,
@@ -114,26 +114,26 @@
     def set_version_watch(
         self, start: Callable[[], None], stop: Callable[[], None]
     ) -> None:
-        """Set what begins and ends to follow the versions that are named."""
+        """Set the functions that start and stop the published-version watch."""
         self._start_versions = start
         self._stop_versions = stop
 
     def record_published_version(
         self, model: str, version: WeightVersion
     ) -> None:
-        """Take in a version that a trainer has named."""
+        """Record a version that a trainer has published."""
         self._published.put(model, version)
 
     def find(self, service: ServiceId) -> JobOwner | None:
-        """Return the owner of a service's jobs, if it is at work here."""
-        held = self._services.get(service)
-        if held is None or not held.owner.active:
+        """Return a service's job owner if it is active on this instance."""
+        found = self._services.get(service)
+        if found is None or not found.owner.active:
             return None
-        return held.owner
+        return found.owner
 
     def take_ownership(self, registry: MemberRegistry) -> None:
-        """Take what is this instance's, once it knows of the others."""
-        was_owner = not registry.first_start and self._recall()
+        """Take over owned services once the other instances are known."""
+        was_owner = not registry.first_start and self._load_former_owners()
         if was_owner:
             registry.wait_for_discovery(
                 self._ownership.is_among_longest_running
@@ -143,49 +143,49 @@
         self._ownership.ready = not self._leaving
         self.refresh()
 
-    def _recall(self) -> bool:
-        """Learn who worked on the services before this instance started.
+    def _load_former_owners(self) -> bool:
+        """Read which instances owned the services before this start.
 
         Returns
         -------
         bool
-            Whether this instance did. Nobody else takes these services over
-            unless it has run for longer, so it need not wait until all that
-            start with it have been heard of: their steps are late by each
-            moment that nobody works on them.
+            Whether this instance was one of them. Only a longer-running
+            instance takes its services over, so it needn't wait until it has
+            discovered all instances that start with it; each moment without
+            an owner delays the services' steps.
         """
         try:
             former = list_holders(self._job_store.object_store)
         except StoreUnavailableError as error:
-            _LOGGER.debug('former owners are not known: %s', error)
+            _LOGGER.debug('could not read the former owners: %s', error)
             return False
         self._ownership.set_former_owners(former)
         return self._me in former.values()
 
     def leave(self) -> None:
-        """Leave everything to others, now and from now on."""
+        """Hand all services over and take none over again."""
         self._leaving = True
         self._ownership.ready = False
         self.refresh()
 
     @property
     def active(self) -> bool:
-        """Return whether some service's jobs are in work here."""
-        return any(each.owner.active for each in self._services.values())
+        """Return whether this instance works on any service's jobs."""
+        return any(service.owner.active for service in self._services.values())
 
     def refresh(self) -> None:
-        """Start what is owned now and stop what no longer is."""
+        """Start newly owned services and stop those no longer owned."""
         owned = {
             each
             for each in self._routes.job_services()
             if self._ownership.is_owner(each)
         }
         for service in owned:
-            held = self._services.get(service) or self._make(service)
-            held.start()
-        for service, held in self._services.items():
+            running = self._services.get(service) or self._make(service)
+            running.start()
+        for service, running in self._services.items():
             if service not in owned:
-                held.stop()
+                running.stop()
         if owned:
             self._start_versions()
         else:
@@ -231,9 +231,9 @@
         )
         states.subscribe(coordinator.wake)
         scaler = self._make_scaler(service, lease, owner)
-        held = _Service(owner, coordinator, states, scaler)
-        self._services[service] = held
-        return held
+        created = _Service(owner, coordinator, states, scaler)
+        self._services[service] = created
+        return created
 
     def _make_scaler(
         self, service: ServiceId, lease: Lease, owner: JobOwner
@@ -261,10 +261,10 @@
         return 1 if described is None else max(described.slots, 1)
 
     def _wake(self) -> None:
-        for held in self._services.values():
-            if held.owner.active:
-                held.states.notify()
+        for service in self._services.values():
+            if service.owner.active:
+                service.states.notify()
 
 
 def _do_nothing() -> None:
-    """Stand in until something is set."""
+    """Do nothing until `set_version_watch` is called."""
--- a/guavagate/weights/_plan.py
+++ b/guavagate/weights/_plan.py
@@ -23,8 +23,9 @@
 from guavagate.decisions import decide_weight_swap
 from guavagate.models import SamplerId, WeightVersion
 
-# Half means two waves, so a rollout takes two swap times. The six seconds seen
-# in two years of records leave three for each swap; engines need less than one.
+# Half means two waves, so a rollout takes two swap times. At the size that the
+# project is designed for, new weights have to be on all samplers within six
+# seconds: three for each swap, of which engines need less than one.
 MAX_SWAPPING_SHARE: Final = 0.5
 
 
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -1,4 +1,4 @@
-"""What is removed of the code, one safeguard a row, and the test for it."""
+"""Mutations that each remove one safeguard, with the test that fails."""
 
 from typing import Final
 
@@ -6,7 +6,7 @@
 
 
 class Safeguard(msgspec.Struct, frozen=True):
-    """What is removed: `text` of a file becomes `without`."""
+    """A mutation: `text` in a file is replaced by `without`."""
 
     name: str
     file: str
@@ -24,16 +24,16 @@
         'tests/jobs/test_result_log.py',
     ),
     Safeguard(
-        'created only if absent',
+        'an object is created only if it does not exist',
         'guavagate/helpers/store_writes.py',
         'expected=_MISSING)',
         'expected=None)',
         'tests/jobs/test_result_log.py',
     ),
     Safeguard(
-        'in doubt is not told as "not run"',
+        'an uncertain write is not reported as not written',
         'guavagate/helpers/store_writes.py',
-        'return MaybeWrittenError() if unsure else NotWrittenError()',
+        'return MaybeWrittenError() if uncertain else NotWrittenError()',
         'return NotWrittenError()',
         'tests/jobs/test_job_store.py',
     ),
@@ -267,7 +267,7 @@
         'tests/forwarding',
     ),
     Safeguard(
-        'a lost watch is not gone on with',
+        'an interrupted watch is not resumed',
         'guavagate/helpers/mirror.py',
         '        self._since = None\n        changes',
         '        changes',
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -1,4 +1,4 @@
-"""What is removed of keys, usage and scaling, one safeguard a row."""
+"""Mutations that each remove one safeguard of keys, usage and scaling."""
 
 from typing import Final
 
