--- a/standins/platform/__init__.py
+++ b/standins/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the users' platform, for the soak: store, samplers, proxy."""
+"""Stand-ins for the users' platform and the soak test that uses them."""
--- a/standins/platform/__main__.py
+++ b/standins/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the soak; ``script/soak``."""
+"""Command line of the soak test, run by ``script/soak``."""
 
 import pathlib
 import sys
@@ -10,35 +10,40 @@
 
 from standins.platform.soak import Soak
 
-# Each seed has loopback addresses of its own, 127.0.BLOCK.x.
+# Each seed uses its own loopback addresses, 127.0.BLOCK.x.
 FIRST_BLOCK: Final = 10
 BLOCKS: Final = 240
 _SHOWN: Final = 10
-# Seeds that failed once, and why; docs/soak.md tells more.
+# Seeds that failed in the past and the causes; see docs/soak.md.
 REGRESSIONS: Final = {
-    3: 'a stop left a connection that it had not accepted to be reset',
-    104: 'the harness waited for the successor of a stopped process',
+    3: 'a planned stop reset a connection that was not yet accepted',
+    104: 'the test waited for the replacement of a stopped process',
     107: 'a second SIGTERM ended a planned stop at once',
-    108: 'a stop closed a connection with a request unread on it',
-    122: 'the harness waited for the successor of a stopped process',
-    203: 'the harness waited for the successor of a stopped process',
+    108: 'a planned stop closed a connection with an unread request',
+    122: 'the test waited for the replacement of a stopped process',
+    203: 'the test waited for the replacement of a stopped process',
 }
 
 
 @click.command()
-@click.option('--seed', default=1, show_default=True, help='The first seed.')
-@click.option('--seeds', default=1, show_default=True, help='How many seeds.')
+@click.option('--seed', default=1, show_default=True, help='First seed.')
+@click.option('--seeds', default=1, show_default=True, help='Number of seeds.')
 @click.option(
-    '--seconds', default=40, show_default=True, help='Of faults, each seed.'
+    '--seconds',
+    default=40,
+    show_default=True,
+    help='Duration of faults per seed.',
 )
-@click.option('--jobs', default=2, show_default=True, help='Seeds at once.')
 @click.option(
-    '--regressions', is_flag=True, help='Run the seeds that once failed.'
+    '--jobs', default=2, show_default=True, help='Seeds to run in parallel.'
+)
+@click.option(
+    '--regressions', is_flag=True, help='Run the seeds that failed before.'
 )
 def main(
     seed: int, seeds: int, seconds: int, jobs: int, regressions: bool
 ) -> None:
-    """Run the soak; exit with 1 when a promise was broken."""
+    """Run the soak test; exit with 1 if there were violations."""
     waiting = list(range(seed, seed + seeds))
     if regressions:
         waiting = list(REGRESSIONS)
@@ -57,7 +62,7 @@
 
 
 def _run(seed: int, seconds: int) -> int:
-    """Run one seed; return how many violations it showed."""
+    """Run one seed and return the number of violations."""
     block = FIRST_BLOCK + seed % BLOCKS
     with tempfile.TemporaryDirectory() as folder:
         soak = Soak(seed, block, pathlib.Path(folder))
--- a/standins/platform/checks.py
+++ b/standins/platform/checks.py
@@ -1,4 +1,4 @@
-"""The promises, checked from what callers and samplers see."""
+"""Checks the guarantees against what callers and samplers observe."""
 
 from collections import defaultdict
 from typing import Any, Final
@@ -6,12 +6,12 @@
 from standins.platform.sampler import Journal, count_events
 
 LEASE_SECONDS: Final = 3.0
-# Orders of one holder may arrive a little after they were sent.
+# Allows for the delay between sending an order and its arrival.
 _SLACK_SECONDS: Final = 0.3
 
 
 class Verdict:
-    """Violations found, and how much was checked."""
+    """Collects violations and counts the checks."""
 
     def __init__(self, journal: Journal) -> None:
         self._journal = journal
@@ -22,34 +22,34 @@
         self._items: dict[str, set[str]] = {}
 
     def fail(self, rule: str, what: str) -> None:
-        """Note a broken promise."""
+        """Record a violation."""
         self.violations.append(f'{rule}: {what}')
 
-    def expect(self, holds: bool, rule: str, what: str) -> None:
-        """Check one thing."""
+    def expect(self, condition: bool, rule: str, what: str) -> None:
+        """Count a check and record a violation unless the condition is true."""
         self.checked += 1
-        if not holds:
+        if not condition:
             self.fail(rule, what)
 
-    def submit(self, job: str, items: set[str], oldest: int) -> None:
-        """Note a job that is submitted."""
+    def record_submission(self, job: str, items: set[str], oldest: int) -> None:
+        """Record the items and the oldest allowed version of a job."""
         self._items[job] = items
         self._oldest[job] = oldest
 
-    def read(self, job: str, after: int, page: dict[str, Any]) -> None:
-        """Check results as they are read, against earlier reads."""
+    def check_page(self, job: str, after: int, page: dict[str, Any]) -> None:
+        """Check a page of results, also against pages that were read before."""
         self.expect(
             page['total'] == len(self._items[job]), 'TOTAL', f'{job} {page}'
         )
         for number, result in enumerate(page['results'], after):
-            held = self._positions[job].setdefault(number, result)
-            self.expect(held == result, 'POSITION', f'{job} at {number}')
+            known = self._positions[job].setdefault(number, result)
+            self.expect(known == result, 'POSITION', f'{job} at {number}')
             self._check_result(job, result)
         ids = [each['id'] for each in self._positions[job].values()]
         self.expect(len(set(ids)) == len(ids), 'DOUBLED', f'{job} {ids}')
 
-    def listed(self, job: str) -> int:
-        """Return how many positions of a job were read."""
+    def count_read(self, job: str) -> int:
+        """Return how many result positions of a job have been read."""
         return len(self._positions[job])
 
     def _check_result(self, job: str, result: dict[str, Any]) -> None:
@@ -60,53 +60,65 @@
             return
         parts = [line.split('/') for line in result['text'].split('\n')]
         numbers = [int(part[1]) for part in parts]
-        whole = list(range(1, count_events(item) + 1))
-        self.expect(numbers == whole, 'TEXT', f'{job} {item} {numbers}')
+        complete = list(range(1, count_events(item) + 1))
+        self.expect(numbers == complete, 'TEXT', f'{job} {item} {numbers}')
         self.expect(
             all(part[0] == item for part in parts), 'MIXED', f'{job} {item}'
         )
         self._check_signature(item, result.get('score', ''))
-        made = {int(part[2]) for part in parts}
-        named = set(result['versions'])
-        self.expect(made == named, 'VERSIONS', f'{item} {made} not {named}')
+        versions = {int(part[2]) for part in parts}
+        reported_versions = set(result['versions'])
         self.expect(
-            min(made) >= self._oldest[job], 'STALE', f'{job} {item} {made}'
+            versions == reported_versions,
+            'VERSIONS',
+            f'{item} {versions} not {reported_versions}',
+        )
+        self.expect(
+            min(versions) >= self._oldest[job],
+            'STALE',
+            f'{job} {item} {versions}',
         )
 
     def _check_signature(self, item: str, signature: str) -> None:
-        """Check that it is of the item's reward call, made after the text."""
-        name, came = self._journal.rated.get(signature, ('', 0))
+        """Check that the signature is for this item and its complete text."""
+        name, received_at = self._journal.rewards.get(signature, ('', 0))
         self.expect(
             name == f'w-{item}', 'SIGNATURE', f'{item} {signature} {name}'
         )
-        whole_at = self._journal.whole_at.get(item, came)
-        self.expect(came >= whole_at, 'EARLY', f'{item} {came} {whole_at}')
+        completed_at = self._journal.completed_at.get(item, received_at)
+        self.expect(
+            received_at >= completed_at,
+            'EARLY',
+            f'{item} {received_at} {completed_at}',
+        )
 
     def check_teams(self, journal: Journal, team: str) -> None:
-        """Check that samplers were told the team, and never a key.
+        """Check that samplers received the team's name and never a key.
 
-        A reward request is nobody's.
+        Reward requests belong to no team.
         """
-        told = set(journal.teams) - {''}
-        self.expect(told <= {team}, 'TEAM', f'{journal.teams}')
-        seen = journal.keys_seen
-        self.expect(not seen, 'KEY', f'samplers saw {seen} keys')
+        teams = set(journal.teams) - {''}
+        self.expect(teams <= {team}, 'TEAM', f'{journal.teams}')
+        keys_seen = journal.keys_seen
+        self.expect(not keys_seen, 'KEY', f'samplers saw {keys_seen} keys')
 
     def check_windows(self, windows: dict[int, list[Any]]) -> None:
-        """Check that each window of usage has one content."""
+        """Check that each usage window was reported with one content."""
         for window, contents in windows.items():
-            one = len(contents) == 1
-            self.expect(one, 'WINDOW', f'{window} {contents}')
+            unique = len(contents) == 1
+            self.expect(unique, 'WINDOW', f'{window} {contents}')
 
     def check_orders(self, orders: list[tuple[float, str, int]]) -> None:
-        """Check that no two holders ordered within one lease time."""
-        before: tuple[float, str, int] | None = None
-        for when, holder, generation in sorted(orders):
-            if before is not None and holder != before[1]:
-                gap = when - before[0]
-                apart = gap >= LEASE_SECONDS - _SLACK_SECONDS
-                self.expect(apart, 'HOLDERS', f'{before} then {holder} {gap}')
-            if before is not None:
-                grown = generation >= before[2]
-                self.expect(grown, 'GENERATION', f'{before} {generation}')
-            before = (when, holder, generation)
+        """Check that two holders never send orders within one lease time."""
+        previous: tuple[float, str, int] | None = None
+        for at, holder, generation in sorted(orders):
+            if previous is not None and holder != previous[1]:
+                gap = at - previous[0]
+                far_apart = gap >= LEASE_SECONDS - _SLACK_SECONDS
+                self.expect(
+                    far_apart, 'HOLDERS', f'{previous} then {holder} {gap}'
+                )
+            if previous is not None:
+                not_older = generation >= previous[2]
+                self.expect(not_older, 'GENERATION', f'{previous} {generation}')
+            previous = (at, holder, generation)
--- a/standins/platform/duties.py
+++ b/standins/platform/duties.py
@@ -1,4 +1,4 @@
-"""Where the platform takes usage reports; keeps what came from whom."""
+"""Server that receives usage reports and records who sent them."""
 
 from typing import Any, Final
 
@@ -11,8 +11,8 @@
 WINDOW_SECONDS: Final = 2
 
 
-class Duties:
-    """The platform's address for calls that one instance makes for all."""
+class DutyServer:
+    """Stand-in for the platform's API that one elected instance calls."""
 
     def __init__(self, address: str) -> None:
         self.reports: list[tuple[float, str, int]] = []
@@ -21,7 +21,7 @@
         self._server = HttpServer(address, self._clock, self._handle)
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server.start()
 
     def _handle(self, exchange: Exchange) -> None:
--- a/standins/platform/fleet.py
+++ b/standins/platform/fleet.py
@@ -1,4 +1,4 @@
-"""Daemons as separate processes, each on a loopback address of its own."""
+"""Daemon processes, each on its own loopback address."""
 
 import os
 import pathlib
@@ -41,7 +41,7 @@
 
 
 class Daemon:
-    """One guavagated process; `faults` are when and what was done to it."""
+    """A guavagated process; `faults` has the time and kind of each fault."""
 
     def __init__(
         self,
@@ -49,12 +49,12 @@
         ip: str,
         store: str,
         folder: pathlib.Path,
-        duties: str = '',
+        duty_address: str = '',
     ) -> None:
-        self._duties = duties
+        self._duty_address = duty_address
         self.name = name
         self.ip = ip
-        self.entry = name.startswith('entry')
+        self.is_entry = name.startswith('entry')
         self.address = f'{ip}:8263'
         self.faults: list[tuple[float, str]] = []
         self._store = store
@@ -63,7 +63,10 @@
         self._first = True
 
     def start(self) -> None:
-        """Start the process, unless another fault has done so."""
+        """Start the process unless it already runs.
+
+        Faults overlap, so another one may have started it.
+        """
         if self._process is not None and self._process.poll() is None:
             return
         listen = f'front = "{self.address}"\nready = "{self.ip}:8268"'
@@ -72,10 +75,10 @@
             name=self.name,
             ip=self.ip,
             first=str(self._first).lower(),
-            disk='' if self.entry else 'data-dir = "/nowhere"',
-            listen=listen if self.entry else '',
+            disk='' if self.is_entry else 'data-dir = "/nowhere"',
+            listen=listen if self.is_entry else '',
             store=self._store,
-            duties=self._duties,
+            duties=self._duty_address,
             revoke=REVOKE_SECONDS * 1000,
             window=WINDOW_SECONDS,
         )
@@ -94,29 +97,29 @@
                 stderr=log,
             )
 
-    def send(self, number: signal.Signals) -> subprocess.Popen | None:
-        """Send a signal; return the process, if there is one."""
+    def send_signal(self, number: signal.Signals) -> subprocess.Popen | None:
+        """Send a signal and return the process if it is running."""
         process = self._process
         if process is None or process.poll() is not None:
             return None
         process.send_signal(number)
         return process
 
-    def end(self) -> None:
-        """End it for good."""
-        self.send(signal.SIGCONT)
-        wait_ended(self.send(signal.SIGKILL), 5)
+    def kill(self) -> None:
+        """Kill the process and wait for its exit."""
+        self.send_signal(signal.SIGCONT)
+        wait_for_exit(self.send_signal(signal.SIGKILL), 5)
 
-    def suffered(self, since: float) -> set[str]:
-        """Return what was done to it since a time."""
+    def list_faults_since(self, since: float) -> set[str]:
+        """Return the kinds of faults that were injected since a time."""
         return {what for when, what in self.faults if when >= since}
 
 
-def wait_ended(process: subprocess.Popen | None, limit: float) -> bool:
-    """Wait for a process's end; return whether it came in so many seconds.
+def wait_for_exit(process: subprocess.Popen | None, limit: float) -> bool:
+    """Wait for a process to exit; return whether it did within the limit.
 
-    Faults overlap: by then another one may have started the daemon again, so
-    the process is waited for and not the daemon.
+    Takes the process and not the daemon: faults overlap, and another fault may
+    have restarted the daemon in the meantime.
     """
     until = time.monotonic() + limit
     while process is not None and process.poll() is None:
--- a/standins/platform/manifest.py
+++ b/standins/platform/manifest.py
@@ -1,18 +1,18 @@
-"""The manifests that the soak's operator writes."""
+"""Manifests that the soak test writes as the operator."""
 
 from typing import Any, Final
 
 TEAM: Final = 'blue'
-KEY: Final = 'key-that-stays'
+PERMANENT_KEY: Final = 'key-that-stays'
 
 
-def make_passing_key(version: int) -> str:
-    """Return a key that only this version and the next one know."""
+def make_expiring_key(version: int) -> str:
+    """Return a key that is valid in this version and the next one only."""
     return f'key-of-{version}'
 
 
 def make_manifest(version: int, model: str) -> dict[str, Any]:
-    """Return a manifest; each version has a route of its own."""
+    """Return a manifest; each version has a route that only it defines."""
     common = {'host': 'soak.example', 'target-latency-ms': 200}
     routes = [
         {'path-prefix': '/ask/', 'route-type': 'idempotent'},
@@ -50,9 +50,9 @@
             {
                 'name': TEAM,
                 'api-keys': [
-                    KEY,
-                    make_passing_key(version - 1),
-                    make_passing_key(version),
+                    PERMANENT_KEY,
+                    make_expiring_key(version - 1),
+                    make_expiring_key(version),
                 ],
             }
         ],
--- a/standins/platform/proxy.py
+++ b/standins/platform/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy that delays, resets or silences what passes."""
+"""TCP proxy that can delay, reset or stall connections."""
 
 import contextlib
 from typing import Final
@@ -11,16 +11,16 @@
 
 
 class Proxy:
-    """Passes connections on; `trouble` is empty, delay, reset or silent."""
+    """Forwards connections; `fault` is empty, delay, reset or silent."""
 
     def __init__(self, address: str, target: str) -> None:
         host, _, port = address.rpartition(':')
         self._target = target
-        self.trouble = ''
+        self.fault = ''
         self._server = StreamServer((host, int(port)), self._serve)
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server.start()
 
     def _serve(self, sock: socket.socket, _: object) -> None:
@@ -39,11 +39,11 @@
         with contextlib.suppress(OSError):
             while True:
                 data = one.recv(_BYTES)
-                if self.trouble == 'reset' or not data:
+                if self.fault == 'reset' or not data:
                     break
-                while self.trouble == 'silent':
+                while self.fault == 'silent':
                     gevent.sleep(0.05)
-                if self.trouble == 'delay':
+                if self.fault == 'delay':
                     gevent.sleep(0.2)
                 other.sendall(data)
         for sock in (one, other):
--- a/standins/platform/sampler.py
+++ b/standins/platform/sampler.py
@@ -1,6 +1,7 @@
-"""Samplers and plain services of the platform, in one task each.
+"""Stand-ins for samplers and plain services of the platform.
 
-A sampler's text tells its own story: each event is `ID/NUMBER/VERSION`.
+Each event of a sampler's text is `ID/NUMBER/VERSION`, so that the checks can
+tell from the text alone which item, event and model version it belongs to.
 """
 
 import random
@@ -29,22 +30,23 @@
 
 
 class Journal:
-    """What all samplers have seen; the checks read it."""
+    """Records what all samplers received, for the checks."""
 
     def __init__(self) -> None:
         self.runs: Counter[str] = Counter()
-        # What samplers were told of whose requests they run.
+        # Number of requests by the team that they were sent for.
         self.teams: Counter[str] = Counter()
         self.keys_seen = 0
         self.orders: list[tuple[float, str, int]] = []
-        # When a reward request came, by the seal that answered it, and when
-        # the last event of an item was first made.
-        self.rated: dict[str, tuple[str, float]] = {}
-        self.whole_at: dict[str, float] = {}
+        # Name and arrival time of each reward request, by the seal that
+        # answered it.
+        self.rewards: dict[str, tuple[str, float]] = {}
+        # When the last event of an item was first sent.
+        self.completed_at: dict[str, float] = {}
 
 
 class Sampler:
-    """One process of a service; `model` is empty for a plain one."""
+    """One upstream of a service; `model` is empty for a plain service."""
 
     def __init__(
         self,
@@ -58,10 +60,10 @@
         self.name = name
         self.model = model
         self.version = 1
-        self.cut = float(0)
-        self.starts = 0
-        self._born = _read_millis()
-        self._orders = 0
+        self.abort_probability = float(0)
+        self.restarts = 0
+        self._started_at_ms = _read_millis()
+        self._accepted_orders = 0
         self._loading = False
         self._journal = journal
         self._store = store
@@ -77,24 +79,24 @@
         self._server: HttpServer | None = None
 
     def listen(self, address: str) -> None:
-        """Serve at an address that may differ from the registered one."""
+        """Set the address to serve at, which a proxy may stand before."""
         self._server = HttpServer(address, self._clock, self._handle)
 
     def start(self) -> None:
-        """Listen and register."""
+        """Start listening and register with the platform's store."""
         if self._server is not None:
             self._server.start()
         self._register()
 
     def restart(self) -> None:
-        """Start again under the same id; nothing of before is known."""
-        self.starts += 1
-        self._born = _read_millis()
-        self._orders = 0
+        """Simulate a restart under the same id that loses all state."""
+        self.restarts += 1
+        self._started_at_ms = _read_millis()
+        self._accepted_orders = 0
         self._loading = False
         self._register()
 
-    def _models(self) -> list[dict[str, Any]]:
+    def _list_models(self) -> list[dict[str, Any]]:
         if not self.model:
             return []
         return [{'name': self.model, 'version': self.version}]
@@ -102,8 +104,8 @@
     def _register(self) -> None:
         entry = {
             **self._entry,
-            'models': self._models(),
-            'born': self._born,
+            'models': self._list_models(),
+            'born': self._started_at_ms,
         }
         self._store.write('servers', self.name, entry)
 
@@ -113,45 +115,45 @@
         if target and target != self.name:
             exchange.respond(_MISDIRECTED, [(const.NOT_RUN, b'1')], b'')
         elif exchange.request.target == '/report':
-            self._report(exchange)
+            self._send_report(exchange)
         elif exchange.request.target == '/order':
-            self._order(exchange, msgspec.json.decode(body))
+            self._handle_order(exchange, msgspec.json.decode(body))
         else:
-            self._note_team(exchange)
+            self._record_team(exchange)
             self._serve(exchange, exchange.get_header(const.REQUEST_ID.lower()))
 
-    def _note_team(self, exchange: Exchange) -> None:
+    def _record_team(self, exchange: Exchange) -> None:
         self._journal.teams[exchange.get_header(const.TENANT.lower())] += 1
         self._journal.keys_seen += bool(
             exchange.get_header(const.AUTHORIZATION)
         )
 
-    def _report(self, exchange: Exchange) -> None:
+    def _send_report(self, exchange: Exchange) -> None:
         report = {
-            'models': self._models(),
+            'models': self._list_models(),
             'busy': self._loading,
-            'seq': self._orders,
-            'born': self._born,
+            'seq': self._accepted_orders,
+            'born': self._started_at_ms,
         }
         exchange.respond(200, [], msgspec.json.encode(report))
 
-    def _order(self, exchange: Exchange, order: dict[str, Any]) -> None:
+    def _handle_order(self, exchange: Exchange, order: dict[str, Any]) -> None:
         now = self._clock.now()
         self._journal.orders.append((now, order['holder'], order['fence']))
         if order['version'] <= self.version:
             exchange.respond(200, [], b'')
             return
-        if self._loading or order['precondition'] != self._orders:
+        if self._loading or order['precondition'] != self._accepted_orders:
             exchange.respond(_BUSY, [], b'')
             return
-        self._orders += 1
+        self._accepted_orders += 1
         self._loading = True
-        gevent.spawn(self._load, order['version'], self.starts)
+        gevent.spawn(self._load, order['version'], self.restarts)
         exchange.respond(_ACCEPTED, [], b'')
 
-    def _load(self, version: int, start: int) -> None:
+    def _load(self, version: int, restarts: int) -> None:
         gevent.sleep(_LOAD_SECONDS)
-        if start != self.starts:
+        if restarts != self.restarts:
             return
         self.version = version
         self._loading = False
@@ -174,32 +176,32 @@
             return
 
     def _answer(self, exchange: Exchange, name: str, headers: Headers) -> None:
-        came = self._clock.now()
+        received_at = self._clock.now()
         gevent.sleep(self._random.uniform(0.005, 0.03))
-        if self._random.random() < self.cut:
+        if self._random.random() < self.abort_probability:
             exchange.abort()
             return
         seal = f'{self.name}.{self._random.getrandbits(48):x}'
-        self._journal.rated[seal] = (name, came)
+        self._journal.rewards[seal] = (name, received_at)
         headers = [*headers, (const.SEAL, seal.encode())]
         exchange.respond(200, headers, f'answer to {name}'.encode())
 
     def _stream(self, exchange: Exchange, name: str, last: int) -> None:
-        shown = self.version
-        start = self.starts
+        announced = self.version
+        restarts = self.restarts
         for number in range(last + 1, count_events(name) + 1):
             gevent.sleep(0.03)
-            broken = self._random.random() < self.cut / 10
-            if broken or start != self.starts:
+            aborts = self._random.random() < self.abort_probability / 10
+            if aborts or restarts != self.restarts:
                 exchange.abort()
                 return
             lines = [f'id: {number}', f'data: {name}/{number}/{self.version}']
-            if self.version != shown:
-                shown = self.version
-                lines.insert(0, f'{const.VERSION.decode()}: {shown}')
+            if self.version != announced:
+                announced = self.version
+                lines.insert(0, f'{const.VERSION.decode()}: {announced}')
             text = '\n'.join(lines)
             exchange.send(f'{text}\n\n'.encode())
-        self._journal.whole_at.setdefault(name, self._clock.now())
+        self._journal.completed_at.setdefault(name, self._clock.now())
         exchange.end()
 
 
@@ -208,6 +210,6 @@
 
 
 def count_events(item: str) -> int:
-    """Return how many events an item's text has; a few are long."""
+    """Return the number of events of an item's text; a few are long."""
     draw = random.Random(item)
     return draw.randint(30, 60) if draw.random() < 0.1 else draw.randint(3, 12)
--- a/standins/platform/soak.py
+++ b/standins/platform/soak.py
@@ -1,7 +1,7 @@
-"""A fault soak: real daemons, faults from outside, promises checked meanwhile.
+"""Soak test: runs real daemons, injects faults and checks the guarantees.
 
-One seed is one run: its faults, their times and overlaps follow from it. All
-processes are on loopback addresses; it ends only those that it started.
+The seed determines the faults, their times and overlaps. All processes use
+loopback addresses; the test ends only processes that it started.
 """
 
 import contextlib
@@ -18,13 +18,13 @@
 from guavagate.http1 import Answer, ConnectionPool, Headers, Request
 from guavagate.platform import const
 from standins.platform.checks import Verdict
-from standins.platform.duties import Duties
-from standins.platform.fleet import REVOKE_SECONDS, Daemon, wait_ended
+from standins.platform.duties import DutyServer
+from standins.platform.fleet import REVOKE_SECONDS, Daemon, wait_for_exit
 from standins.platform.manifest import (
-    KEY,
+    PERMANENT_KEY,
     TEAM,
+    make_expiring_key,
     make_manifest,
-    make_passing_key,
 )
 from standins.platform.proxy import Proxy
 from standins.platform.sampler import Journal, Sampler
@@ -34,24 +34,24 @@
 _HOST: Final = (b'Host', b'soak.example')
 _OK: Final = 200
 _NOT_RUN: Final = frozenset((408, 421, 429, 503))
-_WARM_SECONDS: Final = 6.0
-_QUIET_SECONDS: Final = 12.0
-_PLANNED_SECONDS: Final = 10.0
+_WARM_UP_SECONDS: Final = 6.0
+_SETTLE_SECONDS: Final = 12.0
+_PLANNED_STOP_SECONDS: Final = 10.0
 _ENTRIES: Final = 3
 _WORKERS: Final = 2
 _SAMPLERS: Final = 3
-_DESKS: Final = 2
-# What a planned stop is given, and a little for a busy machine.
+_PLAIN_UPSTREAMS: Final = 2
+# The grace period of a planned stop and a margin for a busy machine.
 STOP_SECONDS: Final = 9
 
 
 class Soak:
-    """One run of one seed.
+    """A run of the soak test with one seed.
 
     Parameters
     ----------
     block
-        Third byte of the loopback addresses, so that runs go side by side.
+        Third byte of the loopback addresses, different for parallel runs.
     """
 
     def __init__(self, seed: int, block: int, folder: pathlib.Path) -> None:
@@ -63,12 +63,15 @@
         self._stopped = False
         self._version = 1
         self._block = block
-        self.store = Store(self._place(250, 8000), seed)
-        self.duties = Duties(self._place(249, 8000))
-        self._passed: list[tuple[float, str]] = []
-        self.proxies = [Proxy(self._place(251, 8000), self._place(250, 8000))]
+        self.store = Store(self._make_address(250, 8000), seed)
+        self.duty_server = DutyServer(self._make_address(249, 8000))
+        self._revoked_keys: list[tuple[float, str]] = []
+        self.proxies = [
+            Proxy(self._make_address(251, 8000), self._make_address(250, 8000))
+        ]
         self.samplers = [
-            self._make_sampler(number) for number in range(_SAMPLERS + _DESKS)
+            self._make_sampler(number)
+            for number in range(_SAMPLERS + _PLAIN_UPSTREAMS)
         ]
         names = [f'entry-{number}' for number in range(_ENTRIES)]
         names += [f'worker-{number}' for number in range(_WORKERS)]
@@ -76,36 +79,45 @@
             Daemon(
                 name,
                 f'127.0.{block}.{number}',
-                self._place(251, 8000),
+                self._make_address(251, 8000),
                 folder,
-                self._place(249, 8000),
+                self._make_address(249, 8000),
             )
             for number, name in enumerate(names, 1)
         ]
         self._pool = ConnectionPool(self.clock)
         self.trainer = Trainer(
-            self.clock, self.random, self.verdict, self.store, self._call_any
+            self.clock,
+            self.random,
+            self.verdict,
+            self.store,
+            self._call_any_entry,
         )
 
-    def _place(self, last: int, port: int) -> str:
+    def _make_address(self, last: int, port: int) -> str:
         return f'127.0.{self._block}.{last}:{port}'
 
     def _make_sampler(self, number: int) -> Sampler:
         model = MODEL if number < _SAMPLERS else ''
-        target = self._place(100 + number, 9000)
-        shown = self._place(150 + number, 9000)
-        self.proxies.append(Proxy(shown, target))
+        target = self._make_address(100 + number, 9000)
+        proxy_address = self._make_address(150 + number, 9000)
+        self.proxies.append(Proxy(proxy_address, target))
         service = 'llm' if model else 'desk'
         sampler = Sampler(
-            f'i-{number}', service, shown, self.store, self.journal, model
+            f'i-{number}',
+            service,
+            proxy_address,
+            self.store,
+            self.journal,
+            model,
         )
         sampler.listen(target)
         return sampler
 
     def run(self, seconds: float) -> Verdict:
-        """Run for so many seconds, then check what must still be there."""
+        """Inject faults for a time, then check the final state."""
         self.store.start()
-        self.duties.start()
+        self.duty_server.start()
         for start in (
             *(proxy.start for proxy in self.proxies),
             *(sampler.start for sampler in self.samplers),
@@ -114,46 +126,46 @@
             start()
         self._configure()
         try:
-            gevent.sleep(_WARM_SECONDS)
+            gevent.sleep(_WARM_UP_SECONDS)
             tasks = [
                 gevent.spawn(run)
                 for run in (
-                    self._ask,
-                    self._ask,
-                    self._ask_too_late,
-                    self._file,
+                    self._send_idempotent_requests,
+                    self._send_idempotent_requests,
+                    self._send_revoked_keys,
+                    self._send_non_idempotent_requests,
                     self.trainer.run,
                 )
             ]
-            self._trouble(seconds)
+            self._inject_faults(seconds)
             self._stopped = True
             self.trainer.stop()
-            gevent.sleep(_QUIET_SECONDS)
+            gevent.sleep(_SETTLE_SECONDS)
             gevent.killall(tasks)
             self._check_end()
         finally:
             for daemon in self.daemons:
-                daemon.end()
+                daemon.kill()
         return self.verdict
 
     def _configure(self) -> None:
         self._version += 1
         manifest = make_manifest(self._version, MODEL)
         self.store.write('config', 'main', manifest)
-        passed = make_passing_key(self._version - 2)
-        self._passed.append((self.clock.now(), passed))
+        revoked_key = make_expiring_key(self._version - 2)
+        self._revoked_keys.append((self.clock.now(), revoked_key))
 
     # Faults.
 
-    def _trouble(self, seconds: float) -> None:
+    def _inject_faults(self, seconds: float) -> None:
         until = self.clock.now() + seconds
         kinds: list[Callable[[], None]] = [
             self._kill,
             self._stop,
             self._pause,
-            self._harm_store,
-            self._harm_way,
-            self._harm_samplers,
+            self._disturb_store,
+            self._disturb_connections,
+            self._cut_streams,
             self._restart_sampler,
             self._configure,
         ]
@@ -161,7 +173,7 @@
             gevent.spawn(self.random.choice(kinds))
             gevent.sleep(self.random.uniform(0.3, 2.5))
 
-    def _note(self, what: str, daemon: Daemon | None = None) -> None:
+    def _record_fault(self, what: str, daemon: Daemon | None = None) -> None:
         now = self.clock.now()
         if daemon is None:
             self.faults.append((now, what))
@@ -170,60 +182,60 @@
 
     def _kill(self) -> None:
         daemon = self.random.choice(self.daemons)
-        self._note('kill', daemon)
-        if wait_ended(daemon.send(signal.SIGKILL), 5):
+        self._record_fault('kill', daemon)
+        if wait_for_exit(daemon.send_signal(signal.SIGKILL), 5):
             gevent.sleep(self.random.uniform(0.1, 1.5))
             daemon.start()
-            self._note('kill', daemon)
+            self._record_fault('kill', daemon)
 
     def _stop(self) -> None:
         daemon = self.random.choice(self.daemons)
-        self._note('stop', daemon)
-        if not wait_ended(daemon.send(signal.SIGTERM), STOP_SECONDS):
-            if not daemon.suffered(self.clock.now() - 12) - {'stop'}:
-                self.verdict.fail('STOP', f'{daemon.name} outlasted its time')
-            wait_ended(daemon.send(signal.SIGKILL), 5)
+        self._record_fault('stop', daemon)
+        if not wait_for_exit(daemon.send_signal(signal.SIGTERM), STOP_SECONDS):
+            if not daemon.list_faults_since(self.clock.now() - 12) - {'stop'}:
+                self.verdict.fail('STOP', f'{daemon.name} did not stop in time')
+            wait_for_exit(daemon.send_signal(signal.SIGKILL), 5)
         daemon.start()
 
     def _pause(self) -> None:
         daemon = self.random.choice(self.daemons)
-        self._note('pause', daemon)
-        daemon.send(signal.SIGSTOP)
+        self._record_fault('pause', daemon)
+        daemon.send_signal(signal.SIGSTOP)
         gevent.sleep(self.random.uniform(0.5, 4))
-        daemon.send(signal.SIGCONT)
-        self._note('pause', daemon)
+        daemon.send_signal(signal.SIGCONT)
+        self._record_fault('pause', daemon)
 
-    def _harm_store(self) -> None:
-        self._note('store')
-        self.store.trouble = self.random.choice(
+    def _disturb_store(self) -> None:
+        self._record_fault('store')
+        self.store.fault = self.random.choice(
             ('busy', 'silent', 'lost', 'slow')
         )
         gevent.sleep(self.random.uniform(0.5, 3))
-        self.store.trouble = ''
-        self._note('store')
+        self.store.fault = ''
+        self._record_fault('store')
 
-    def _harm_way(self) -> None:
-        self._note('way')
+    def _disturb_connections(self) -> None:
+        self._record_fault('way')
         proxy = self.random.choice(self.proxies)
-        proxy.trouble = self.random.choice(('delay', 'reset', 'silent'))
+        proxy.fault = self.random.choice(('delay', 'reset', 'silent'))
         gevent.sleep(self.random.uniform(0.3, 2))
-        proxy.trouble = ''
-        self._note('way')
+        proxy.fault = ''
+        self._record_fault('way')
 
-    def _harm_samplers(self) -> None:
-        self._note('samplers')
+    def _cut_streams(self) -> None:
+        self._record_fault('samplers')
         for sampler in self.samplers:
-            sampler.cut = self.random.choice((0, 0.2))
+            sampler.abort_probability = self.random.choice((0, 0.2))
         gevent.sleep(2)
         for sampler in self.samplers:
-            sampler.cut = 0
-        self._note('samplers')
+            sampler.abort_probability = 0
+        self._record_fault('samplers')
 
     def _restart_sampler(self) -> None:
-        self._note('samplers')
+        self._record_fault('samplers')
         self.random.choice(self.samplers).restart()
         gevent.sleep(1)
-        self._note('samplers')
+        self._record_fault('samplers')
 
     # Callers.
 
@@ -234,7 +246,7 @@
         target: str,
         name: str,
         body: bytes = b'',
-        key: str = KEY,
+        key: str = PERMANENT_KEY,
     ) -> tuple[int, bytes, Answer]:
         headers: Headers = [
             _HOST,
@@ -248,21 +260,23 @@
         with gevent.Timeout(6, UpstreamError('late', 'look')):
             return answer.status, answer.read(), answer
 
-    def _call_any(
+    def _call_any_entry(
         self, method: str, target: str, name: str, body: bytes = b''
     ) -> tuple[int, bytes]:
-        status, answer, _ = self._call(self._pick(), method, target, name, body)
+        status, answer, _ = self._call(
+            self._pick_entry(), method, target, name, body
+        )
         return status, answer
 
-    def _pick(self) -> Daemon:
+    def _pick_entry(self) -> Daemon:
         return self.random.choice(self.daemons[:_ENTRIES])
 
-    def _ask(self) -> None:
-        """Ask what may be repeated; each answer is one's own and whole."""
+    def _send_idempotent_requests(self) -> None:
+        """Send idempotent requests and check that each answer is theirs."""
         while True:
             gevent.sleep(self.random.uniform(0.02, 0.1))
             name = f'a{self.random.getrandbits(48):x}'
-            daemon, began = self._pick(), self.clock.now()
+            daemon, began = self._pick_entry(), self.clock.now()
             try:
                 status, body, _ = self._call(
                     daemon, 'POST', f'/ask/{name}', name, b'x'
@@ -273,65 +287,76 @@
                 self._check_cut(daemon, began, error)
                 continue
             if status == _OK:
-                whole = body == f'answer to {name}'.encode()
-                self.verdict.expect(whole, 'ANSWER', f'{name} {body!r}')
+                matches = body == f'answer to {name}'.encode()
+                self.verdict.expect(matches, 'ANSWER', f'{name} {body!r}')
 
-    def _ask_too_late(self) -> None:
-        """Ask with a key that was taken away longer ago than its bound."""
+    def _send_revoked_keys(self) -> None:
+        """Send requests with a key whose revocation bound has passed."""
         while True:
             gevent.sleep(self.random.uniform(0.05, 0.2))
             before = self.clock.now() - REVOKE_SECONDS
-            gone = [key for when, key in self._passed if when < before]
-            if not gone:
+            expired = [key for when, key in self._revoked_keys if when < before]
+            if not expired:
                 continue
             name = f'k{self.random.getrandbits(48):x}'
             with contextlib.suppress(UpstreamError):
                 self._call(
-                    self._pick(), 'POST', f'/ask/{name}', name, b'x', gone[-1]
+                    self._pick_entry(),
+                    'POST',
+                    f'/ask/{name}',
+                    name,
+                    b'x',
+                    expired[-1],
                 )
             gevent.spawn_later(3, self._check_revoked, name)
 
     def _check_revoked(self, name: str) -> None:
-        ran = self.journal.runs[name]
-        self.verdict.expect(not ran, 'REVOKED', f'{name} ran {ran} times')
+        run_count = self.journal.runs[name]
+        self.verdict.expect(
+            not run_count, 'REVOKED', f'{name} ran {run_count} times'
+        )
 
     def _check_cut(
         self, daemon: Daemon, began: float, error: UpstreamError
     ) -> None:
-        """Check that a planned stop alone has cut no request."""
-        since = began - _PLANNED_SECONDS
-        others = {what for when, what in self.faults if when >= since}
-        mine = daemon.suffered(since)
-        if mine <= {'stop'} and not others:
-            self.verdict.fail('CUT', f'{daemon.name} {mine} {error}')
-
-    def _file(self) -> None:
-        """File what may run once; a refusal means that it has not."""
+        """Report a cut request unless another fault explains it."""
+        since = began - _PLANNED_STOP_SECONDS
+        other_faults = {what for when, what in self.faults if when >= since}
+        own_faults = daemon.list_faults_since(since)
+        if own_faults <= {'stop'} and not other_faults:
+            self.verdict.fail('CUT', f'{daemon.name} {own_faults} {error}')
+
+    def _send_non_idempotent_requests(self) -> None:
+        """Send requests that may run once; a refused one must not have run."""
         while True:
             gevent.sleep(self.random.uniform(0.05, 0.2))
             name = f'f{self.random.getrandbits(48):x}'
             status = 0
             with contextlib.suppress(UpstreamError):
                 status, _, _ = self._call(
-                    self._pick(), 'POST', f'/file/{name}', name, b'x'
+                    self._pick_entry(), 'POST', f'/file/{name}', name, b'x'
                 )
             if status in _NOT_RUN:
                 gevent.spawn_later(3, self._check_not_run, name)
             gevent.spawn_later(3, self._check_once, name)
 
     def _check_not_run(self, name: str) -> None:
-        ran = self.journal.runs[name]
-        self.verdict.expect(not ran, 'NOT RUN', f'{name} ran {ran} times')
+        run_count = self.journal.runs[name]
+        self.verdict.expect(
+            not run_count, 'NOT RUN', f'{name} ran {run_count} times'
+        )
 
     def _check_once(self, name: str) -> None:
-        ran = self.journal.runs[name]
-        self.verdict.expect(ran <= 1, 'TWICE', f'{name} ran {ran} times')
+        run_count = self.journal.runs[name]
+        self.verdict.expect(
+            run_count <= 1, 'TWICE', f'{name} ran {run_count} times'
+        )
 
     def _check_end(self) -> None:
-        """All that was accepted and listed is there, at every entry."""
+        """Check that accepted jobs and the last manifest are still served."""
         for number in range(self.trainer.step):
             job = f'j{number}'
-            if not self.verdict.listed(job):
+            if not self.verdict.count_read(job):
                 continue
             status = self.trainer.read(job, 0)
             self.verdict.expect(status == _OK, 'GONE', f'{job}: {status}')
@@ -346,8 +371,8 @@
                 status == _OK, 'CONFIG', f'{daemon.name} answers {status}'
             )
         self.verdict.check_orders(self.journal.orders)
-        self.verdict.check_orders(self.duties.reports)
-        self.verdict.check_windows(self.duties.windows)
-        reported = bool(self.duties.windows)
+        self.verdict.check_orders(self.duty_server.reports)
+        self.verdict.check_windows(self.duty_server.windows)
+        reported = bool(self.duty_server.windows)
         self.verdict.expect(reported, 'UNREPORTED', 'no window was reported')
         self.verdict.check_teams(self.journal, TEAM)
--- a/standins/platform/store.py
+++ b/standins/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store, in one task; it can be slow, down or lose answers."""
+"""Stand-in for the platform's store that can be slow, down or lose answers."""
 
 import random
 from typing import Any, Final
@@ -20,28 +20,28 @@
 
 
 class Store:
-    """Objects by kind and name, with one revision counter and watches."""
+    """Stores objects by kind and name, with a shared revision and watches."""
 
     def __init__(self, address: str, seed: int) -> None:
         self.kinds: dict[str, dict[str, dict[str, Any]]] = {}
         self.history: list[tuple[str, int, dict[str, Any], bool]] = []
         self.revision = 1
-        self.trouble = ''
+        self.fault = ''
         self._changed = Event()
         self._random = random.Random(seed)
         self._clock = SystemClock()
         self._server = HttpServer(address, self._clock, self._handle)
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server.start()
 
     def write(
         self, kind: str, name: str, spec: Any, *, delete: bool = False
     ) -> dict[str, Any]:
-        """Write or remove an object, as the operator and samplers do."""
+        """Write or delete an object on behalf of the operator or a sampler."""
         self.revision += 1
-        held = {
+        stored = {
             'metadata': {'name': name, 'revision': self.revision},
             'spec': spec,
             'status': None,
@@ -50,28 +50,28 @@
         if delete:
             objects.pop(name, None)
         else:
-            objects[name] = held
-        self.history.append((kind, self.revision, held, delete))
+            objects[name] = stored
+        self.history.append((kind, self.revision, stored, delete))
         self._changed.set()
         self._changed = Event()
-        return held
+        return stored
 
     def _handle(self, exchange: Exchange) -> None:
         body = exchange.read_body(2_000_000)
-        if self.trouble == 'busy':
+        if self.fault == 'busy':
             exchange.respond(_DOWN, [], b'')
             return
-        if self.trouble == 'silent':
+        if self.fault == 'silent':
             gevent.sleep(3)
             exchange.abort()
             return
         status, answer = self._answer(exchange, body)
         writes = exchange.request.method != 'GET'
-        lost = self._random.random() < _LOST_SHARE
-        if self.trouble == 'lost' and writes and lost:
+        drop_answer = self._random.random() < _LOST_SHARE
+        if self.fault == 'lost' and writes and drop_answer:
             exchange.abort()
             return
-        if self.trouble == 'slow':
+        if self.fault == 'slow':
             gevent.sleep(0.3)
         exchange.respond(status, [_JSON], msgspec.json.encode(answer))
 
@@ -85,8 +85,8 @@
         if method == 'GET' and len(path) == 1:
             return _OK, self._list(path[0])
         if method == 'GET':
-            held = self.kinds.get(path[0], {}).get(path[1])
-            return (_MISSING, {}) if held is None else (_OK, held)
+            stored = self.kinds.get(path[0], {}).get(path[1])
+            return (_MISSING, {}) if stored is None else (_OK, stored)
         if method == 'DELETE':
             return _OK, self.write(path[0], path[1], None, delete=True)
         return self._put(method, path, msgspec.json.decode(body))
@@ -95,17 +95,17 @@
         self, method: str, path: list[str], sent: dict[str, Any]
     ) -> tuple[int, Any]:
         kind, name = path[0], sent['metadata']['name']
-        held = self.kinds.get(kind, {}).get(name)
-        if method == 'POST' and held is not None:
-            return _CONFLICT, held
-        if method == 'PUT' and held is None:
+        stored = self.kinds.get(kind, {}).get(name)
+        if method == 'POST' and stored is not None:
+            return _CONFLICT, stored
+        if method == 'PUT' and stored is None:
             return _MISSING, {}
         expected = sent['metadata'].get('revision')
-        if held is not None and expected not in {
+        if stored is not None and expected not in {
             None,
-            held['metadata']['revision'],
+            stored['metadata']['revision'],
         }:
-            return _CONFLICT, held
+            return _CONFLICT, stored
         return _OK, self.write(kind, name, sent.get('spec'))
 
     def _list(self, kind: str) -> dict[str, Any]:
@@ -121,11 +121,11 @@
         until = self._clock.now() + int(query['wait-ms']) / 1000
         while True:
             found = [
-                {'object': held, 'deleted': deleted}
-                for of, revision, held, deleted in self.history
+                {'object': stored, 'deleted': deleted}
+                for of, revision, stored, deleted in self.history
                 if of == kind and revision > since
             ]
             left = until - self._clock.now()
-            if found or left <= 0 or self.trouble:
+            if found or left <= 0 or self.fault:
                 return {'events': found, 'store-revision': self.revision}
             self._changed.wait(left)
--- a/standins/platform/trainer.py
+++ b/standins/platform/trainer.py
@@ -1,4 +1,4 @@
-"""The soak's trainer: submits steps, reads them anyhow, and ends them."""
+"""Trainer of the soak test: submits steps, reads and deletes them."""
 
 import base64
 import random
@@ -17,12 +17,12 @@
 _OK: Final = 200
 _ACCEPTED: Final = 202
 
-# Sends method, target, request id and body to some entry.
+# Sends method, target, request id and body to a random entry.
 Call = Callable[..., tuple[int, bytes]]
 
 
 class Trainer:
-    """One trainer; what it reads is judged as it comes."""
+    """Submits steps one after the other and checks each page that it reads."""
 
     def __init__(
         self,
@@ -41,19 +41,19 @@
         self._stopped = False
 
     def stop(self) -> None:
-        """Submit nothing more."""
+        """Stop submitting steps."""
         self._stopped = True
 
     def run(self) -> None:
-        """Submit steps and read them until each is whole or late."""
+        """Submit steps and read each until it is complete or its time is up."""
         version = 1
         while not self._stopped:
             job = f'j{self.step}'
             items = {f'{job}-{number}' for number in range(12)}
-            self._verdict.submit(job, items, max(version - 1, 1))
+            self._verdict.record_submission(job, items, max(version - 1, 1))
             if self._submit(job, sorted(items), max(version - 1, 1)):
-                self._follow(job, self._clock.now() + 8)
-                self._end(job)
+                self._poll_results(job, self._clock.now() + 8)
+                self._delete_job(job)
             self.step += 1
             version += 1
             record = {'model': MODEL, 'version': version}
@@ -93,24 +93,26 @@
             gevent.sleep(0.3)
         return False
 
-    def _follow(self, job: str, until: float) -> None:
-        while self._clock.now() < until and self._verdict.listed(job) < 12:
-            self.read(job, self._random.randint(0, self._verdict.listed(job)))
+    def _poll_results(self, job: str, until: float) -> None:
+        while self._clock.now() < until and self._verdict.count_read(job) < 12:
+            self.read(
+                job, self._random.randint(0, self._verdict.count_read(job))
+            )
             gevent.sleep(0.3)
 
     def read(self, job: str, after: int) -> int:
-        """Read results from a position on; return the status, 0 for none."""
+        """Read results from a position on; return the status, 0 on failure."""
         try:
             status, body = self._call('GET', f'/lots/{job}?after={after}', job)
         except UpstreamError:
             return 0
         if status == _OK:
             page: dict[str, Any] = msgspec.json.decode(body)
-            self._verdict.read(job, after, page)
+            self._verdict.check_page(job, after, page)
         self._verdict.expect(status != 404, 'LOST', f'{job} is not known')
         return status
 
-    def _end(self, job: str) -> None:
+    def _delete_job(self, job: str) -> None:
         try:
             self._call('DELETE', f'/lots/{job}', job)
         except UpstreamError:
--- a/tests/standins/test_soak.py
+++ b/tests/standins/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's checks find what they are there for, and a short run is clean."""
+"""Tests that the soak test finds violations and that a short run has none."""
 
 import os
 import pathlib
@@ -9,7 +9,7 @@
 import gevent
 
 from standins.platform.checks import Verdict
-from standins.platform.fleet import Daemon, wait_ended
+from standins.platform.fleet import Daemon, wait_for_exit
 from standins.platform.sampler import Journal, count_events
 
 _ROOT = pathlib.Path(__file__).parents[2]
@@ -32,40 +32,42 @@
     }
 
 
-def _judge(*pages: list[dict[str, object]], whole_at: float = 0) -> list[str]:
+def _find_violations(
+    *pages: list[dict[str, object]], completed_at: float = 0
+) -> list[str]:
     journal = Journal()
-    journal.rated = {f's-{item}': (f'w-{item}', 5.0) for item in 'ikx'}
-    journal.whole_at['i'] = whole_at
+    journal.rewards = {f's-{item}': (f'w-{item}', 5.0) for item in 'ikx'}
+    journal.completed_at['i'] = completed_at
     verdict = Verdict(journal)
-    verdict.submit('j', {'i', 'k'}, 2)
+    verdict.record_submission('j', {'i', 'k'}, 2)
     for results in pages:
-        verdict.read('j', 0, {'total': 2, 'results': results})
+        verdict.check_page('j', 0, {'total': 2, 'results': results})
     return [each.partition(':')[0] for each in verdict.violations]
 
 
-def test_good_results_break_nothing() -> None:
-    """Read twice, and longer the second time."""
+def test_good_results_have_no_violations() -> None:
+    """A second page that repeats and extends the first one is valid."""
     one, two = _make_result('i'), _make_result('k')
-    assert not _judge([one], [one, two])
+    assert not _find_violations([one], [one, two])
 
 
-def test_each_broken_promise_is_found() -> None:
-    """Moved, doubled, cut, foreign, stale and wrongly named results."""
+def test_each_violation_of_results_is_found() -> None:
+    """Moved, repeated, cut, foreign, stale and wrongly signed results."""
     one, two = _make_result('i'), _make_result('k')
-    assert 'POSITION' in _judge([one], [two])
-    assert 'DOUBLED' in _judge([one, one])
-    assert 'TEXT' in _judge([{**one, 'text': 'i/1/2'}])
-    assert 'MIXED' in _judge([{**one, 'text': two['text']}])
-    assert 'FOREIGN' in _judge([_make_result('x')])
-    assert 'STALE' in _judge([_make_result('i', 1)])
-    assert 'VERSIONS' in _judge([{**one, 'versions': [3]}])
-    assert 'SIGNATURE' in _judge([{**one, 'score': 's-k'}])
-    assert 'SIGNATURE' in _judge([{**one, 'score': ''}])
-    assert 'EARLY' in _judge([one], whole_at=6)
-
-
-def test_two_holders_within_a_lease_are_found() -> None:
-    """And a generation that goes back."""
+    assert 'POSITION' in _find_violations([one], [two])
+    assert 'DOUBLED' in _find_violations([one, one])
+    assert 'TEXT' in _find_violations([{**one, 'text': 'i/1/2'}])
+    assert 'MIXED' in _find_violations([{**one, 'text': two['text']}])
+    assert 'FOREIGN' in _find_violations([_make_result('x')])
+    assert 'STALE' in _find_violations([_make_result('i', 1)])
+    assert 'VERSIONS' in _find_violations([{**one, 'versions': [3]}])
+    assert 'SIGNATURE' in _find_violations([{**one, 'score': 's-k'}])
+    assert 'SIGNATURE' in _find_violations([{**one, 'score': ''}])
+    assert 'EARLY' in _find_violations([one], completed_at=6)
+
+
+def test_orders_of_two_holders_within_a_lease_time_are_found() -> None:
+    """A generation that decreases is found as well."""
     journal = Journal()
     journal.orders = [(1.0, 'a', 2), (3.0, 'b', 1)]
     verdict = Verdict(journal)
@@ -74,8 +76,8 @@
     assert rules == {'HOLDERS', 'GENERATION'}
 
 
-def test_a_short_soak_is_clean() -> None:
-    """Five daemons, one seed, eight seconds of faults that overlap."""
+def test_a_short_soak_has_no_violations() -> None:
+    """Runs five daemons for eight seconds with overlapping faults."""
     ended = subprocess.run(
         [
             sys.executable,
@@ -97,31 +99,33 @@
     assert '0 violations' in ended.stdout
 
 
-def test_a_second_sigterm_cuts_no_planned_stop(
+def test_a_second_sigterm_does_not_end_a_planned_stop(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A supervisor sends SIGTERM again while the first one is carried out.
+    """A supervisor may send SIGTERM again during a planned stop.
 
-    Taken for "end now", it would cut the requests that the stop waits for.
+    Ending at once would cut the requests that the stop waits for.
     """
     daemon = Daemon('entry-0', '127.0.9.1', '127.0.9.250:8000', tmp_path)
     daemon.start()
     log = tmp_path / 'entry-0.log'
     try:
         gevent.sleep(_START_SECONDS)
-        process = daemon.send(signal.SIGTERM)
+        process = daemon.send_signal(signal.SIGTERM)
         gevent.sleep(0.1)
-        daemon.send(signal.SIGTERM)
-        assert wait_ended(process, _LIMIT_SECONDS)
+        daemon.send_signal(signal.SIGTERM)
+        assert wait_for_exit(process, _LIMIT_SECONDS)
     finally:
-        daemon.end()
+        daemon.kill()
     assert process is not None
     assert process.returncode == 0
     assert 'GG8030' in log.read_text()
 
 
-def test_a_window_with_two_contents_and_a_foreign_team_are_found() -> None:
-    """As is a key that a sampler was shown."""
+def test_a_window_with_two_contents_a_foreign_team_and_a_key_are_found() -> (
+    None
+):
+    """Samplers must receive neither another team's name nor a key."""
     journal = Journal()
     verdict = Verdict(journal)
     verdict.check_windows({7: [{'blue': 1}, {'blue': 2}], 8: [{}]})
