--- a/standins/_safeguard_jobs.py
+++ b/standins/_safeguard_jobs.py
@@ -14,7 +14,7 @@
         'tests/jobs/test_result_log.py',
     ),
     Safeguard(
-        'an item that was committed twice is read once',
+        'an item that was committed twice is returned once',
         'guavagate/jobs/_result_log.py',
         '            if result.id not in self.committed:\n',
         '            if True:\n',
@@ -28,14 +28,14 @@
         'tests/jobs/test_owner.py',
     ),
     Safeguard(
-        'a group that can not be in time is deferred',
+        'a group that can not complete in time is deferred',
         'guavagate/jobs/_forecast.py',
         '            out.deferred = True\n',
         '',
         'tests/jobs/test_forecast.py',
     ),
     Safeguard(
-        'the forecast counts samplers that load',
+        'the forecast counts samplers that are loading',
         'guavagate/jobs/_slots.py',
         '        if state.loading and not include_upcoming:\n',
         '        if state.loading:\n',
@@ -49,14 +49,14 @@
         'tests/jobs/test_stalls.py',
     ),
     Safeguard(
-        'a single stalled stream does not condemn its sampler',
+        'a single stalled stream does not make its sampler unresponsive',
         'guavagate/jobs/_stalls.py',
         'MIN_STALLED_STREAMS: Final = 2',
         'MIN_STALLED_STREAMS: Final = 1',
         'tests/jobs/test_stalls.py',
     ),
     Safeguard(
-        'a sampler that loads does not count as unresponsive',
+        'a sampler that is loading does not count as unresponsive',
         'guavagate/jobs/_stalls.py',
         '        and not states.get(sampler).loading\n',
         '',
@@ -84,7 +84,7 @@
         'tests/feeds/test_feed.py',
     ),
     Safeguard(
-        'the odd sampler goes to the largest workload',
+        'the remaining sampler goes to the largest workload',
         'guavagate/rollouts/_assign.py',
         'key=lambda each: (-weigh(each), -counts[each], each)',
         'key=lambda each: (-counts[each], each)',
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -6,12 +6,12 @@
 
 
 class Safeguard(msgspec.Struct, frozen=True):
-    """A mutation: `text` in a file is replaced by `without`."""
+    """A mutation: `text` in a file is replaced by `replacement`."""
 
     name: str
     file: str
     text: str
-    without: str
+    replacement: str
     test: str
 
 
@@ -52,7 +52,7 @@
         'tests/rollouts/test_lease.py',
     ),
     Safeguard(
-        'the generation grows',
+        'each holder of a lease increases the generation',
         'guavagate/rollouts/_lease.py',
         'previous.generation + 1\n',
         'previous.generation\n',
@@ -74,63 +74,63 @@
         'tests/rollouts/test_lease.py',
     ),
     Safeguard(
-        'after a restart of all the former owner goes on',
+        'after a restart of all instances the former job owner continues',
         'guavagate/jobs/_ownership.py',
         '            return former\n',
         '            return ranked[0]\n',
         'tests/jobs/test_ownership.py',
     ),
     Safeguard(
-        'one that restarted alone ranks as the others do',
+        'an instance that restarted alone ranks instances as the others do',
         'guavagate/jobs/_ownership.py',
         'return len(buckets) == 1',
         'return True',
         'tests/jobs/test_ownership.py',
     ),
     Safeguard(
-        'a text made anew replaces its copy',
+        'a regenerated text replaces its replica',
         'guavagate/jobs/_replicas.py',
         'if known is None or known.text is not text:',
         'if known is None:',
         'tests/jobs/test_texts.py',
     ),
     Safeguard(
-        'texts of two owners are kept apart',
+        'replicas of two job owners are stored separately',
         'guavagate/jobs/_replicas.py',
         'source = (copy.service, sender, copy.boot)',
         "source = (copy.service, InstanceId(''), 0)",
         'tests/jobs/test_texts.py',
     ),
     Safeguard(
-        'a late copy changes nothing',
+        'a late replica is ignored',
         'guavagate/jobs/_replicas.py',
         'fits = replica.number == part.number and part',
         'fits = part',
         'tests/jobs/test_texts.py',
     ),
     Safeguard(
-        'a copy is used where its versions fit',
+        'a replica is used only if its versions are allowed',
         'guavagate/jobs/_replicas.py',
         'if longer and text.meets_version_bounds(work.job.min_version, None):',
         'if longer:',
         'tests/jobs/test_texts.py',
     ),
     Safeguard(
-        'a woken owner looks up what others have listed',
+        'a job owner that was paused reads results that others have listed',
         'guavagate/jobs/_active.py',
         'return self.invalidations > self.reconciled and not complete',
         'return False',
         'tests/jobs/test_owner.py',
     ),
     Safeguard(
-        'a whole text is told as whole',
+        'a complete text is replicated as complete',
         'guavagate/jobs/_replicas.py',
         '            text.complete,\n        )',
         '            False,\n        )',
         'tests/jobs/test_rewards.py',
     ),
     Safeguard(
-        'a reward is asked for once a text is whole',
+        'a reward is requested only for a complete text',
         'guavagate/jobs/_work.py',
         'if self.done or not self.text.complete:\n            return False\n'
         '        return self.reward_task',
@@ -139,28 +139,28 @@
         'tests/jobs/test_rewards.py',
     ),
     Safeguard(
-        'only a successful answer gives a signature',
+        'only a successful response gives a signature',
         'guavagate/forwarding/_rewards.py',
         'if attempt.status not in _SUCCESS or not signature:',
         'if False:',
         'tests/forwarding/test_rewards.py',
     ),
     Safeguard(
-        'rewards leave slots to callers',
+        'reward requests leave slots to callers',
         'guavagate/decisions/background.py',
         'return max(slots - reserved, 1)',
         'return 1000',
         'tests/decisions/test_background.py',
     ),
     Safeguard(
-        'an ended job asks for no reward',
+        'an ended job requests no reward',
         'guavagate/jobs/_work.py',
         'reward.kill(block=False)',
         'pass',
         'tests/jobs/test_rewards.py',
     ),
     Safeguard(
-        'a signature is carried for the same request only',
+        'a signature is reused for the same reward request only',
         'guavagate/jobs/_partial_texts.py',
         'same_reward = stored.item.reward == progress.item.reward',
         'same_reward = True',
@@ -188,7 +188,7 @@
         'tests/platform/test_other_writers.py',
     ),
     Safeguard(
-        'successors are told of texts',
+        'texts are replicated to successors',
         'guavagate/jobs/_owner.py',
         'peers = self._list_successors()[:REPLICA_COUNT]',
         'peers = []',
@@ -204,14 +204,14 @@
         'tests/jobs/test_owner.py',
     ),
     Safeguard(
-        'events in order',
+        'events are accepted in order only',
         'guavagate/jobs/_runner.py',
         'if event.number != progress.text.last_number + 1:',
         'if False:',
         'tests/jobs/test_texts.py',
     ),
     Safeguard(
-        'an ended job runs no more',
+        'an ended job stops running',
         'guavagate/jobs/_active.py',
         '        _cancel(work)\n        self._partial_texts',
         '        self._partial_texts',
@@ -239,7 +239,7 @@
         'tests/routing/test_routes.py',
     ),
     Safeguard(
-        'an answer is matched by its id',
+        'a response is matched by its request id',
         'guavagate/forwarding/_attempt.py',
         'if marks.mismatched:',
         'if False:',
--- a/standins/_safeguard_teams.py
+++ b/standins/_safeguard_teams.py
@@ -13,14 +13,14 @@
         'tests/test_keys.py',
     ),
     Safeguard(
-        'no key is denied on an old proof',
+        'no key is denied with an old proof',
         'guavagate/auth/_keys.py',
         '    if not may_deny(proof_age, bounds):\n',
         '    if False:\n',
         'tests/test_keys.py',
     ),
     Safeguard(
-        'no route is denied on an old proof',
+        'no route is denied with an old proof',
         'guavagate/front/_authenticator.py',
         'proved = may_deny(self._proof_age(), self._bounds)',
         'proved = True',
@@ -71,7 +71,7 @@
         'tests/platform/test_edge_keys.py',
     ),
     Safeguard(
-        "another team's job is not there",
+        "another team's job is reported as missing",
         'guavagate/jobs/_models.py',
         'return not self.team or self.team == team',
         'return True',
@@ -108,7 +108,7 @@
         'tests/duties/test_cluster_clock.py',
     ),
     Safeguard(
-        'upstreams that were registered are not scaled away',
+        'registered upstreams are not scaled in',
         'guavagate/duties/_scaler.py',
         'self._baseline[zone] = max(self._baseline.get(zone, 0), regular)',
         'self._baseline.setdefault(zone, regular)',
--- a/standins/safeguards.py
+++ b/standins/safeguards.py
@@ -1,8 +1,8 @@
-"""Removes one safeguard at a time and runs the test that has to notice.
+"""Removes one safeguard at a time and runs the test that has to fail.
 
-``script/safeguards``. Each row edits a copy of the checkout, never the checkout
-itself, and passes when its test fails there. A test that still passes without
-its safeguard proves nothing, or the safeguard is not needed.
+Run by ``script/safeguards``. Each row edits a copy of the checkout, never the
+checkout itself, and passes when its test fails there. If the test still passes,
+either it checks too little or the safeguard is not needed.
 """
 
 import pathlib
@@ -26,17 +26,17 @@
 )
 ROOT: Final = pathlib.Path(__file__).parents[1]
 _TEST_SECONDS: Final = 120
-# pytest's own code for tests that ran and failed; others are accidents.
+# pytest's exit code if tests failed; others mean that it could not run them.
 _FAILED: Final = 1
 
 
 def find_stale(safeguard: Safeguard) -> str:
-    """Return what a row names that is not there, or nothing."""
+    """Return why a row does not match the code, or an empty string."""
     if not (ROOT / safeguard.test).exists():
         return f'{safeguard.test} does not exist'
-    times = (ROOT / safeguard.file).read_text().count(safeguard.text)
-    if times != 1:
-        return f'{safeguard.file} has its text {times} times'
+    count = (ROOT / safeguard.file).read_text().count(safeguard.text)
+    if count != 1:
+        return f'{safeguard.file} contains the text {count} times'
     return ''
 
 
@@ -48,9 +48,9 @@
             ROOT, copy, ignore=shutil.ignore_patterns('.*', 'target', 'journal')
         )
         path = copy / safeguard.file
-        edited = path.read_text().replace(safeguard.text, safeguard.without)
+        edited = path.read_text().replace(safeguard.text, safeguard.replacement)
         path.write_text(edited)
-        ended = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, '-m', 'pytest', '-qx', safeguard.test],
             cwd=copy,
             env={'PATH': '/usr/bin:/bin', 'PYTHONPATH': str(copy)},
@@ -58,20 +58,22 @@
             timeout=_TEST_SECONDS,
             check=False,
         )
-    return ended.returncode == _FAILED
+    return completed.returncode == _FAILED
 
 
 @click.command()
-@click.option('--jobs', default=2, show_default=True, help='Rows at once.')
+@click.option(
+    '--jobs', default=2, show_default=True, help='Rows to run in parallel.'
+)
 def main(jobs: int) -> None:
-    """Remove each safeguard on a copy; exit with 1 if one is not missed."""
+    """Remove each safeguard on a copy; exit with 1 if a test misses one."""
     with ThreadPoolExecutor(jobs) as pool:
-        noticed = list(pool.map(is_caught, SAFEGUARDS))
-    for safeguard, seen in zip(SAFEGUARDS, noticed, strict=True):
-        word = 'caught' if seen else 'MISSED'
+        caught = list(pool.map(is_caught, SAFEGUARDS))
+    for safeguard, was_caught in zip(SAFEGUARDS, caught, strict=True):
+        word = 'caught' if was_caught else 'MISSED'
         click.echo(f'{word}  {safeguard.name} ({safeguard.test})')
-    click.echo(f'{sum(noticed)} of {len(noticed)} caught')
-    sys.exit(not all(noticed))
+    click.echo(f'{sum(caught)} of {len(caught)} caught')
+    sys.exit(not all(caught))
 
 
 if __name__ == '__main__':
