--- a/guavagate/measure/_commands.py
+++ b/guavagate/measure/_commands.py
@@ -39,7 +39,7 @@
         as_json: bool,
         plot: Path | None,
     ) -> None:
-        results = _run(name, (policy, *against), seed, seeds)
+        results = _run_policies(name, (policy, *against), seed, seeds)
         if plot is not None:
             _plot.draw(pattern, results, plot)
         if as_json:
@@ -58,17 +58,18 @@
 @click.option('--write', is_flag=True, help=f'Write it into {_PAGE}.')
 def decisions(seed: int, seeds: int, write: bool) -> None:
     """Measure every pattern against its baselines, as docs/decisions.md."""
-    wanted = {
-        name: (PRODUCT, *pattern.against) for name, pattern in PATTERNS.items()
+    policies_by_pattern = {
+        name: (PRODUCT, *pattern.baselines)
+        for name, pattern in PATTERNS.items()
     }
-    results = run_all(wanted, tuple(range(seed, seed + seeds)))
+    results = run_all(policies_by_pattern, tuple(range(seed, seed + seeds)))
     parts = [f'Seeds {seed} to {seed + seeds - 1}: mean (lowest–highest).']
     for name, pattern in PATTERNS.items():
         table = _table.render(pattern, results[name])
         parts.append(f'### {name}\n\n{pattern.summary}\n\n{table}')
     text = '\n\n'.join(parts)
     if write:
-        _replace(text)
+        _replace_table(text)
     else:
         click.echo(text)
 
@@ -85,7 +86,7 @@
     ]
 
 
-def _run(
+def _run_policies(
     name: str, policies: tuple[str, ...], seed: int, seeds: int
 ) -> list[Result]:
     try:
@@ -96,7 +97,7 @@
         raise click.ClickException(str(error)) from None
 
 
-def _replace(text: str) -> None:
+def _replace_table(text: str) -> None:
     page = _PAGE.read_text()
     head, _, rest = page.partition(_BEGIN)
     _, found, foot = rest.partition(_END)
--- a/guavagate/measure/_cost.py
+++ b/guavagate/measure/_cost.py
@@ -20,12 +20,12 @@
 from guavagate.models import CallerId, RequestId, SamplerId, TeamId
 
 # Samplers of one deployment in one pool, at most.
-POOL_SIZE: Final = 16
-_SLOTS: Final = 8
+MAX_POOL_SAMPLERS: Final = 16
+_SLOTS_PER_SAMPLER: Final = 8
 _ROUNDS: Final = 2_000
-_MICRO: Final = 1_000_000
-_SAMPLERS: Final = (6, 16, 46, 182, 730)
-_QUEUED: Final = (0, 100, 1_000, 10_000)
+_MICROSECONDS_PER_SECOND: Final = 1_000_000
+_SAMPLER_COUNTS: Final = (6, 16, 46, 182, 730)
+_QUEUE_LENGTHS: Final = (0, 100, 1_000, 10_000)
 
 
 class Cost(msgspec.Struct, frozen=True, kw_only=True):
@@ -49,9 +49,9 @@
 def cost(as_json: bool) -> None:
     """Measure a choice's processor time by samplers and queued requests."""
     costs = [
-        measure(samplers, queued)
-        for samplers in _SAMPLERS
-        for queued in _QUEUED
+        measure_cost(samplers, queued)
+        for samplers in _SAMPLER_COUNTS
+        for queued in _QUEUE_LENGTHS
     ]
     if as_json:
         click.echo(msgspec.json.encode(costs).decode())
@@ -67,32 +67,40 @@
     click.echo(f'Exponent by queued: {fit_exponent(costs):.3f}')
 
 
-def measure(samplers: int, queued: int) -> Cost:
+def measure_cost(samplers: int, queued: int) -> Cost:
     """Measure with all slots in use and this much queued at one home."""
     pools = [
-        PoolView(id=f'pool-{index}', slots=POOL_SIZE * _SLOTS, load=0.5)
-        for index in range(math.ceil(samplers / POOL_SIZE))
+        PoolView(
+            id=f'pool-{index}',
+            slots=MAX_POOL_SAMPLERS * _SLOTS_PER_SAMPLER,
+            load=0.5,
+        )
+        for index in range(math.ceil(samplers / MAX_POOL_SAMPLERS))
     ]
-    count = min(samplers, POOL_SIZE)
+    count = min(samplers, MAX_POOL_SAMPLERS)
     infos = [
-        SamplerInfo(id=SamplerId(f'sampler-{index}'), slots=_SLOTS)
+        SamplerInfo(id=SamplerId(f'sampler-{index}'), slots=_SLOTS_PER_SAMPLER)
         for index in range(count)
     ]
-    pool = Pool(PoolSettings(max_queued=10 * max(_QUEUED)), infos, 0)
-    for index in range(queued + count * _SLOTS):
-        pool.offer(_work(f'queued-{index}', index), 0)
+    pool = Pool(PoolSettings(max_queued=10 * max(_QUEUE_LENGTHS)), infos, 0)
+    for index in range(queued + count * _SLOTS_PER_SAMPLER):
+        pool.offer(_make_work(f'queued-{index}', index), 0)
     running = [(item.work.id, item.sampler) for item in pool.place(0)]
-    spent = np.zeros((4, _ROUNDS))
+    elapsed = np.zeros((4, _ROUNDS))
     for index in range(_ROUNDS):
         now = 1 + index * 0.01
-        work = _work(f'new-{index}', index)
-        ended, sampler = running.pop(0) if running else ('', SamplerId(''))
-        _time(spent[0], index, choose_pool, work, pools, now)
-        _time(spent[1], index, pool.offer, work, now)
-        _time(spent[2], index, _finish, pool, ended, sampler, now)
-        placed = _time(spent[3], index, pool.place, now)
+        work = _make_work(f'new-{index}', index)
+        finished_id, sampler = (
+            running.pop(0) if running else ('', SamplerId(''))
+        )
+        _measure_call(elapsed[0], index, choose_pool, work, pools, now)
+        _measure_call(elapsed[1], index, pool.offer, work, now)
+        _measure_call(
+            elapsed[2], index, _finish, pool, finished_id, sampler, now
+        )
+        placed = _measure_call(elapsed[3], index, pool.place, now)
         running += [(item.work.id, item.sampler) for item in placed]
-    medians = np.median(spent, axis=1) * _MICRO
+    medians = np.median(elapsed, axis=1) * _MICROSECONDS_PER_SECOND
     pool_us, offer_us, finish_us, place_us = medians
     return Cost(
         samplers=samplers,
@@ -112,20 +120,24 @@
     return float(np.polyfit(lengths, times, 1)[0])
 
 
-def _time(
-    spent: np.ndarray, place: int, call: Callable[..., Any], *args: Any
+def _measure_call(
+    elapsed: np.ndarray, place: int, call: Callable[..., Any], *args: Any
 ) -> Any:
-    begun = time.perf_counter()
-    answer = call(*args)
-    spent[place] = time.perf_counter() - begun
-    return answer
+    started_at = time.perf_counter()
+    result = call(*args)
+    elapsed[place] = time.perf_counter() - started_at
+    return result
 
 
-def _finish(pool: Pool, ended: str, sampler: SamplerId, now: float) -> None:
-    pool.finish(RequestId(ended), sampler, now, tokens=100, cached_tokens=0)
+def _finish(
+    pool: Pool, finished_id: str, sampler: SamplerId, now: float
+) -> None:
+    pool.finish(
+        RequestId(finished_id), sampler, now, tokens=100, cached_tokens=0
+    )
 
 
-def _work(name: str, index: int) -> Work:
+def _make_work(name: str, index: int) -> Work:
     return Work(
         id=RequestId(name),
         team=TeamId(f'team-{index % 4}'),
--- a/guavagate/measure/_engine.py
+++ b/guavagate/measure/_engine.py
@@ -16,26 +16,26 @@
 from guavagate.models import RequestId
 
 # Seconds per token of a single stream; 50 tokens a second is usual.
-PACE: Final = 0.02
+TOKEN_INTERVAL_SECONDS: Final = 0.02
 # Each further stream adds this share: a batch of eight is 14 % slower.
 BATCH_SLOWDOWN: Final = 0.02
 # Cached prefixes; a few hundred blocks of some hundred tokens.
-CACHED_KEYS: Final = 300
+MAX_CACHED_KEYS: Final = 300
 
 
 class EngineModel:
     """One sampler: its batch, its cache and its faults."""
 
-    def __init__(self, info: SamplerInfo, holds: int) -> None:
+    def __init__(self, info: SamplerInfo, memory_slots: int) -> None:
         self.info = info
-        self.holds = holds
+        self.memory_slots = memory_slots
         self.slowdown: float = 1
         self.failing = False
-        self.busy: float = 0
+        self.stream_seconds: float = 0
         self.events: list[tuple[str, int]] = []
-        self.ticket = 0
+        self.timer_version = 0
         self._progress: float = 0
-        self._last: float = 0
+        self._advanced_at: float = 0
         self._order = itertools.count()
         self._streams: dict[RequestId, float] = {}
         self._ends: list[tuple[float, int, RequestId]] = []
@@ -47,18 +47,22 @@
         """Return the number of running streams."""
         return len(self._streams)
 
-    def pace(self) -> float:
+    def compute_token_interval(self) -> float:
         """Return the present seconds per token of each stream."""
         count = max(len(self._streams), 1)
-        pace = PACE * self.slowdown * (1 + BATCH_SLOWDOWN * (count - 1))
-        if count > self.holds:
-            pace *= (count / self.holds) ** 2
-        return pace
+        token_interval = (
+            TOKEN_INTERVAL_SECONDS
+            * self.slowdown
+            * (1 + BATCH_SLOWDOWN * (count - 1))
+        )
+        if count > self.memory_slots:
+            token_interval *= (count / self.memory_slots) ** 2
+        return token_interval
 
     def start(self, work: Work, tokens: int, now: float) -> int:
         """Start a stream; return the cached prompt tokens."""
         self.advance(now)
-        cached = self._read(work)
+        cached = self._read_prompt(work)
         cost = tokens + (work.prompt_tokens - cached) * PREFILL_SHARE
         end = self._progress + cost
         self._streams[work.id] = end
@@ -72,23 +76,27 @@
 
     def advance(self, now: float) -> None:
         """Let all streams progress until now."""
-        spent = now - self._last
+        elapsed = now - self._advanced_at
         if self._streams:
-            self._progress += spent / self.pace()
-            self.busy += spent * len(self._streams)
-        self._last = now
+            self._progress += elapsed / self.compute_token_interval()
+            self.stream_seconds += elapsed * len(self._streams)
+        self._advanced_at = now
 
-    def next_end(self) -> tuple[float, RequestId] | None:
+    def predict_next_end(self) -> tuple[float, RequestId] | None:
         """Return when which stream ends if nothing changes."""
         while self._ends:
             end, _, work_id = self._ends[0]
             if self._streams.get(work_id) == end:
-                left = max(end - self._progress, 0)
-                return self._last + left * self.pace(), work_id
+                remaining = max(end - self._progress, 0)
+                return (
+                    self._advanced_at
+                    + remaining * self.compute_token_interval(),
+                    work_id,
+                )
             heapq.heappop(self._ends)
         return None
 
-    def slow_streams(self) -> list[RequestId]:
+    def list_streams(self) -> list[RequestId]:
         """Return the streams, for their pace to be looked at."""
         return list(self._streams)
 
@@ -97,7 +105,7 @@
         events, self.events = self.events, []
         return events
 
-    def _read(self, work: Work) -> int:
+    def _read_prompt(self, work: Work) -> int:
         keys = work.prefix_keys
         matched = 0
         while matched < len(keys) and keys[matched] in self._cache:
@@ -107,7 +115,7 @@
                 self.events.append(('stored', key))
             self._cache[key] = None
             self._cache.move_to_end(key)
-        while len(self._cache) > CACHED_KEYS:
+        while len(self._cache) > MAX_CACHED_KEYS:
             evicted, _ = self._cache.popitem(last=False)
             self.events.append(('evicted', evicted))
         return work.prompt_tokens * matched // max(len(keys), 1)
--- a/guavagate/measure/_patterns.py
+++ b/guavagate/measure/_patterns.py
@@ -37,7 +37,7 @@
     measure: Callable[[Policy, int], Figures]
     aims: tuple[Aim, ...] = ()
     shown: tuple[str, ...] = ()
-    against: tuple[str, ...] = (FIFO, ROUND_ROBIN)
+    baselines: tuple[str, ...] = (FIFO, ROUND_ROBIN)
 
     @property
     def summary(self) -> str:
@@ -45,7 +45,7 @@
         return (self.measure.__doc__ or '').strip()
 
 
-_CALLERS: Final = ('in_time_share', 'refused_share', 'p50_s', 'p99_s')
+_CALLER_FIGURES: Final = ('in_time_share', 'refused_share', 'p50_s', 'p99_s')
 
 PATTERNS: Final = {
     pattern.name: pattern
@@ -58,14 +58,14 @@
                 Aim(figure='refusal_p99_s', limit=0.005),
             ),
             shown=('in_time_share', 'p99_s'),
-            against=(FIFO, ROUND_ROBIN, 'without-admission'),
+            baselines=(FIFO, ROUND_ROBIN, 'without-admission'),
         ),
         Pattern(
             name='hot-caller',
             measure=_load.measure_hot_caller,
             aims=(Aim(figure='p99_of_calm', limit=1.15),),
             shown=('in_time_share', 'p99_s', 'p99_calm_s'),
-            against=(FIFO, 'without-fairness', 'without-headroom'),
+            baselines=(FIFO, 'without-fairness', 'without-headroom'),
         ),
         Pattern(
             name='hot-key',
@@ -75,7 +75,7 @@
                 Aim(figure='load_worst_of_mean', limit=1.25),
             ),
             shown=('hit_share', 'p50_s', 'p99_s'),
-            against=(
+            baselines=(
                 FIFO,
                 'without-affinity',
                 'without-bounded-load',
@@ -90,7 +90,12 @@
             measure=_faults.measure_slow_upstream,
             aims=(Aim(figure='p99_of_five', limit=1.5),),
             shown=('p99_s', 'p99_five_healthy_s', 'extra_work'),
-            against=(FIFO, ROUND_ROBIN, 'without-ejection', 'without-hedging'),
+            baselines=(
+                FIFO,
+                ROUND_ROBIN,
+                'without-ejection',
+                'without-hedging',
+            ),
         ),
         Pattern(
             name='long-among-short',
@@ -100,7 +105,7 @@
                 Aim(figure='long_worst_of_fifo', limit=2),
             ),
             shown=('short_stretch_p99', 'p50_s', 'p99_s'),
-            against=(
+            baselines=(
                 FIFO,
                 'without-order',
                 'without-reserve',
@@ -116,7 +121,7 @@
                 Aim(figure='long_worst_of_fifo', limit=2),
             ),
             shown=('short_stretch_p99', 'p50_s', 'p99_s'),
-            against=(FIFO, 'without-order', 'without-reserve'),
+            baselines=(FIFO, 'without-order', 'without-reserve'),
         ),
         Pattern(
             name='overload',
@@ -125,13 +130,18 @@
                 Aim(figure='in_time_of_capacity', limit=0.95, at_least=True),
             ),
             shown=('admitted_in_time', 'refusal_p99_s', 'p99_s', 'jain'),
-            against=(FIFO, ROUND_ROBIN, 'without-admission', 'without-expiry'),
+            baselines=(
+                FIFO,
+                ROUND_ROBIN,
+                'without-admission',
+                'without-expiry',
+            ),
         ),
         Pattern(
             name='flapping',
             measure=_faults.measure_flapping,
             shown=('in_time_share', 'extra_work', 'p99_s'),
-            against=(FIFO, 'without-ejection'),
+            baselines=(FIFO, 'without-ejection'),
         ),
         Pattern(
             name='retry-storm',
@@ -140,8 +150,8 @@
                 Aim(figure='extra_work', limit=0.1),
                 Aim(figure='normal_after_s', limit=5),
             ),
-            shown=_CALLERS,
-            against=(FIFO, 'without-retry-budget', 'without-ejection'),
+            shown=_CALLER_FIGURES,
+            baselines=(FIFO, 'without-retry-budget', 'without-ejection'),
         ),
         Pattern(
             name='stragglers',
@@ -151,7 +161,12 @@
                 Aim(figure='trainer_idle_share', limit=0.03),
             ),
             shown=('staleness_mean', 'staleness_max', 'copies'),
-            against=(FIFO, 'without-tail', 'without-order', 'without-ejection'),
+            baselines=(
+                FIFO,
+                'without-tail',
+                'without-order',
+                'without-ejection',
+            ),
         ),
         Pattern(
             name='tight-stragglers',
@@ -161,26 +176,26 @@
                 Aim(figure='trainer_idle_share', limit=0.03),
             ),
             shown=('staleness_mean', 'staleness_max', 'copies'),
-            against=(FIFO, 'without-tail'),
+            baselines=(FIFO, 'without-tail'),
         ),
         Pattern(
             name='stalled-sampler',
             measure=_trainers.measure_stalled_sampler,
             shown=('step_of_bound', 'trainer_idle_share', 'copies'),
-            against=(FIFO, 'without-tail', 'without-ejection'),
+            baselines=(FIFO, 'without-tail', 'without-ejection'),
         ),
         Pattern(
             name='two-trainers',
             measure=_trainers.measure_two_trainers,
             shown=('first_to_second', 'jain_by_weight'),
-            against=(FIFO, 'without-fairness'),
+            baselines=(FIFO, 'without-fairness'),
         ),
         Pattern(
             name='sampler-leaves',
             measure=_faults.measure_sampler_leaves,
             aims=(Aim(figure='cut', limit=0),),
             shown=('in_time_share', 'hit_share_before', 'hit_share_after'),
-            against=(FIFO, 'choose-modulo'),
+            baselines=(FIFO, 'choose-modulo'),
         ),
         Pattern(
             name='wrong-slots',
@@ -190,13 +205,13 @@
                 'in_time_of_capacity_at_180_s',
                 'admitted_in_time',
             ),
-            against=(FIFO, 'without-limit'),
+            baselines=(FIFO, 'without-limit'),
         ),
         Pattern(
             name='cold-start',
             measure=_load.measure_cold_start,
             shown=('first_10s_in_time', 'in_time_share', 'p99_s'),
-            against=(FIFO, 'without-admission'),
+            baselines=(FIFO, 'without-admission'),
         ),
     )
 }
--- a/guavagate/measure/_plot.py
+++ b/guavagate/measure/_plot.py
@@ -7,7 +7,7 @@
 
 from guavagate.measure._patterns import Pattern
 from guavagate.measure._runs import Result
-from guavagate.measure._table import shown_figures
+from guavagate.measure._table import list_shown_figures
 
 
 def draw(pattern: Pattern, results: Sequence[Result], path: Path) -> None:
@@ -16,15 +16,15 @@
     # Loaded after the backend is chosen, and only when a plot is asked for.
     from matplotlib import pyplot as plt
 
-    figures = shown_figures(pattern)
+    figures = list_shown_figures(pattern)
     canvas, panels = plt.subplots(
         1, len(figures), figsize=(4 * len(figures), 4), squeeze=False
     )
     aims = {aim.figure: aim for aim in pattern.aims}
     for panel, figure in zip(panels[0], figures, strict=True):
-        for place, result in enumerate(results):
+        for position, result in enumerate(results):
             values = result.values(figure)
-            panel.scatter([place] * len(values), values, s=12)
+            panel.scatter([position] * len(values), values, s=12)
         if figure in aims:
             panel.axhline(aims[figure].limit, linestyle='--', color='grey')
         panel.set_title(figure)
--- a/guavagate/measure/_policies.py
+++ b/guavagate/measure/_policies.py
@@ -19,7 +19,7 @@
 from guavagate.exceptions import SettingsError
 
 # What a balancer without a queue of its own sends to an engine at once.
-_UNLIMITED: Final = 100_000
+_UNLIMITED_SLOTS: Final = 100_000
 
 PRODUCT: Final = 'guavagate'
 FIFO: Final = 'fifo'
@@ -29,17 +29,17 @@
     """Settings of a pool, made anew for each run."""
 
     name: str
-    settings: Callable[[], PoolSettings]
+    make_settings: Callable[[], PoolSettings]
     unlimited: bool = False
 
     def make_pool(self, infos: Sequence[SamplerInfo]) -> Pool:
         """Return a pool of these samplers."""
         if self.unlimited:
             infos = [
-                msgspec.structs.replace(info, slots=_UNLIMITED)
+                msgspec.structs.replace(info, slots=_UNLIMITED_SLOTS)
                 for info in infos
             ]
-        return Pool(self.settings(), infos, 0)
+        return Pool(self.make_settings(), infos, 0)
 
 
 def get_policy(name: str) -> Policy:
@@ -64,41 +64,45 @@
 
 def _all_policies() -> dict[str, Policy]:
     policies = [
-        _with(PRODUCT),
-        _with(FIFO, safeguards=frozenset()),
+        _make_policy(PRODUCT),
+        _make_policy(FIFO, safeguards=frozenset()),
         Policy(
             name='round-robin',
-            settings=lambda: PoolSettings(
-                safeguards=frozenset(), choose=_choose_in_turn()
+            make_settings=lambda: PoolSettings(
+                safeguards=frozenset(), choose=_make_round_robin()
             ),
             unlimited=True,
         ),
-        _with('order-fifo', order=order.order_by_arrival),
-        _with('order-deadline', order=order.order_by_deadline),
-        _with('order-shortest', order=order.order_by_length),
-        _with('choose-least', choose=placement.choose_least_loaded),
-        _with('choose-two', choose=placement.choose_least_of_two),
-        _with('choose-rendezvous', choose=placement.choose_rendezvous),
-        _with('choose-modulo', choose=placement.choose_modulo),
+        _make_policy('order-fifo', order=order.order_by_arrival),
+        _make_policy('order-deadline', order=order.order_by_deadline),
+        _make_policy('order-shortest', order=order.order_by_length),
+        _make_policy('choose-least', choose=placement.choose_least_loaded),
+        _make_policy('choose-two', choose=placement.choose_least_of_two),
+        _make_policy('choose-rendezvous', choose=placement.choose_rendezvous),
+        _make_policy('choose-modulo', choose=placement.choose_modulo),
     ]
     for target in (1, 2, 5, 10, 20, 50):
-        by_stretch = order.order_by_stretch(target)
-        policies.append(_with(f'order-stretch-{target}', order=by_stretch))
-    for off in Safeguard:
-        name = f'without-{off.value}'
-        policies.append(_with(name, safeguards=ALL_SAFEGUARDS - {off}))
+        order_by_target = order.order_by_stretch(target)
+        policies.append(
+            _make_policy(f'order-stretch-{target}', order=order_by_target)
+        )
+    for disabled in Safeguard:
+        name = f'without-{disabled.value}'
+        policies.append(
+            _make_policy(name, safeguards=ALL_SAFEGUARDS - {disabled})
+        )
     return {policy.name: policy for policy in policies}
 
 
-def _with(name: str, **changes: object) -> Policy:
+def _make_policy(name: str, **changes: object) -> Policy:
     base = PoolSettings()
     return Policy(
         name=name,
-        settings=lambda: msgspec.structs.replace(base, **changes),
+        make_settings=lambda: msgspec.structs.replace(base, **changes),
     )
 
 
-def _choose_in_turn() -> placement.Choose:
+def _make_round_robin() -> placement.Choose:
     turn = [0]
 
     def choose(
--- a/guavagate/measure/_record.py
+++ b/guavagate/measure/_record.py
@@ -9,10 +9,10 @@
 from guavagate.decisions import Work
 
 # Histograms count microseconds up to an hour, to three digits.
-_LOWEST: Final = 1
-_HIGHEST: Final = 3_600_000_000
-_DIGITS: Final = 3
-_MICRO: Final = 1_000_000
+_MIN_MICROSECONDS: Final = 1
+_MAX_MICROSECONDS: Final = 3_600_000_000
+_SIGNIFICANT_DIGITS: Final = 3
+_MICROSECONDS_PER_SECOND: Final = 1_000_000
 
 
 class Outcome(enum.Enum):
@@ -57,14 +57,18 @@
         return self.latency / self.request.alone
 
 
-def percentile(seconds: list[float], share: float) -> float:
+def percentile(values: list[float], percent: float) -> float:
     """Return a percentile by histogram; zero of nothing."""
-    if not seconds:
+    if not values:
         return 0
-    histogram = HdrHistogram(_LOWEST, _HIGHEST, _DIGITS)
-    for value in seconds:
-        histogram.record_value(max(int(value * _MICRO), _LOWEST))
-    return histogram.get_value_at_percentile(share) / _MICRO
+    histogram = HdrHistogram(
+        _MIN_MICROSECONDS, _MAX_MICROSECONDS, _SIGNIFICANT_DIGITS
+    )
+    for value in values:
+        histogram.record_value(
+            max(int(value * _MICROSECONDS_PER_SECOND), _MIN_MICROSECONDS)
+        )
+    return histogram.get_value_at_percentile(percent) / _MICROSECONDS_PER_SECOND
 
 
 def mean(values: list[float]) -> float:
@@ -72,7 +76,7 @@
     return sum(values) / len(values) if values else 0
 
 
-def jain(values: list[float]) -> float:
+def compute_jain_index(values: list[float]) -> float:
     """Return Jain's index of fairness: 1 when all are equal."""
     squares = sum(value * value for value in values)
     if not squares:
--- a/guavagate/measure/_runs.py
+++ b/guavagate/measure/_runs.py
@@ -12,7 +12,7 @@
 from guavagate.measure._scenario import Figures
 
 # Half of a small machine: other work goes on beside a measurement.
-WORKERS: Final = 6
+MAX_WORKERS: Final = 6
 
 
 class Job(msgspec.Struct, frozen=True, kw_only=True):
@@ -48,29 +48,29 @@
 
 
 def run_all(
-    wanted: dict[str, tuple[str, ...]], seeds: tuple[int, ...]
+    policies_by_pattern: dict[str, tuple[str, ...]], seeds: tuple[int, ...]
 ) -> dict[str, list[Result]]:
     """Run several patterns, each with its policies, over all seeds."""
-    for policies in wanted.values():
+    for policies in policies_by_pattern.values():
         for policy in policies:
             get_policy(policy)
     jobs = [
         Job(pattern=pattern, policy=policy, seed=seed)
-        for pattern, policies in wanted.items()
+        for pattern, policies in policies_by_pattern.items()
         for policy, seed in itertools.product(policies, seeds)
     ]
-    figures = iter(_map(jobs))
+    figures = iter(_run_jobs(jobs))
     return {
         pattern: [
             Result(policy=policy, runs=tuple(next(figures) for _ in seeds))
             for policy in policies
         ]
-        for pattern, policies in wanted.items()
+        for pattern, policies in policies_by_pattern.items()
     }
 
 
-def _map(jobs: list[Job]) -> list[Figures]:
+def _run_jobs(jobs: list[Job]) -> list[Figures]:
     if len(jobs) == 1:
         return [run_job(jobs[0])]
-    with ProcessPoolExecutor(min(WORKERS, len(jobs))) as workers:
+    with ProcessPoolExecutor(min(MAX_WORKERS, len(jobs))) as workers:
         return list(workers.map(run_job, jobs))
--- a/guavagate/measure/_scenario.py
+++ b/guavagate/measure/_scenario.py
@@ -23,7 +23,7 @@
 SAMPLERS: Final = 6
 SLOTS: Final = 8
 # After the last arrival, let what was admitted end.
-DRAIN_S: Final = 120.0
+DRAIN_SECONDS: Final = 120.0
 
 Figures = dict[str, float]
 Prepare = Callable[[Simulation], None]
@@ -51,11 +51,11 @@
     seed: int,
     prepare: Prepare | None = None,
     infos: list[SamplerInfo] | None = None,
-    holds: int = SLOTS,
+    memory_slots: int = SLOTS,
 ) -> Simulation:
     """Run requests through a policy and return what happened."""
     infos = infos or declare_samplers()
-    engines = [EngineModel(info, holds) for info in infos]
+    engines = [EngineModel(info, memory_slots) for info in infos]
     pool = policy.make_pool(infos)
     simulation = Simulation(pool, engines, np.random.default_rng(seed))
     for request in requests:
@@ -79,14 +79,14 @@
     latencies = [record.latency for record in served]
     admitted = [record for record in records if record.admitted]
     total = max(len(records), 1)
-    in_time = count(records, Outcome.IN_TIME)
+    in_time = count_outcome(records, Outcome.IN_TIME)
     return {
         'requests': len(records),
         'in_time_share': in_time / total,
         'refused_share': len(refused) / total,
-        'late_share': count(records, Outcome.LATE) / total,
+        'late_share': count_outcome(records, Outcome.LATE) / total,
         'admitted_in_time': (
-            count(admitted, Outcome.IN_TIME) / max(len(admitted), 1)
+            count_outcome(admitted, Outcome.IN_TIME) / max(len(admitted), 1)
         ),
         'refusal_p99_s': percentile([record.latency for record in refused], 99),
         'p50_s': percentile(latencies, 50),
@@ -97,12 +97,14 @@
     }
 
 
-def count(records: Iterable[Record], outcome: Outcome) -> int:
+def count_outcome(records: Iterable[Record], outcome: Outcome) -> int:
     """Return how many ended that way."""
     return sum(record.outcome is outcome for record in records)
 
 
-def between(simulation: Simulation, start: float, end: float) -> list[Record]:
+def select_arrivals(
+    simulation: Simulation, start: float, end: float
+) -> list[Record]:
     """Return the records of requests that arrived between two times."""
     return [
         record
--- a/guavagate/measure/_settings.py
+++ b/guavagate/measure/_settings.py
@@ -25,15 +25,15 @@
 ) -> None:
     """Measure how soon changes of settings are in force everywhere."""
     logging.disable(logging.CRITICAL)
-    found = [measure_propagation(count, changes, seed) for count in instances]
+    results = [measure_propagation(count, changes, seed) for count in instances]
     if as_json:
-        click.echo(msgspec.json.encode(found).decode())
+        click.echo(msgspec.json.encode(results).decode())
         return
     names = PropagationResult.__struct_fields__
     _echo_row(names)
     _echo_row(['---'] * len(names))
-    for spread in found:
-        _echo_row([f'{getattr(spread, name):.4g}' for name in names])
+    for result in results:
+        _echo_row([f'{getattr(result, name):.4g}' for name in names])
 
 
 def _echo_row(cells: Sequence[str]) -> None:
--- a/guavagate/measure/_simulation.py
+++ b/guavagate/measure/_simulation.py
@@ -21,15 +21,15 @@
 
 # The daemon's own times: how often it looks for copies, how old a report is
 # when it comes, how late cache events are, and how long a refusal takes.
-HEDGE_EVERY_S: Final = 0.25
-REPORT_EVERY_S: Final = 1.0
-REPORT_LAG_S: Final = 1.0
-EVENT_LAG_S: Final = 2.0
-EVENT_GAPS: Final = 0.2
-REFUSAL_S: Final = 0.01
-BREAK_S: Final = 0.5
+SPECULATION_INTERVAL_SECONDS: Final = 0.25
+REPORT_INTERVAL_SECONDS: Final = 1.0
+REPORT_DELAY_SECONDS: Final = 1.0
+EVENT_DELAY_SECONDS: Final = 2.0
+EVENT_LOSS_PROBABILITY: Final = 0.2
+REFUSAL_DELAY_SECONDS: Final = 0.01
+ABORT_DELAY_SECONDS: Final = 0.5
 # Tokens that an entry must see before it judges a stream's pace.
-_TOKENS_SEEN: Final = 4
+_MIN_OBSERVED_TOKENS: Final = 4
 
 
 class Simulation:
@@ -45,25 +45,27 @@
         self.engines = {engine.info.id: engine for engine in engines}
         self.records: dict[RequestId, Record] = {}
         self.now: float = 0
-        self.expected_pace: float = INITIAL_TOKEN_INTERVAL_SECONDS
+        self.expected_token_interval: float = INITIAL_TOKEN_INTERVAL_SECONDS
         self.stopped = False
         self.on_end: Callable[[Record], None] | None = None
         self._rng = rng
         self._order = itertools.count()
         self._timers: list[tuple[float, int, Callable[..., None], Any]] = []
         self._event_numbers = dict.fromkeys(self.engines, 0)
-        self.at(HEDGE_EVERY_S, self._hedge)
+        self.call_at(SPECULATION_INTERVAL_SECONDS, self._speculate)
         for engine in engines:
-            self.at(REPORT_EVERY_S, self._report, engine)
+            self.call_at(REPORT_INTERVAL_SECONDS, self._send_report, engine)
 
-    def at(self, when: float, run: Callable[..., None], *args: Any) -> None:
+    def call_at(
+        self, when: float, run: Callable[..., None], *args: Any
+    ) -> None:
         """Do something at a later time."""
         item = (when, next(self._order), run, args)
         heapq.heappush(self._timers, item)
 
     def submit(self, request: Request) -> None:
         """Let a request arrive at its time."""
-        self.at(request.at, self._arrive, request)
+        self.call_at(request.at, self._arrive, request)
 
     def run(self, until: float) -> None:
         """Let time pass."""
@@ -76,25 +78,27 @@
         for engine in self.engines.values():
             engine.advance(until)
 
-    def pump(self) -> None:
+    def dispatch(self) -> None:
         """Start what the pool places and end what it refuses."""
         for placement in self.pool.place(self.now):
             self._start(placement)
-        self._end_refused()
+        self._end_expired()
 
-    def refresh(self, engine: EngineModel) -> None:
+    def reschedule_finish(self, engine: EngineModel) -> None:
         """Work out anew when the engine's next stream ends."""
-        engine.ticket += 1
-        upcoming = engine.next_end()
+        engine.timer_version += 1
+        upcoming = engine.predict_next_end()
         if upcoming is not None:
             when, work_id = upcoming
-            self.at(when, self._finish, engine, work_id, engine.ticket)
+            self.call_at(
+                when, self._finish, engine, work_id, engine.timer_version
+            )
 
-    def change(self, engine: EngineModel, slowdown: float) -> None:
+    def set_slowdown(self, engine: EngineModel, slowdown: float) -> None:
         """Make an engine slower or faster."""
         engine.advance(self.now)
         engine.slowdown = slowdown
-        self.refresh(engine)
+        self.reschedule_finish(engine)
 
     def _arrive(self, request: Request) -> None:
         record = Record(request=request)
@@ -104,34 +108,34 @@
             self._end(record, Outcome.REFUSED)
             return
         record.admitted = True
-        self.pump()
+        self.dispatch()
 
     def _start(self, placement: Placement) -> None:
         work = placement.work
         record = self.records[work.id]
         record.attempts += 1
         record.copies += placement.duplicate
-        self.expected_pace = placement.expected_token_interval
+        self.expected_token_interval = placement.expected_token_interval
         engine = self.engines[placement.sampler]
         if engine.failing:
             started = bool(self._rng.integers(2))
-            delay = BREAK_S if started else REFUSAL_S
-            self.at(self.now + delay, self._fail, engine, work.id, started)
+            delay = ABORT_DELAY_SECONDS if started else REFUSAL_DELAY_SECONDS
+            self.call_at(self.now + delay, self._fail, engine, work.id, started)
             return
         if record.started is None:
             record.started = self.now
         tokens = record.request.tokens
         record.cached = engine.start(work, tokens, self.now)
         record.prompt = work.prompt_tokens
-        self.refresh(engine)
+        self.reschedule_finish(engine)
 
     def _finish(
-        self, engine: EngineModel, work_id: RequestId, ticket: int
+        self, engine: EngineModel, work_id: RequestId, timer_version: int
     ) -> None:
-        if ticket != engine.ticket:
+        if timer_version != engine.timer_version:
             return
         engine.cancel(work_id, self.now)
-        self.refresh(engine)
+        self.reschedule_finish(engine)
         record = self.records[work_id]
         losers = self.pool.finish(
             work_id,
@@ -144,12 +148,12 @@
             self._cancel(loser, work_id)
         late = self.now > record.request.work.deadline
         self._end(record, Outcome.LATE if late else Outcome.IN_TIME)
-        self.pump()
+        self.dispatch()
 
     def _cancel(self, sampler: SamplerId, work_id: RequestId) -> None:
         engine = self.engines[sampler]
         engine.cancel(work_id, self.now)
-        self.refresh(engine)
+        self.reschedule_finish(engine)
 
     def _fail(
         self, engine: EngineModel, work_id: RequestId, started: bool
@@ -160,7 +164,7 @@
         )
         if isinstance(answer, Refused):
             self._end(record, Outcome.REFUSED)
-        self.pump()
+        self.dispatch()
 
     def _end(self, record: Record, outcome: Outcome) -> None:
         record.outcome = outcome
@@ -168,48 +172,62 @@
         if self.on_end is not None:
             self.on_end(record)
 
-    def _end_refused(self) -> None:
+    def _end_expired(self) -> None:
         for refused in self.pool.expire(self.now):
             self._end(self.records[refused.work_id], Outcome.REFUSED)
 
-    def _hedge(self) -> None:
-        self.pump()
-        self._tell_slow()
+    def _speculate(self) -> None:
+        self.dispatch()
+        self._report_slow_streams()
         for placement in self.pool.speculate(self.now):
             self._start(placement)
-        self.at(self.now + HEDGE_EVERY_S, self._hedge)
+        self.call_at(self.now + SPECULATION_INTERVAL_SECONDS, self._speculate)
 
-    def _tell_slow(self) -> None:
+    def _report_slow_streams(self) -> None:
         """Tell of slow streams, as entries do that have seen some tokens."""
         for engine in self.engines.values():
-            pace = engine.pace()
-            if pace <= SLOW_STREAM_FACTOR * self.expected_pace:
+            token_interval = engine.compute_token_interval()
+            if (
+                token_interval
+                <= SLOW_STREAM_FACTOR * self.expected_token_interval
+            ):
                 continue
-            for work_id in engine.slow_streams():
+            for work_id in engine.list_streams():
                 started = self.records[work_id].started or self.now
-                if self.now - started >= _TOKENS_SEEN * pace:
+                if self.now - started >= _MIN_OBSERVED_TOKENS * token_interval:
                     sampler = engine.info.id
                     self.pool.record_slow_stream(
-                        work_id, sampler, pace, self.now
+                        work_id, sampler, token_interval, self.now
                     )
 
-    def _report(self, engine: EngineModel) -> None:
+    def _send_report(self, engine: EngineModel) -> None:
         report = SamplerReport(at=self.now, running=len(engine))
         sampler = engine.info.id
-        self.at(self.now + REPORT_LAG_S, self._hear, sampler, report)
+        self.call_at(
+            self.now + REPORT_DELAY_SECONDS,
+            self._receive_report,
+            sampler,
+            report,
+        )
         events = engine.take_events()
         first = self._event_numbers[sampler]
         self._event_numbers[sampler] += len(events)
-        if events and self._rng.random() >= EVENT_GAPS:
-            when = self.now + EVENT_LAG_S
-            self.at(when, self._hear_events, sampler, first, events)
-        self.at(self.now + REPORT_EVERY_S, self._report, engine)
+        if events and self._rng.random() >= EVENT_LOSS_PROBABILITY:
+            when = self.now + EVENT_DELAY_SECONDS
+            self.call_at(
+                when, self._receive_cache_events, sampler, first, events
+            )
+        self.call_at(
+            self.now + REPORT_INTERVAL_SECONDS, self._send_report, engine
+        )
 
-    def _hear(self, sampler: SamplerId, report: SamplerReport) -> None:
+    def _receive_report(
+        self, sampler: SamplerId, report: SamplerReport
+    ) -> None:
         self.pool.record_report(sampler, report, self.now)
-        self.pump()
+        self.dispatch()
 
-    def _hear_events(
+    def _receive_cache_events(
         self, sampler: SamplerId, first: int, events: list[tuple[str, int]]
     ) -> None:
         self.pool.apply_cache_events(sampler, first, events, self.now)
--- a/guavagate/measure/_trainers.py
+++ b/guavagate/measure/_trainers.py
@@ -6,9 +6,9 @@
 import numpy as np
 
 from guavagate.decisions import Kind, Work
-from guavagate.measure._engine import BATCH_SLOWDOWN, PACE
+from guavagate.measure._engine import BATCH_SLOWDOWN, TOKEN_INTERVAL_SECONDS
 from guavagate.measure._policies import Policy
-from guavagate.measure._record import Record, Request, jain, mean
+from guavagate.measure._record import Record, Request, compute_jain_index, mean
 from guavagate.measure._scenario import (
     SAMPLERS,
     SLOTS,
@@ -19,31 +19,31 @@
 from guavagate.measure._workload import (
     TEAM,
     Rng,
-    draw_errors,
+    clamp_estimate,
+    draw_estimate_errors,
     draw_lengths,
-    guess_length,
     make_request,
-    share_keys,
+    make_shared_keys,
 )
 from guavagate.models import CallerId, RequestId, RunId
 
-_GROUP: Final = 8
-_TOKENS: Final = 200
-_PROMPT: Final = 1_000
-_SLOW: Final = 3.0
+_GROUP_SIZE: Final = 8
+_MEAN_TOKENS: Final = 200
+_PROMPT_TOKENS: Final = 1_000
+_SLOWDOWN_FACTOR: Final = 3.0
 # A stalled sampler: nothing comes for as good as the whole minute.
-_STALLED: Final = 100.0
-_STALL_S: Final = 60.0
+_STALL_SLOWDOWN_FACTOR: Final = 100.0
+_STALL_SECONDS: Final = 60.0
 # What the samplers give in all while one of them is slow.
-_HEALTHY: Final = SAMPLERS - 1 + 1 / _SLOW
+_EFFECTIVE_SAMPLERS: Final = SAMPLERS - 1 + 1 / _SLOWDOWN_FACTOR
 # A trainer's time for a step, by the clairvoyant time to generate a mean one:
 # samplers are bought so that a trainer, the dearer part, needn't wait.
-_TRAIN_RATIO: Final = 1.1
+_TRAINING_RATIO: Final = 1.1
 # The same aims are shown for a trainer that is nearly as fast as the samplers.
-_TIGHT_RATIO: Final = 1.04
+_TIGHT_TRAINING_RATIO: Final = 1.04
 # Steps that a trainer lets be generated ahead: with one in training and one
 # in generation, a sample is at most one version old when it is used.
-_AHEAD: Final = 2
+_STEPS_AHEAD: Final = 2
 
 
 class TrainerModel(msgspec.Struct, kw_only=True):
@@ -52,44 +52,52 @@
     run: str
     samples: int
     steps: int
-    train_s: float
+    training_seconds: float
     weight: float = 1
     sigma: float = 0.7
     submitted: int = 0
     trained: int = 0
     version: int = 0
-    ready: list[int] = []
-    open: dict[int, int] = {}
-    begun: dict[int, float] = {}
-    versions: dict[int, int] = {}
+    ready_steps: list[int] = []
+    unfinished_samples: dict[int, int] = {}
+    submitted_at: dict[int, float] = {}
+    versions_at_submission: dict[int, int] = {}
     step_seconds: list[float] = []
-    work: dict[int, list[Request]] = {}
+    requests: dict[int, list[Request]] = {}
     staleness: list[int] = []
-    idle_s: float = 0
+    idle_seconds: float = 0
     idle_since: float | None = None
-    started_s: float = 0
-    ended_s: float = 0
+    training_started_at: float = 0
+    last_step_ended_at: float = 0
 
 
 def measure_stragglers(policy: Policy, seed: int) -> Figures:
     """Generate steps of 256 long-tailed samples; one sampler is slow."""
-    return _make_steps(policy, seed, _TRAIN_RATIO)
+    return _measure_steps(policy, seed, _TRAINING_RATIO)
 
 
 def measure_tight_stragglers(policy: Policy, seed: int) -> Figures:
     """Generate the same steps for a trainer nearly as fast as samplers."""
-    return _make_steps(policy, seed, _TIGHT_RATIO)
+    return _measure_steps(policy, seed, _TIGHT_TRAINING_RATIO)
 
 
-def _make_steps(policy: Policy, seed: int, ratio: float) -> Figures:
+def _measure_steps(policy: Policy, seed: int, ratio: float) -> Figures:
     rng = np.random.default_rng(seed)
-    step_s = _full_seconds(256) * SAMPLERS / _HEALTHY
+    mean_step_seconds = (
+        _estimate_step_seconds(256) * SAMPLERS / _EFFECTIVE_SAMPLERS
+    )
     trainer = TrainerModel(
-        run='consent', samples=256, steps=16, train_s=ratio * step_s
+        run='consent',
+        samples=256,
+        steps=16,
+        training_seconds=ratio * mean_step_seconds,
+    )
+    simulation = _run(
+        policy, [trainer], rng, seed, slowdown_interval=mean_step_seconds
     )
-    simulation = _run(policy, [trainer], rng, seed, slow_every=step_s)
     bounds = [
-        _find_bound(requests, _HEALTHY) for requests in trainer.work.values()
+        _compute_lower_bound(requests, _EFFECTIVE_SAMPLERS)
+        for requests in trainer.requests.values()
     ]
     figures = _summarise(trainer)
     figures['step_of_bound'] = sum(trainer.step_seconds) / sum(bounds)
@@ -102,16 +110,24 @@
 def measure_stalled_sampler(policy: Policy, seed: int) -> Figures:
     """Generate the same steps; each sampler stalls for a minute in turn."""
     rng = np.random.default_rng(seed)
-    step_s = _full_seconds(256) * SAMPLERS / (SAMPLERS - 1)
+    mean_step_seconds = _estimate_step_seconds(256) * SAMPLERS / (SAMPLERS - 1)
     trainer = TrainerModel(
-        run='consent', samples=256, steps=8, train_s=_TRAIN_RATIO * step_s
+        run='consent',
+        samples=256,
+        steps=8,
+        training_seconds=_TRAINING_RATIO * mean_step_seconds,
     )
     simulation = _run(
-        policy, [trainer], rng, seed, slow_every=_STALL_S, slow=_STALLED
+        policy,
+        [trainer],
+        rng,
+        seed,
+        slowdown_interval=_STALL_SECONDS,
+        slowdown=_STALL_SLOWDOWN_FACTOR,
     )
     bounds = [
-        _find_bound(requests, SAMPLERS - 1)
-        for requests in trainer.work.values()
+        _compute_lower_bound(requests, SAMPLERS - 1)
+        for requests in trainer.requests.values()
     ]
     figures = _summarise(trainer)
     figures['step_of_bound'] = sum(trainer.step_seconds) / sum(bounds)
@@ -126,7 +142,7 @@
     rng = np.random.default_rng(seed)
     trainers = [
         TrainerModel(
-            run=name, samples=128, steps=1000, train_s=1, weight=weight
+            run=name, samples=128, steps=1000, training_seconds=1, weight=weight
         )
         for name, weight in (('first', 3.0), ('second', 1.0))
     ]
@@ -140,7 +156,7 @@
         )
         shares.append(done / trainer.weight)
     return {
-        'jain_by_weight': jain(shares),
+        'jain_by_weight': compute_jain_index(shares),
         'first_to_second': 3 * shares[0] / max(shares[1], 1),
         'idle_first': _summarise(trainers[0])['trainer_idle_share'],
         'idle_second': _summarise(trainers[1])['trainer_idle_share'],
@@ -152,8 +168,8 @@
     trainers: list[TrainerModel],
     rng: Rng,
     seed: int,
-    slow_every: float = 0,
-    slow: float = _SLOW,
+    slowdown_interval: float = 0,
+    slowdown: float = _SLOWDOWN_FACTOR,
     until: float = 3600,
 ) -> Simulation:
     by_run = {trainer.run: trainer for trainer in trainers}
@@ -161,20 +177,27 @@
     def finish(record: Record) -> None:
         trainer = by_run[str(record.request.work.run)]
         step = record.request.work.step
-        trainer.open[step] -= 1
-        if not trainer.open[step]:
-            _complete(simulation_box[0], trainer, step, rng)
+        trainer.unfinished_samples[step] -= 1
+        if not trainer.unfinished_samples[step]:
+            _complete(started_simulations[0], trainer, step, rng)
 
-    simulation_box: list[Simulation] = []
+    started_simulations: list[Simulation] = []
 
     def prepare(simulation: Simulation) -> None:
-        simulation_box.append(simulation)
+        started_simulations.append(simulation)
         simulation.on_end = finish
         for trainer in trainers:
-            for _ in range(_AHEAD):
+            for _ in range(_STEPS_AHEAD):
                 _submit(simulation, trainer, rng)
-        if slow_every:
-            simulation.at(0, _slow_next, simulation, slow_every, slow, 0)
+        if slowdown_interval:
+            simulation.call_at(
+                0,
+                _slow_next_sampler,
+                simulation,
+                slowdown_interval,
+                slowdown,
+                0,
+            )
 
     return run_requests(policy, [], until, seed=seed, prepare=prepare)
 
@@ -185,10 +208,10 @@
     step = trainer.submitted
     trainer.submitted += 1
     requests = _draw_step(simulation, trainer, step, rng)
-    trainer.open[step] = len(requests)
-    trainer.begun[step] = simulation.now
-    trainer.versions[step] = trainer.version
-    trainer.work[step] = requests
+    trainer.unfinished_samples[step] = len(requests)
+    trainer.submitted_at[step] = simulation.now
+    trainer.versions_at_submission[step] = trainer.version
+    trainer.requests[step] = requests
     for request in requests:
         simulation.submit(request)
 
@@ -197,11 +220,11 @@
     simulation: Simulation, trainer: TrainerModel, step: int, rng: Rng
 ) -> list[Request]:
     count = trainer.samples
-    lengths = draw_lengths(rng, count, _TOKENS, trainer.sigma)
-    errors = draw_errors(rng, count)
+    lengths = draw_lengths(rng, count, _MEAN_TOKENS, trainer.sigma)
+    errors = draw_estimate_errors(rng, count)
     requests = []
     for index in range(count):
-        group = step * count // _GROUP + index // _GROUP
+        group = step * count // _GROUP_SIZE + index // _GROUP_SIZE
         work = Work(
             id=RequestId(f'{trainer.run}-{step}-{index}'),
             team=TEAM,
@@ -209,10 +232,10 @@
             kind=Kind.ROLLOUT,
             run=RunId(trainer.run),
             step=step,
-            prefix_keys=share_keys(group),
-            prompt_tokens=_PROMPT,
-            expected_tokens=guess_length(
-                lengths[index] * errors[index], _TOKENS
+            prefix_keys=make_shared_keys(group),
+            prompt_tokens=_PROMPT_TOKENS,
+            expected_tokens=clamp_estimate(
+                lengths[index] * errors[index], _MEAN_TOKENS
             ),
             weight=trainer.weight,
         )
@@ -223,29 +246,31 @@
 def _complete(
     simulation: Simulation, trainer: TrainerModel, step: int, rng: Rng
 ) -> None:
-    begun = max(trainer.begun[step], trainer.ended_s)
-    trainer.step_seconds.append(simulation.now - begun)
-    trainer.ended_s = simulation.now
-    trainer.ready.append(step)
+    started_at = max(trainer.submitted_at[step], trainer.last_step_ended_at)
+    trainer.step_seconds.append(simulation.now - started_at)
+    trainer.last_step_ended_at = simulation.now
+    trainer.ready_steps.append(step)
     if trainer.idle_since is not None or not trainer.trained:
         _train(simulation, trainer, rng)
 
 
 def _train(simulation: Simulation, trainer: TrainerModel, rng: Rng) -> None:
-    if not trainer.ready:
+    if not trainer.ready_steps:
         trainer.idle_since = simulation.now
         return
     if trainer.idle_since is not None:
-        trainer.idle_s += simulation.now - trainer.idle_since
+        trainer.idle_seconds += simulation.now - trainer.idle_since
         trainer.idle_since = None
-    step = trainer.ready.pop(0)
+    step = trainer.ready_steps.pop(0)
     if not trainer.trained:
-        trainer.started_s = simulation.now
+        trainer.training_started_at = simulation.now
     trainer.trained += 1
-    trainer.staleness.append(trainer.version - trainer.versions[step])
+    trainer.staleness.append(
+        trainer.version - trainer.versions_at_submission[step]
+    )
     _submit(simulation, trainer, rng)
-    done = simulation.now + trainer.train_s
-    simulation.at(done, _end_training, simulation, trainer, rng)
+    done = simulation.now + trainer.training_seconds
+    simulation.call_at(done, _end_training, simulation, trainer, rng)
 
 
 def _end_training(
@@ -257,36 +282,42 @@
         _train(simulation, trainer, rng)
 
 
-def _slow_next(
-    simulation: Simulation, every: float, slow: float, turn: int
+def _slow_next_sampler(
+    simulation: Simulation, interval: float, slowdown: float, index: int
 ) -> None:
     engines = list(simulation.engines.values())
-    simulation.change(engines[(turn - 1) % len(engines)], 1)
-    simulation.change(engines[turn % len(engines)], slow)
-    later = simulation.now + every
-    simulation.at(later, _slow_next, simulation, every, slow, turn + 1)
+    simulation.set_slowdown(engines[(index - 1) % len(engines)], 1)
+    simulation.set_slowdown(engines[index % len(engines)], slowdown)
+    next_at = simulation.now + interval
+    simulation.call_at(
+        next_at, _slow_next_sampler, simulation, interval, slowdown, index + 1
+    )
 
 
-def _full_seconds(samples: int) -> float:
+def _estimate_step_seconds(samples: int) -> float:
     """Return the time of a mean step on full, healthy samplers."""
-    pace = PACE * (1 + BATCH_SLOWDOWN * (SLOTS - 1))
-    return samples * _TOKENS * pace / (SAMPLERS * SLOTS)
+    token_interval = TOKEN_INTERVAL_SECONDS * (1 + BATCH_SLOWDOWN * (SLOTS - 1))
+    return samples * _MEAN_TOKENS * token_interval / (SAMPLERS * SLOTS)
 
 
-def _find_bound(requests: list[Request], samplers: float) -> float:
+def _compute_lower_bound(requests: list[Request], samplers: float) -> float:
     """Return a time that no order can beat, though it knew all lengths."""
-    pace = PACE * (1 + BATCH_SLOWDOWN * (SLOTS - 1))
+    token_interval = TOKEN_INTERVAL_SECONDS * (1 + BATCH_SLOWDOWN * (SLOTS - 1))
     tokens = sum(request.tokens for request in requests)
     longest = max(request.tokens for request in requests)
-    return max(tokens * pace / (samplers * SLOTS), longest * PACE)
+    return max(
+        tokens * token_interval / (samplers * SLOTS),
+        longest * TOKEN_INTERVAL_SECONDS,
+    )
 
 
 def _summarise(trainer: TrainerModel) -> Figures:
-    train = trainer.trained * trainer.train_s
+    training_seconds = trainer.trained * trainer.training_seconds
     return {
         'steps': len(trainer.step_seconds),
         'step_mean_s': mean(trainer.step_seconds),
-        'trainer_idle_share': trainer.idle_s / max(train + trainer.idle_s, 1),
+        'trainer_idle_share': trainer.idle_seconds
+        / max(training_seconds + trainer.idle_seconds, 1),
         'staleness_mean': mean([float(age) for age in trainer.staleness]),
         'staleness_max': float(max(trainer.staleness, default=0)),
     }
--- a/guavagate/measure/_workload.py
+++ b/guavagate/measure/_workload.py
@@ -9,18 +9,18 @@
 
 from guavagate.decisions import Kind, Work
 from guavagate.decisions._work import PREFILL_SHARE
-from guavagate.measure._engine import BATCH_SLOWDOWN, PACE
+from guavagate.measure._engine import BATCH_SLOWDOWN, TOKEN_INTERVAL_SECONDS
 from guavagate.measure._record import Request
 from guavagate.models import CallerId, RequestId, TeamId
 
 TEAM: Final = TeamId('trust')
 # Estimated lengths are off by up to this factor either way.
-ERROR_FACTOR: Final = 2.0
+MAX_ERROR_FACTOR: Final = 2.0
 # Callers limit the length (``max_tokens``) to this multiple of the mean.
-LENGTH_LIMIT: Final = 4
+LENGTH_LIMIT_FACTOR: Final = 4
 # Prefix keys of one prompt: some shared, the last its own.
-SHARED_KEYS: Final = 3
-_KEY_SPAN: Final = 1 << 20
+SHARED_KEYS_PER_PROMPT: Final = 3
+_SHARED_KEY_LIMIT: Final = 1 << 20
 
 Rng = np.random.Generator
 
@@ -30,27 +30,29 @@
 
     caller: str
     rate: float
-    tokens: float = 100
+    mean_tokens: float = 100
     sigma: float = 0.5
-    patience: float = 10
-    prompt: int = 0
+    timeout_seconds: float = 10
+    prompt_tokens: int = 0
     weight: float = 1
     idempotent: bool = True
 
 
-def capacity(
-    streams_tokens: float,
+def compute_capacity(
+    mean_tokens: float,
     samplers: int,
     slots: int,
-    prompt: float = 0,
+    prompt_tokens: float = 0,
 ) -> float:
     """Return the requests a second that all samplers answer, full."""
-    pace = PACE * (1 + BATCH_SLOWDOWN * (slots - 1))
-    cost = streams_tokens + prompt * PREFILL_SHARE
-    return samplers * slots / (cost * pace)
+    token_interval = TOKEN_INTERVAL_SECONDS * (1 + BATCH_SLOWDOWN * (slots - 1))
+    cost = mean_tokens + prompt_tokens * PREFILL_SHARE
+    return samplers * slots / (cost * token_interval)
 
 
-def draw_times(rng: Rng, rate: float, start: float, end: float) -> np.ndarray:
+def draw_arrival_times(
+    rng: Rng, rate: float, start: float, end: float
+) -> np.ndarray:
     """Return the arrival times of a Poisson process."""
     count = int(rng.poisson(rate * (end - start)))
     return np.sort(rng.uniform(start, end, count))
@@ -60,13 +62,13 @@
     """Return lognormal lengths of a given mean, cut at the callers' limit."""
     mu = math.log(mean) - sigma * sigma / 2
     lengths = rng.lognormal(mu, sigma, count)
-    limit = LENGTH_LIMIT * mean
+    limit = LENGTH_LIMIT_FACTOR * mean
     return np.clip(lengths.round(), 1, limit).astype(int)
 
 
-def draw_errors(rng: Rng, count: int) -> np.ndarray:
+def draw_estimate_errors(rng: Rng, count: int) -> np.ndarray:
     """Return factors by which estimates are off, up to twice either way."""
-    return ERROR_FACTOR ** rng.uniform(-1, 1, count)
+    return MAX_ERROR_FACTOR ** rng.uniform(-1, 1, count)
 
 
 def draw_requests(
@@ -74,31 +76,35 @@
     stream: Stream,
     start: float,
     end: float,
-    prefixes: Callable[[int], np.ndarray] | None = None,
+    draw_prefixes: Callable[[int], np.ndarray] | None = None,
 ) -> list[Request]:
     """Return a caller's requests between two times."""
-    times = draw_times(rng, stream.rate, start, end)
-    lengths = draw_lengths(rng, len(times), stream.tokens, stream.sigma)
-    errors = draw_errors(rng, len(times))
-    picks = prefixes(len(times)) if prefixes else np.zeros(len(times), int)
+    times = draw_arrival_times(rng, stream.rate, start, end)
+    lengths = draw_lengths(rng, len(times), stream.mean_tokens, stream.sigma)
+    errors = draw_estimate_errors(rng, len(times))
+    prefixes = (
+        draw_prefixes(len(times))
+        if draw_prefixes
+        else np.zeros(len(times), int)
+    )
     requests: list[Request] = []
-    for at, tokens, error, pick in zip(
-        times, lengths, errors, picks, strict=True
+    for at, tokens, error, prefix in zip(
+        times, lengths, errors, prefixes, strict=True
     ):
         name = f'{stream.caller}-{start:g}-{len(requests)}'
         keys: tuple[int, ...] = ()
-        if prefixes:
-            own = int(rng.integers(_KEY_SPAN, _KEY_SPAN**2))
-            keys = (*share_keys(int(pick)), own)
+        if draw_prefixes:
+            own_key = int(rng.integers(_SHARED_KEY_LIMIT, _SHARED_KEY_LIMIT**2))
+            keys = (*make_shared_keys(int(prefix)), own_key)
         work = Work(
             id=RequestId(name),
             team=TEAM,
             caller=CallerId(stream.caller),
             kind=Kind.INTERACTIVE,
-            deadline=float(at) + stream.patience,
+            deadline=float(at) + stream.timeout_seconds,
             prefix_keys=keys,
-            prompt_tokens=stream.prompt,
-            expected_tokens=guess_length(tokens * error, stream.tokens),
+            prompt_tokens=stream.prompt_tokens,
+            expected_tokens=clamp_estimate(tokens * error, stream.mean_tokens),
             weight=stream.weight,
             idempotent=stream.idempotent,
         )
@@ -106,17 +112,22 @@
     return requests
 
 
-def guess_length(guess: float, mean: float) -> int:
+def clamp_estimate(estimate: float, mean: float) -> int:
     """Return an estimate that keeps the callers' limit."""
-    return max(min(round(float(guess)), int(LENGTH_LIMIT * mean)), 1)
+    return max(min(round(float(estimate)), int(LENGTH_LIMIT_FACTOR * mean)), 1)
 
 
-def share_keys(prefix: int) -> tuple[int, ...]:
+def make_shared_keys(prefix: int) -> tuple[int, ...]:
     """Return the keys of a shared prefix."""
-    return tuple(prefix * SHARED_KEYS + level for level in range(SHARED_KEYS))
+    return tuple(
+        prefix * SHARED_KEYS_PER_PROMPT + level
+        for level in range(SHARED_KEYS_PER_PROMPT)
+    )
 
 
 def make_request(at: float, work: Work, tokens: int) -> Request:
     """Return a request with its time alone on a sampler."""
-    alone = (tokens + work.prompt_tokens * PREFILL_SHARE) * PACE
+    alone = (
+        tokens + work.prompt_tokens * PREFILL_SHARE
+    ) * TOKEN_INTERVAL_SECONDS
     return Request(at=at, work=work, tokens=tokens, alone=alone)
