--- a/guavagate/daemon.py
+++ b/guavagate/daemon.py
@@ -115,7 +115,7 @@
     stop_requested = Event()
 
     def handle_terminate() -> None:
-        write(_LOGGER, events.STOP_PROGRESS, phase='requested')
+        write(_LOGGER, events.STOP_PROGRESS, phase='asked')
         stop_requested.set()
         process.request_stop()
 
--- a/tests/common.py
+++ b/tests/common.py
@@ -1,4 +1,4 @@
-"""A small fleet of fake instances with a counter in its partitions."""
+"""A small fleet of fake instances whose partitions store counters."""
 
 from guavagate.clock import Task
 from guavagate.measure import outcomes
@@ -8,12 +8,12 @@
 
 
 def make_counters(partition: int) -> dict[type[Command], PartitionState]:
-    """Make the states of one partition."""
+    """Create the states of one partition."""
     return {Add: Counters()}
 
 
 class Fleet(outcomes.Fleet):
-    """A fleet that counts."""
+    """A fleet with counter partitions."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
     def add(
         self, name: str, key: str = 'k', timeout: float = 5, amount: int = 1
     ) -> Task:
-        """Submit an addition at an instance."""
+        """Submit an addition to an instance."""
         command = Add(at=self.clock.wall(), key=key, amount=amount)
         clock = self.runtimes[name].clock
         return clock.spawn(
@@ -42,12 +42,12 @@
         )
 
     def total(self, name: str, key: str = 'k', timeout: float = 5) -> int:
-        """Return a counter, as asked for at an instance."""
+        """Query a counter's total through an instance."""
         task = self.add(name, key, timeout, 0)
         self.clock.run_until(task.ready, timeout + 1)
         return int(task.get(block=False).total)
 
     def primary(self) -> str:
-        """Return the name of the running primary, or nothing."""
-        deciding = self.list_primaries()
-        return deciding[0] if deciding else ''
+        """Return the name of the running primary, or an empty string."""
+        primaries = self.list_primaries()
+        return primaries[0] if primaries else ''
--- a/tests/helpers/__init__.py
+++ b/tests/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of helpers."""
+"""Tests of guavagate.helpers."""
--- a/tests/helpers/test_listeners.py
+++ b/tests/helpers/test_listeners.py
@@ -1,4 +1,4 @@
-"""Callers that come while an instance starts."""
+"""Test sockets that listen while an instance starts."""
 
 import pathlib
 import socket
@@ -13,18 +13,18 @@
 from guavagate.platform.listen_addresses import read_listen_addresses
 
 
-def _find_free() -> str:
+def _find_free_address() -> str:
     with socket.create_server(('127.0.0.1', 0)) as probe:
         return f'127.0.0.1:{probe.getsockname()[1]}'
 
 
-def test_a_caller_that_comes_during_a_start_is_served() -> None:
-    """All instances were killed; a caller connects as one starts again.
+def test_a_connection_during_a_start_is_served() -> None:
+    """A start must not refuse callers while the program is loaded.
 
-    It is not refused: it waits until the program is loaded, and its request,
-    which it has sent meanwhile, is answered.
+    After all instances were killed, a caller connects while one starts. Its
+    connection waits until the server runs, which then answers its request.
     """
-    address = _find_free()
+    address = _find_free_address()
     listen_early([address], backlog=8)
     host, _, port = address.rpartition(':')
     caller = gevent.socket.create_connection((host, int(port)), timeout=3)
@@ -47,8 +47,8 @@
         caller.close()
 
 
-def test_an_address_that_is_taken_is_left_to_its_server() -> None:
-    """The server's own error names the address; an early one would not."""
+def test_an_unavailable_address_is_skipped() -> None:
+    """The server fails later, with an error that names the address."""
     with socket.create_server(('127.0.0.1', 0)) as other:
         taken = f'127.0.0.1:{other.getsockname()[1]}'
         listen_early([taken, 'no address'], backlog=8)
@@ -57,20 +57,20 @@
 
 
 @pytest.mark.parametrize('text', ['', '[listen', 'listen = 7', '[listen]\nx=1'])
-def test_unclear_settings_listen_nowhere(
+def test_invalid_settings_open_no_socket(
     text: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They are judged once the program is loaded, with an error that helps."""
+    """The loaded program rejects them later, with a useful error."""
     path = tmp_path / 'node.toml'
     path.write_text(text)
     monkeypatch.setenv(SETTINGS_VARIABLE, str(path))
     assert not read_listen_addresses()
 
 
-def test_callers_and_the_balancer_are_listened_for(
+def test_sockets_open_for_callers_and_the_balancer(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A worker, which has neither, listens for nobody."""
+    """An instance without these addresses opens no socket."""
     path = tmp_path / 'node.toml'
     path.write_text('[listen]\nfront = "127.0.0.1:1"\nready = "127.0.0.1:2"\n')
     monkeypatch.setenv(SETTINGS_VARIABLE, str(path))
--- a/tests/helpers/test_mirror.py
+++ b/tests/helpers/test_mirror.py
@@ -1,4 +1,4 @@
-"""A copy of the store's objects through outages and dropped history."""
+"""Test the mirror through outages and dropped watch history."""
 
 from guavagate.clock import PausedClock
 from guavagate.exceptions import StoreUnavailableError
@@ -8,8 +8,8 @@
 from guavagate.ports.store import StoreChange, StoredObject
 
 
-class _Held:
-    """A mirror of `servers`, and what it told."""
+class _MirrorSetup:
+    """A mirror of `servers` and the objects that it reported."""
 
     def __init__(self, *, expires_in_outage: bool = False) -> None:
         self.clock = PausedClock()
@@ -34,91 +34,90 @@
         self.known.pop(name)
 
     def start(self) -> None:
-        """Start and load."""
+        """Start the mirror and load the list."""
         self.mirror.start()
         self.clock.advance(0.1)
 
 
-def test_changes_arrive_as_they_are_made() -> None:
-    """One is written, one replaced, one deleted."""
-    held = _Held()
-    held.state.change('servers/a', b'1')
-    held.state.change('servers/b', b'1')
-    held.start()
-    assert held.known == {'a': b'1', 'b': b'1'}
-    held.state.change('servers/a', b'2')
-    held.state.change('servers/b', None)
-    held.clock.advance(0.1)
-    assert held.known == {'a': b'2'}
+def test_changes_are_reported() -> None:
+    """Objects are created, replaced and deleted."""
+    setup = _MirrorSetup()
+    setup.state.change('servers/a', b'1')
+    setup.state.change('servers/b', b'1')
+    setup.start()
+    assert setup.known == {'a': b'1', 'b': b'1'}
+    setup.state.change('servers/a', b'2')
+    setup.state.change('servers/b', None)
+    setup.clock.advance(0.1)
+    assert setup.known == {'a': b'2'}
 
 
-def test_a_watch_that_was_cut_off_is_not_gone_on_with() -> None:
-    """The history is dropped and the watches are cut.
+def test_an_interrupted_watch_is_not_resumed() -> None:
+    """A watch from before a dropped history hides changes until it ends.
 
-    A store may keep a watch from before the drop waiting without a word, so
-    a configuration of meanwhile would be seen only at its end. The list is
-    read instead, at once.
+    The store drops its history and cuts the watches. It may let a resumed
+    watch wait without reporting the loss, so the mirror reads the list again.
     """
-    held = _Held()
-    asked: list[Revision] = []
+    setup = _MirrorSetup()
+    revisions: list[Revision] = []
 
     def watch(
         _: str, since: Revision, timeout: float
     ) -> tuple[list[StoreChange], Revision]:
-        asked.append(since)
-        if len(asked) == 1:
-            held.clock.sleep(0.5)
-            raise StoreUnavailableError('the watch was cut', 'ask again')
-        held.clock.sleep(timeout)
+        revisions.append(since)
+        if len(revisions) == 1:
+            setup.clock.sleep(0.5)
+            raise StoreUnavailableError('the watch was cut', 'watch again')
+        setup.clock.sleep(timeout)
         return [], Revision(0)
 
-    held.store.watch = watch  # type: ignore[method-assign, assignment]
-    held.start()
-    held.state.change('servers/a', b'1')
-    held.clock.advance(1)
-    assert held.known == {'a': b'1'}
-    assert asked == [0, held.state.revision]
+    setup.store.watch = watch  # type: ignore[method-assign, assignment]
+    setup.start()
+    setup.state.change('servers/a', b'1')
+    setup.clock.advance(1)
+    assert setup.known == {'a': b'1'}
+    assert revisions == [0, setup.state.revision]
 
 
-def test_what_lapsed_with_an_outage_is_kept_for_a_while() -> None:
-    """Registrations ran out while the store was down; the upstreams live.
+def test_objects_that_expired_in_an_outage_are_retained_for_a_while() -> None:
+    """An outage must not remove all upstreams together.
 
-    They are back within about two seconds. Taken out at once, all upstreams
-    would be gone together.
+    Registrations expire while the store is down, although the upstreams run.
+    The upstreams register again within about two seconds.
     """
-    held = _Held(expires_in_outage=True)
-    held.state.change('servers/a', b'1')
-    held.state.change('servers/b', b'1')
-    held.start()
-    held.state.outage = True
-    held.state.changed.set()
-    held.state.changed.clear()
-    held.clock.advance(1)
-    held.state.change('servers/a', None)
-    held.state.change('servers/b', None)
-    held.state.outage = False
-    held.clock.advance(1)
-    assert set(held.known) == {'a', 'b'}
-    held.state.change('servers/a', b'2')
-    held.clock.advance(3)
-    assert held.known == {'a': b'2'}
-
-
-def test_without_an_outage_what_is_gone_is_gone_at_once() -> None:
-    """An upstream has left as planned."""
-    held = _Held(expires_in_outage=True)
-    held.state.change('servers/a', b'1')
-    held.start()
-    held.clock.advance(3)
-    held.state.change('servers/a', None)
-    held.clock.advance(0.1)
-    assert not held.known
-
-
-def test_an_object_that_can_not_be_read_stops_nothing() -> None:
-    """One registration is broken; the others count."""
-    held = _Held()
-    held.state.change('servers/a', b'bad')
-    held.state.change('servers/b', b'1')
-    held.start()
-    assert held.known == {'b': b'1'}
+    setup = _MirrorSetup(expires_in_outage=True)
+    setup.state.change('servers/a', b'1')
+    setup.state.change('servers/b', b'1')
+    setup.start()
+    setup.state.outage = True
+    setup.state.changed.set()
+    setup.state.changed.clear()
+    setup.clock.advance(1)
+    setup.state.change('servers/a', None)
+    setup.state.change('servers/b', None)
+    setup.state.outage = False
+    setup.clock.advance(1)
+    assert set(setup.known) == {'a', 'b'}
+    setup.state.change('servers/a', b'2')
+    setup.clock.advance(3)
+    assert setup.known == {'a': b'2'}
+
+
+def test_without_an_outage_a_deletion_is_reported_at_once() -> None:
+    """An upstream leaves as planned."""
+    setup = _MirrorSetup(expires_in_outage=True)
+    setup.state.change('servers/a', b'1')
+    setup.start()
+    setup.clock.advance(3)
+    setup.state.change('servers/a', None)
+    setup.clock.advance(0.1)
+    assert not setup.known
+
+
+def test_an_unreadable_object_hides_no_other_object() -> None:
+    """One registration is invalid; the other is still reported."""
+    setup = _MirrorSetup()
+    setup.state.change('servers/a', b'bad')
+    setup.state.change('servers/b', b'1')
+    setup.start()
+    assert setup.known == {'b': b'1'}
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Tests of the clock that tests pause and advance."""
+"""Test the paused clock."""
 
 import gevent
 import pytest
@@ -8,38 +8,38 @@
 
 
 def _produce(clock: PausedClock, queue: 'Queue[int]', every: int) -> None:
-    """Put ten numbers at a fixed pace."""
+    """Put ten numbers at a fixed interval."""
     for number in range(10):
         clock.sleep(0.01 * every)
         queue.put(number * every)
 
 
 def _trace() -> list[tuple[float, int]]:
-    """Run three producers and a consumer in virtual time."""
+    """Return what a consumer receives from three producers, with times."""
     clock = PausedClock()
     queue: Queue[int] = Queue()
-    seen: list[tuple[float, int]] = []
+    received: list[tuple[float, int]] = []
 
     def consume() -> None:
         while True:
-            seen.append((clock.now(), queue.get()))
+            received.append((clock.now(), queue.get()))
 
     consumer = clock.spawn(consume)
     for every in (1, 2, 3):
         clock.spawn(_produce, clock, queue, every)
     clock.advance(1)
     consumer.kill()
-    return seen
+    return received
 
 
-def test_the_paused_clock_replays_exactly() -> None:
-    """The same program gives the same trace."""
+def test_the_paused_clock_is_deterministic() -> None:
+    """The same program produces the same trace."""
     assert _trace() == _trace()
     assert len(_trace()) == 30
 
 
 def test_a_timeout_ends_a_wait_in_virtual_time() -> None:
-    """A wait for nothing ends with the given error when time is moved on."""
+    """A wait that never completes raises the given error at its limit."""
     clock = PausedClock()
 
     def wait() -> None:
--- a/tests/test_demo_verdict.py
+++ b/tests/test_demo_verdict.py
@@ -1,4 +1,4 @@
-"""Tests that the demo's verdict can fail: each broken promise shows."""
+"""Test that the demo's summary detects each violated guarantee."""
 
 from collections.abc import Callable
 
@@ -9,8 +9,8 @@
 from standins.text import make_token, tag_prompt
 
 
-def _say(name: str, versions: list[int]) -> str:
-    """Return the text that engines of these versions make."""
+def _make_text(name: str, versions: list[int]) -> str:
+    """Return the text that engines with these versions generate."""
     prompt = tag_prompt('', name)
     return ''.join(
         make_token(prompt, index, version)
@@ -18,18 +18,18 @@
     )
 
 
-def _sample(name: str, versions: list[int]) -> hist.PulledSample:
-    """Return a sample of a text."""
+def _make_sample(name: str, versions: list[int]) -> hist.PulledSample:
+    """Return a pulled sample with its text and versions."""
     return hist.PulledSample(
         sample=name,
         versions=tuple(dict.fromkeys(versions)),
-        text=_say('group', versions),
+        text=_make_text('group', versions),
     )
 
 
-def _ask(name: str, kind: str, at: float) -> list[hist.Event]:
-    """Return a request that runs once and is answered once."""
-    text = _say(name, [1, 1]) if kind == 'chat' else f'{name} done'
+def _make_request(name: str, kind: str, at: float) -> list[hist.Event]:
+    """Return the events of a request that runs and is answered once."""
+    text = _make_text(name, [1, 1]) if kind == 'chat' else f'{name} done'
     attempt = f'{name}@1'
     return [
         hist.SentRequest(
@@ -51,8 +51,8 @@
     ]
 
 
-def _generate(sample: hist.PulledSample) -> list[hist.Event]:
-    """Return the pieces that engines made of a sample, by version."""
+def _make_pieces(sample: hist.PulledSample) -> list[hist.Event]:
+    """Return the events of the pieces that engines generated."""
     tokens = [f' {token}' for token in sample.text.split()]
     return [
         hist.GeneratedPiece(
@@ -67,21 +67,21 @@
 
 
 def _make_history() -> list[hist.Event]:
-    """Return a history that keeps every promise."""
+    """Return a history that satisfies every guarantee."""
     place = {'run': 'r', 'step': 's'}
     return [
-        *_ask('w-1', 'write', 1),
-        *_ask('c-1.1', 'chat', 2),
+        *_make_request('w-1', 'write', 1),
+        *_make_request('c-1.1', 'chat', 2),
         hist.PublishedVersion(at=3, run='r', version=2, max_staleness=1),
         hist.SubmittedStep(at=4, groups=1, samples_per_group=2, **place),
-        *_generate(_sample('x', [1, 2])),
-        *_generate(_sample('y', [2])),
+        *_make_pieces(_make_sample('x', [1, 2])),
+        *_make_pieces(_make_sample('y', [2])),
         hist.PulledBatch(
             at=5,
             cursor='',
             follows='k1',
             newest=2,
-            samples=(_sample('x', [1, 2]), _sample('y', [2])),
+            samples=(_make_sample('x', [1, 2]), _make_sample('y', [2])),
             **place,
         ),
         hist.Acked(at=5, cursor='k1', **place),
@@ -89,10 +89,10 @@
     ]
 
 
-def _pull_again(
+def _make_pull(
     samples: tuple[hist.PulledSample, ...], newest: int = 2
 ) -> list[hist.Event]:
-    """Return one more batch, taken in."""
+    """Return the events of one more batch that is acknowledged."""
     return [
         hist.PulledBatch(
             at=7,
@@ -107,8 +107,8 @@
     ]
 
 
-def test_a_history_that_keeps_every_promise_is_accepted() -> None:
-    """Two answers, two samples, nothing stale, lost or doubled."""
+def test_a_correct_history_is_accepted() -> None:
+    """Two answers and two samples; none is stale, lost or duplicated."""
     summary = summarize(_make_history())
     assert summary.has_passed(), summary.problems
     assert summary.last_line == (
@@ -121,9 +121,9 @@
     ('extra', 'figure'),
     [
         (lambda: [hist.RanAtUpstream(at=9, request='w-1')], 'doubled'),
-        (lambda: _pull_again((_sample('x', [1, 2]),)), 'doubled'),
-        (lambda: _pull_again((_sample('z', [1]),), newest=4), 'stale'),
-        (lambda: _ask('w-2', 'write', 9)[:2], 'lost'),
+        (lambda: _make_pull((_make_sample('x', [1, 2]),)), 'doubled'),
+        (lambda: _make_pull((_make_sample('z', [1]),), newest=4), 'stale'),
+        (lambda: _make_request('w-2', 'write', 9)[:2], 'lost'),
         (
             lambda: [
                 hist.SubmittedStep(
@@ -137,10 +137,10 @@
             'problems',
         ),
         (
-            lambda: _pull_again(
+            lambda: _make_pull(
                 (
                     hist.PulledSample(
-                        sample='z', versions=(2,), text=_say('g', [1, 2])
+                        sample='z', versions=(2,), text=_make_text('g', [1, 2])
                     ),
                 )
             ),
@@ -148,12 +148,12 @@
         ),
         (
             lambda: [
-                *_ask('c-2.1', 'chat', 9)[:2],
+                *_make_request('c-2.1', 'chat', 9)[:2],
                 hist.Received(
                     at=9.9,
                     request='c-2.1',
                     attempt='c-2.1@1',
-                    answer=_say('c-1.1', [1]),
+                    answer=_make_text('c-1.1', [1]),
                     versions=(1,),
                 ),
             ],
@@ -171,10 +171,10 @@
         "another's answer",
     ],
 )
-def test_each_broken_promise_shows(
+def test_each_violation_is_detected(
     extra: Callable[[], list[hist.Event]], figure: str
 ) -> None:
-    """One fault is added to a good history; its figure is no longer zero."""
+    """A fault in a correct history makes its counter nonzero."""
     summary = summarize([*_make_history(), *extra()])
     assert getattr(summary, figure)
     assert not summary.has_passed()
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Tests that the pages say what is there."""
+"""Test that the documentation matches the code."""
 
 import json
 import os
@@ -20,12 +20,12 @@
 
 
 def _find_blocks(text: str, kind: str) -> list[str]:
-    """Return the contents of a page's fenced blocks of one kind."""
+    """Return the contents of a page's fenced blocks in one language."""
     return re.findall(rf'^```{kind}\n(.*?)^```$', text, re.DOTALL | re.M)
 
 
 def test_the_examples_of_the_api_are_json() -> None:
-    """A reader can send each example as it stands."""
+    """Each example parses as a JSON object."""
     blocks = _find_blocks(_API, 'json')
     assert len(blocks) > 10
     for block in blocks:
@@ -35,14 +35,14 @@
 @pytest.mark.parametrize(
     'page', _PAGES, ids=lambda page: str(page.relative_to(_ROOT))
 )
-def test_relative_links_lead_somewhere(page: pathlib.Path) -> None:
-    """Each relative link names a file or folder of the repository."""
+def test_relative_links_resolve(page: pathlib.Path) -> None:
+    """Each relative link names an existing file or folder."""
     links = _LINK.findall(page.read_text('utf-8'))
     assert [one for one in links if not (page.parent / one).exists()] == []
 
 
 def test_every_refusal_is_in_the_table() -> None:
-    """What the code refuses with is what the page lists."""
+    """The page lists every refusal reason in the code."""
     folders = ('auth', 'callers', 'ledger', 'operators', 'permits', 'runs')
     refused = {reason.value for reason in RefusalReason}
     for folder in (*folders, 'trainers', 'web'):
@@ -51,8 +51,8 @@
     assert set(_CODE.findall(_API)) >= refused
 
 
-def _find_checked() -> list[str]:
-    """Return the commands of all blocks that are marked as checked."""
+def _find_checked_commands() -> list[str]:
+    """Return the commands of all blocks marked as checked."""
     blocks = [
         block
         for page in _PAGES
@@ -68,13 +68,13 @@
 
 
 def test_some_commands_are_checked() -> None:
-    """Without any, the test below would pass for nothing."""
-    assert _find_checked()
+    """Without checked commands, the next test would test nothing."""
+    assert _find_checked_commands()
 
 
-@pytest.mark.parametrize('command', _find_checked())
+@pytest.mark.parametrize('command', _find_checked_commands())
 def test_a_checked_command_runs_as_printed(command: str) -> None:
-    """A reader who copies it gets no error."""
+    """Each checked command exits without an error."""
     path = f'{_ROOT / ".venv" / "bin"}:{os.environ["PATH"]}'
     ended = subprocess.run(
         shlex.split(command),
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -1,4 +1,4 @@
-"""The whole path through one instance, over HTTP, with stand-ins."""
+"""Test the complete path through one instance over HTTP with stand-ins."""
 
 import json
 import socket
@@ -38,7 +38,7 @@
 
 
 def _free_address() -> str:
-    """Return a loopback address that nobody listens on."""
+    """Return an unused loopback address."""
     with socket.socket() as probe:
         probe.bind(('127.0.0.1', 0))
         return f'127.0.0.1:{probe.getsockname()[1]}'
@@ -81,7 +81,7 @@
 
 
 class RunningInstance:
-    """One instance and the stand-ins behind it."""
+    """One instance and its stand-in upstreams."""
 
     def __init__(self) -> None:
         options = engine_standin.EngineOptions(
@@ -124,7 +124,7 @@
         self.instance.start()
 
     def stop(self) -> None:
-        """Stop everything."""
+        """Stop the instance and its stand-ins."""
         self.instance.server.stop(timeout=0)
         self.bus.stop()
         for server in (*self.engines, self.desk, self.scoring):
@@ -165,25 +165,27 @@
         return answer
 
 
-@pytest.fixture(name='path')
-def start_path() -> Iterator[RunningInstance]:
-    """Start one instance with its stand-ins."""
-    running = RunningInstance()
-    yield running
-    running.stop()
+@pytest.fixture(name='running')
+def start_instance() -> Iterator[RunningInstance]:
+    """Run one instance with its stand-ins."""
+    instance = RunningInstance()
+    yield instance
+    instance.stop()
 
 
-def test_a_completion_is_answered_whole_and_names_its_maker(
-    path: RunningInstance,
+def test_a_completion_names_its_sampler_and_version(
+    running: RunningInstance,
 ) -> None:
-    """The answer names request, sampler and version, as the stream does."""
+    """A complete answer and a stream name the sampler and the version."""
     ask = {'model': 'coach-models', 'prompt': 'plan a week', 'max_tokens': 12}
-    answer = path.ask_json('/v1/completions', ask)
+    answer = running.ask_json('/v1/completions', ask)
     text = answer['choices'][0]['text']
     tokens = answer['usage']['completion_tokens']
     assert 0 < tokens <= 12
     assert answer['guavagate']['versions'] == [[1, tokens]]
-    status, data, headers = path.ask('/v1/completions', {**ask, 'stream': True})
+    status, data, headers = running.ask(
+        '/v1/completions', {**ask, 'stream': True}
+    )
     events = [line[6:] for line in data.split(b'\n') if line[:6] == b'data: ']
     assert status == 200
     assert events[-1] == b'[DONE]'
@@ -195,41 +197,41 @@
     assert headers['x-guavagate-sampler'] in {'s0', 's1'}
 
 
-def test_a_plain_service_is_reached_with_its_path_and_body(
-    path: RunningInstance,
+def test_a_plain_service_receives_path_and_body(
+    running: RunningInstance,
 ) -> None:
-    """The upstream's own status, headers and body come back."""
-    status, data, _ = path.ask('/v1/services/booking-desk/slots?day=3', b'x')
+    """The caller receives the upstream's status and body."""
+    status, data, _ = running.ask('/v1/services/booking-desk/slots?day=3', b'x')
     assert status == 200
     assert data == b'slots POST /slots x'
 
 
-def test_a_trainer_gets_each_sample_once_with_its_versions(
-    path: RunningInstance,
+def test_a_trainer_receives_each_sample_once_with_its_versions(
+    running: RunningInstance,
 ) -> None:
-    """Submit, pull by cursor, pull again, publish: nothing twice or stale."""
+    """Repeated submissions and pulls neither duplicate nor lose samples."""
     run = '/v1/runs/plan-batches'
     groups = [
         {'group_id': f'g{n}', 'prompt': f'p{n}', 'samples': 2, 'max_tokens': 8}
         for n in range(3)
     ]
-    path.ask_json(f'{run}/versions', {'version': 1}, _TRAINER)
+    running.ask_json(f'{run}/versions', {'version': 1}, _TRAINER)
     step = {'step_id': 'one', 'groups': groups}
-    path.ask_json(f'{run}/steps', step, _TRAINER)
-    path.ask_json(f'{run}/steps', step, _TRAINER)
-    seen: list[str] = []
+    running.ask_json(f'{run}/steps', step, _TRAINER)
+    running.ask_json(f'{run}/steps', step, _TRAINER)
+    delivered: list[str] = []
     cursor = None
     complete = False
     while not complete:
         pull = {'cursor': cursor, 'max_samples': 2, 'wait_s': 10}
-        batch = path.ask_json(f'{run}/batches', pull, _TRAINER)
-        assert path.ask_json(f'{run}/batches', pull, _TRAINER) == batch
+        batch = running.ask_json(f'{run}/batches', pull, _TRAINER)
+        assert running.ask_json(f'{run}/batches', pull, _TRAINER) == batch
         assert batch['follows'] == cursor
         assert {one['versions'][0][0] for one in batch['samples']} == {1}
         assert all(one['score'] is not None for one in batch['samples'])
-        seen.extend(one['sample_id'] for one in batch['samples'])
+        delivered.extend(one['sample_id'] for one in batch['samples'])
         cursor, complete = batch['cursor'], batch['complete']
-    assert sorted(seen) == sorted(
+    assert sorted(delivered) == sorted(
         f'one/g{group}/{index}' for group in range(3) for index in range(2)
     )
 
@@ -242,10 +244,10 @@
         ({'model': 'other', 'prompt': 'x'}, 404, 'unknown_deployment'),
     ],
 )
-def test_bad_input_is_refused_and_not_run(
-    path: RunningInstance, body: Any, status: int, code: str
+def test_invalid_input_is_refused_and_not_run(
+    running: RunningInstance, body: Any, status: int, code: str
 ) -> None:
-    """The refusal names what is wrong and the remedy."""
-    got, data, _ = path.ask('/v1/completions', body)
+    """The refusal has the right status and code and says it did not run."""
+    got, data, _ = running.ask('/v1/completions', body)
     error = json.loads(data)['error']
     assert (got, error['code'], error['not_run']) == (status, code, 'true')
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests log lines and the decisions stored in memory."""
+"""Test log lines and the decisions stored in memory."""
 
 import io
 import json
--- a/tests/test_real_processes.py
+++ b/tests/test_real_processes.py
@@ -1,4 +1,4 @@
-"""Real processes under load, killed and paused; judged by the history."""
+"""Test a fleet of real processes under load, with kills and pauses."""
 
 from pathlib import Path
 
@@ -9,17 +9,17 @@
 _PLAN = Path(__file__).with_name('fleet.toml')
 
 
-def test_no_promise_breaks_when_one_is_paused_and_another_killed(
+def test_guarantees_hold_while_instances_are_paused_and_killed(
     tmp_path: Path,
 ) -> None:
-    """Callers and a trainer work on while instances fail under them.
+    """A resumed instance must not act on partitions that it lost.
 
-    One instance is paused and still believes that it holds its partitions;
-    another is killed meanwhile; then the first one wakes and finds its
-    requests answered elsewhere. Callers retry at other instances under the
-    same keys, and the trainer presents the same cursor. Every request has one
-    answer or a true refusal, no write runs twice, each sample is delivered
-    once and names its versions.
+    One instance is paused, another is killed meanwhile, and the first resumes
+    while it still believes that it owns its partitions; its requests were
+    answered elsewhere. Callers retry at other instances with the same keys,
+    and the trainer sends the same cursor. Every request gets one answer or a
+    correct refusal, no write runs twice, and each sample is delivered once and
+    names its versions.
     """
     fleet = Fleet(load_plan(_PLAN), tmp_path, seed=3)
     acts = ((0.2, 'pause'), (0.35, 'kill'), (0.7, 'wake'))
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""Tests that the generated pages match the code."""
+"""Test that the generated pages match the code."""
 
 import pathlib
 
@@ -11,6 +11,6 @@
 
 @pytest.mark.parametrize('name', sorted(PAGES))
 def test_generated_pages_are_up_to_date(name: str) -> None:
-    """The page equals what the code generates."""
+    """Each page equals the generated text."""
     page = (_DOCS / name).read_text('utf-8')
     assert page == PAGES[name](), 'run script/docs and commit the pages'
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,9 +1,9 @@
-"""What a start spends before an instance serves."""
+"""Test that a start loads no unneeded modules."""
 
 import subprocess
 import sys
 
-# Raises where a plugin is looked for among the installed packages.
+# Raises if the installed packages are searched for plugins.
 _START = """
 from importlib import metadata
 
@@ -16,15 +16,16 @@
 import sys
 print(*sys.modules)
 """
-# Each takes a fifteenth of a start or more, and serves nobody on the platform.
+# Loading each takes at least a fifteenth of a start; on the platform, none is
+# used.
 _UNUSED = ('geventhttpclient', 'zmq.asyncio', 'falcon', 'numpy', 'standins')
 
 
-def test_a_start_loads_and_looks_up_what_it_needs() -> None:
-    """All instances were killed; callers get nothing until one is up again.
+def test_a_start_loads_no_unneeded_modules_or_plugins() -> None:
+    """A slow start delays service after all instances were killed.
 
-    The time of a start is processor time: on half a core, what is loaded in
-    vain is time in which callers are refused a connection.
+    A start is limited by CPU time. On half a core, each unneeded module that
+    it loads lengthens the time in which callers are refused a connection.
     """
     ended = subprocess.run(
         [sys.executable, '-c', _START],
--- a/tests/test_tour.py
+++ b/tests/test_tour.py
@@ -1,4 +1,4 @@
-"""The tour's commands, run as a newcomer runs them."""
+"""Test the commands of the tour in the documentation."""
 
 import pathlib
 import re
@@ -13,30 +13,30 @@
 
 
 def test_each_command_of_the_tour_works(tmp_path: pathlib.Path) -> None:
-    """Start, ask, submit and read, replace, find a failed request's cause."""
-    described = tmp_path / 'fleet.json'
+    """All commands succeed and print the results that the tour describes."""
+    description = tmp_path / 'fleet.json'
     command = [sys.executable, '-m', 'standins.fleet', '--instances', '3']
     command += ['--settings', 'examples/trust.toml']
     command += ['--folder', str(tmp_path / 'fleet')]
-    with described.open('w') as out:
+    with description.open('w') as out:
         fleet = subprocess.Popen(command, cwd=_ROOT, stdout=out)
     try:
-        told = _run_tour(described)
+        output = _run_tour(description)
     finally:
         fleet.send_signal(signal.SIGINT)
         fleet.wait(timeout=_SECONDS)
-    assert '"samplers"' in told
-    pulled = re.findall(r'"sample_id":"(first/[ab]/[0-3])"', told)
+    assert '"samplers"' in output
+    pulled = re.findall(r'"sample_id":"(first/[ab]/[0-3])"', output)
     half = len(pulled) // 2
     assert half >= 4
     assert pulled[:half] == pulled[half:]
-    assert told.count('deadline_unreachable') >= 2
-    assert 'because deadline_unreachable' in told
+    assert output.count('deadline_unreachable') >= 2
+    assert 'because deadline_unreachable' in output
 
 
-def _run_tour(described: pathlib.Path) -> str:
-    """Run the page's blocks in one shell; return all that they print."""
-    env = f'{sys.executable} -m standins.fleet.env {described}'
+def _run_tour(description: pathlib.Path) -> str:
+    """Run the page's blocks in one shell; return their output."""
+    env = f'{sys.executable} -m standins.fleet.env {description}'
     script = '\n'.join(
         (
             'set -euo pipefail',
@@ -45,7 +45,7 @@
             *_BLOCK.findall(_PAGE.read_text('utf-8')),
         )
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         ['bash', '-c', script],
         cwd=_ROOT,
         capture_output=True,
@@ -53,5 +53,5 @@
         timeout=_SECONDS,
         check=False,
     )
-    assert done.returncode == 0, done.stdout + done.stderr
-    return done.stdout
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    return completed.stdout
