--- a/guavagate/measure/__main__.py
+++ b/guavagate/measure/__main__.py
@@ -22,7 +22,7 @@
     'replacement': 'standins.replacement:main',
     'slopes': 'guavagate.measure.slopes:main',
     'settings': 'guavagate.measure._settings:settings',
-    'settings-real': 'standins.spread:main',
+    'settings-real': 'standins.settings_propagation:main',
 }
 
 
--- a/standins/_balancer.py
+++ b/standins/_balancer.py
@@ -8,7 +8,7 @@
 from guavagate.exceptions import UpstreamError
 from standins import _http
 
-CHECK_SECONDS: Final = 0.5
+CHECK_INTERVAL_SECONDS: Final = 0.5
 
 
 class Balancer:
@@ -33,7 +33,7 @@
     def choose(self, avoid: str = '') -> str:
         """Return a ready instance, another than the given one if possible."""
         while not self._ready:
-            gevent.sleep(CHECK_SECONDS / 5)
+            gevent.sleep(CHECK_INTERVAL_SECONDS / 5)
         others = [one for one in self._ready if one != avoid] or self._ready
         return others[next(self._turn) % len(others)]
 
@@ -55,12 +55,12 @@
                 for address, check in zip(addresses, checks, strict=True)
                 if check.value
             ]
-            gevent.sleep(CHECK_SECONDS)
+            gevent.sleep(CHECK_INTERVAL_SECONDS)
 
     def _look_up(self) -> None:
         """Learn the live instances; an outage leaves those known."""
         try:
-            answer = _http.ask(
+            answer = _http.send_request(
                 self._platform, 'GET', '/v1/instances', headers=self._headers
             )
         except UpstreamError:
--- a/standins/_bucket.py
+++ b/standins/_bucket.py
@@ -3,7 +3,7 @@
 import time
 
 
-class Bucket:
+class TokenBucket:
     """A rate limit of so many calls a second, with a second's burst.
 
     Parameters
--- a/standins/_http.py
+++ b/standins/_http.py
@@ -11,7 +11,7 @@
 Headers = dict[str, str]
 
 
-class Answer(msgspec.Struct, frozen=True):
+class Response(msgspec.Struct, frozen=True):
     """A whole answer."""
 
     status: int
@@ -30,7 +30,7 @@
 CONNECTIONS = Connections(CLOCK)
 
 
-def ask(
+def send_request(
     address: str,
     method: str,
     path: str,
@@ -38,7 +38,7 @@
     *,
     headers: Headers | None = None,
     timeout: float = 10.0,
-) -> Answer:
+) -> Response:
     """Send one request, once; a body that is no bytes goes as JSON.
 
     Raises
@@ -58,12 +58,14 @@
     )
     received = CONNECTIONS.read(address, answer, timeout)
     names = {name.lower(): value for name, value in answer.items()}
-    return Answer(answer.status_code, names, received)
+    return Response(answer.status_code, names, received)
 
 
 def is_ready(address: str) -> bool:
     """Tell whether an instance takes requests."""
     try:
-        return ask(address, 'GET', '/readyz', timeout=1.0).status == 200
+        return (
+            send_request(address, 'GET', '/readyz', timeout=1.0).status == 200
+        )
     except UpstreamError:
         return False
--- a/standins/_web.py
+++ b/standins/_web.py
@@ -100,12 +100,12 @@
     resp.data = msgspec.json.encode(answer)
 
 
-def refuse(resp: falcon.Response, status: int, code: str) -> None:
+def write_error(resp: falcon.Response, status: int, code: str) -> None:
     """Answer with an error code."""
     write_json(resp, {'error': {'code': code, 'message': code}}, status)
 
 
-def reset(req: falcon.Request) -> None:
+def reset_connection(req: falcon.Request) -> None:
     """Break the caller's connection, so that it gets no answer.
 
     The server's files keep the socket open over a mere close.
--- a/standins/caller/_caller.py
+++ b/standins/caller/_caller.py
@@ -17,7 +17,7 @@
     SentRequest,
 )
 from standins._balancer import Balancer
-from standins.caller._kinds import PROMPTS, Answered, Refused, Request, send
+from standins.caller._requests import PROMPTS, Answered, Refused, Request, send
 from standins.history import Recorder, now
 
 _UNKNOWN: Final = 'unknown'
--- a/standins/caller/_kinds.py
+++ b/standins/caller/_requests.py
@@ -76,7 +76,7 @@
         'prompt': tag_prompt(PROMPTS[request.prompt], request.name),
         'max_tokens': request.max_tokens,
     }
-    answer = _http.ask(
+    answer = _http.send_request(
         address,
         'POST',
         '/v1/completions',
@@ -116,7 +116,7 @@
     try:
         if answer.status_code != 200:
             data = _http.CONNECTIONS.read(address, answer, timeout)
-            return read_refusal(_http.Answer(answer.status_code, {}, data))
+            return read_refusal(_http.Response(answer.status_code, {}, data))
         return _join_events(list(_read_events(address, answer, timeout)))
     finally:
         answer.release()
@@ -155,7 +155,7 @@
     """Call a plain service; the path names the request."""
     writes = request.kind == 'write'
     place = 'renewals' if writes else 'slots'
-    answer = _http.ask(
+    answer = _http.send_request(
         address,
         'POST' if writes else 'GET',
         f'/v1/services/{request.service}/{place}/{request.name}',
@@ -168,7 +168,7 @@
     return Answered(text=answer.body.decode())
 
 
-def read_refusal(answer: _http.Answer) -> Refused:
+def read_refusal(answer: _http.Response) -> Refused:
     """Return what a refusal's body says."""
     body = answer.decode()
     error = body.get('error', {}) if isinstance(body, dict) else {}
--- a/standins/capacity/_fleets.py
+++ b/standins/capacity/_fleets.py
@@ -162,7 +162,9 @@
             _scrape(process.addresses['http'])
             for process in self._fleet.instances
         ]
-        answer = _http.ask(self._fleet.platform, 'GET', '/control/calls')
+        answer = _http.send_request(
+            self._fleet.platform, 'GET', '/control/calls'
+        )
         calls = msgspec.json.decode(answer.body, type=dict[str, int])
         return Reading(
             time.monotonic(),
@@ -190,7 +192,7 @@
 
 def _scrape(address: str) -> dict[str, float]:
     """Return an instance's metrics, summed over their labels."""
-    text = _http.ask(address, 'GET', '/metrics').body.decode()
+    text = _http.send_request(address, 'GET', '/metrics').body.decode()
     totals: dict[str, float] = {}
     for line in text.splitlines():
         if line and not line.startswith('#'):
--- a/standins/demo/_faults.py
+++ b/standins/demo/_faults.py
@@ -34,7 +34,9 @@
     """Set one stand-in's faults; none make it healthy."""
     victim = _find(fleet, role)[index]
     note(f'{victim.name}: {faults or "healthy"}')
-    _http.ask(victim.addresses['http'], 'POST', '/control/faults', faults)
+    _http.send_request(
+        victim.addresses['http'], 'POST', '/control/faults', faults
+    )
 
 
 def _kill(fleet: Fleet, note: Note, role: str, index: int) -> None:
--- a/standins/engine/_app.py
+++ b/standins/engine/_app.py
@@ -7,10 +7,16 @@
 import msgspec
 
 from guavagate.ports.engine import EngineOrder
-from standins._web import read_json, refuse, reset, route, write_json
+from standins._web import (
+    read_json,
+    reset_connection,
+    route,
+    write_error,
+    write_json,
+)
 from standins.engine._engine import Engine
 from standins.engine._options import EngineFaults, EngineOptions, Request
-from standins.engine._orders import obey
+from standins.engine._orders import execute_order
 
 _DONE: Final = b'data: [DONE]\n\n'
 
@@ -30,11 +36,11 @@
     def complete(req: falcon.Request, resp: falcon.Response) -> None:
         request = read_json(req, Request)
         if engine.faults.crash:
-            reset(req)
+            reset_connection(req)
             return
-        code = engine.refuse_code()
+        code = engine.get_rejection_code()
         if code:
-            refuse(resp, 503, code)
+            write_error(resp, 503, code)
             return
         resp.content_type = 'text/event-stream'
         resp.stream = _stream(req, engine, request)
@@ -55,7 +61,7 @@
     cut = engine.draw.random() < engine.faults.cut
     for event in engine.generate(request):
         if engine.faults.crash:
-            reset(req)
+            reset_connection(req)
             return
         if cut and event['choices'][0]['finish_reason']:
             return
@@ -70,7 +76,7 @@
 
 def _cross(engine: Engine, event: dict[str, Any]) -> dict[str, Any]:
     """Give some pieces the id of another exchange."""
-    others = [one for one in engine.running() if one != event['id']]
+    others = [one for one in engine.list_running() if one != event['id']]
     if others and engine.draw.random() < engine.faults.cross:
         event['id'] = engine.draw.choice(others)
     return event
@@ -81,15 +87,15 @@
 
     def report(req: falcon.Request, resp: falcon.Response) -> None:
         if engine.faults.crash:
-            reset(req)
+            reset_connection(req)
         write_json(resp, engine.report())
 
     def order(req: falcon.Request, resp: falcon.Response) -> None:
         if engine.faults.crash:
-            reset(req)
-        status, code = obey(engine, read_json(req, EngineOrder))
+            reset_connection(req)
+        status, code = execute_order(engine, read_json(req, EngineOrder))
         if code:
-            refuse(resp, status, code)
+            write_error(resp, status, code)
         else:
             write_json(resp, {}, status)
 
--- a/standins/engine/_engine.py
+++ b/standins/engine/_engine.py
@@ -15,7 +15,7 @@
 from standins.engine._options import EngineFaults, EngineOptions, Request
 from standins.engine._trace import Trace
 from standins.history import Recorder
-from standins.text import count_tokens, make_token
+from standins.text import choose_length, make_token
 
 # A prompt's tokens are counted roughly, by its characters.
 CHARACTERS_PER_TOKEN: Final = 4
@@ -53,7 +53,7 @@
         self._queued = 0
         self._reported: tuple[float, EngineReport] | None = None
 
-    def refuse_code(self) -> str:
+    def get_rejection_code(self) -> str:
         """Return why a request is not started, or nothing."""
         if self.faults.leaving:
             return 'leaving'
@@ -69,7 +69,7 @@
         stopped.set()
         return True
 
-    def running(self) -> list[str]:
+    def list_running(self) -> list[str]:
         """Return the exchanges that run, for crossing them."""
         return list(self._running)
 
@@ -145,7 +145,7 @@
         if self.options.fixed_length:
             return request.max_tokens
         draw = request.request_id if request.seed is None else request.seed
-        return count_tokens(request.prompt, str(draw), request.max_tokens)
+        return choose_length(request.prompt, str(draw), request.max_tokens)
 
     def _make_piece(
         self, prompt: str, index: int, total: int
--- a/standins/engine/_orders.py
+++ b/standins/engine/_orders.py
@@ -12,7 +12,7 @@
 _DONE: Answer = (200, '')
 
 
-def obey(engine: Engine, order: EngineOrder) -> Answer:
+def execute_order(engine: Engine, order: EngineOrder) -> Answer:
     """Carry out an order; return an HTTP status and an error code."""
     if engine.options.checks_fences and order.fence < engine.fence:
         return 409, 'stale_fence'
--- a/standins/engine/_trace.py
+++ b/standins/engine/_trace.py
@@ -9,7 +9,7 @@
 )
 from standins.engine._options import Request
 from standins.history import Recorder, now
-from standins.text import read_tag
+from standins.text import parse_tag
 
 
 def read_sample(exchange: str) -> str:
@@ -38,7 +38,7 @@
         self._recorder = recorder
         self._who = who
         self._request = request
-        self._name = read_tag(request.prompt)
+        self._name = parse_tag(request.prompt)
         self._text = ''
         self._answer = request.resume_text
         self._version = 0
--- a/standins/fleet/_fleet.py
+++ b/standins/fleet/_fleet.py
@@ -289,7 +289,9 @@
     def _platform_call(self, method: str, path: str, body: Any) -> None:
         """Call the platform's stand-in."""
         headers = {'Authorization': f'Bearer {CREDENTIAL}'}
-        answer = _http.ask(self.platform, method, path, body, headers=headers)
+        answer = _http.send_request(
+            self.platform, method, path, body, headers=headers
+        )
         if answer.status != 200:
             raise click.ClickException(f'{method} {path}: {answer.status}')
 
--- a/standins/object_api/_app.py
+++ b/standins/object_api/_app.py
@@ -10,12 +10,18 @@
 import gevent
 import msgspec
 
-from standins._bucket import Bucket
-from standins._web import read_json, refuse, reset, route, write_json
+from standins._bucket import TokenBucket
+from standins._web import (
+    read_json,
+    reset_connection,
+    route,
+    write_error,
+    write_json,
+)
 from standins.object_api._faults import Faults, Instances, loses
 from standins.object_api._store import (
-    KEPT_CHANGES,
     MAX_VALUE,
+    RETAINED_CHANGES,
     Compacted,
     Conflict,
     Store,
@@ -29,7 +35,7 @@
 
     reads: float = 2000
     writes: float = 400
-    kept_changes: int = KEPT_CHANGES
+    kept_changes: int = RETAINED_CHANGES
     credential: str = ''
     seed: int = 0
 
@@ -45,8 +51,8 @@
         self.faults = Faults()
         self.draw = random.Random(options.seed)
         self.buckets = {
-            'read': Bucket(options.reads),
-            'write': Bucket(options.writes),
+            'read': TokenBucket(options.reads),
+            'write': TokenBucket(options.writes),
         }
         self.calls = {'read': 0, 'write': 0, 'watch': 0, 'limited': 0}
 
@@ -63,18 +69,18 @@
         """Apply outage, slowness, credential and rate limit."""
         gevent.sleep(self.faults.slow_ms / 1000)
         if self.faults.outage:
-            refuse(resp, 503, 'outage')
+            write_error(resp, 503, 'outage')
             return False
         wanted = self.options.credential
         if wanted and req.get_header('Authorization') != f'Bearer {wanted}':
-            refuse(resp, 401, 'unauthorized')
+            write_error(resp, 401, 'unauthorized')
             return False
         kind = 'read' if req.method == 'GET' else 'write'
         self.calls['watch' if req.path == '/v1/watch' else kind] += 1
         if self.buckets[kind].take():
             return True
         self.calls['limited'] += 1
-        refuse(resp, 429, 'rate_limited')
+        write_error(resp, 429, 'rate_limited')
         resp.set_header('Retry-After', '1')
         return False
 
@@ -118,7 +124,7 @@
         return
     found = (state.old or state.store).objects.get(path)
     if found is None:
-        refuse(resp, 404, 'not_found')
+        write_error(resp, 404, 'not_found')
         return
     resp.data, version = found
     resp.content_type = 'application/octet-stream'
@@ -131,7 +137,7 @@
     """Write one object."""
     value = req.bounded_stream.read()
     if len(value) > MAX_VALUE:
-        refuse(resp, 413, 'too_large')
+        write_error(resp, 413, 'too_large')
     elif state.admit(req, resp):
         _write(state, req, resp, partial(state.store.put, path, value))
 
@@ -158,7 +164,7 @@
         write_json(resp, {'version': conflict.current}, 409)
         return
     if loses(state.faults, state.draw):
-        reset(req)
+        reset_connection(req)
     write_json(resp, {'version': version})
 
 
@@ -188,10 +194,10 @@
     try:
         changes = (state.old or state.store).watch(prefix, since, timeout)
     except Compacted:
-        refuse(resp, 410, 'compacted')
+        write_error(resp, 410, 'compacted')
         return
     if state.faults.outage:
-        refuse(resp, 503, 'outage')
+        write_error(resp, 503, 'outage')
         return
     shown = [
         {
--- a/standins/object_api/_store.py
+++ b/standins/object_api/_store.py
@@ -9,7 +9,7 @@
 Change = tuple[int, str, bytes | None]
 
 MAX_VALUE: Final = 1_000_000
-KEPT_CHANGES: Final = 10_000
+RETAINED_CHANGES: Final = 10_000
 
 
 class Conflict(Exception):
@@ -39,7 +39,7 @@
         How many changes a watch can go back.
     """
 
-    def __init__(self, kept: int = KEPT_CHANGES) -> None:
+    def __init__(self, kept: int = RETAINED_CHANGES) -> None:
         self.revision = 0
         self.objects: dict[str, tuple[bytes, int]] = {}
         self._changes: deque[Change] = deque(maxlen=kept)
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -16,7 +16,13 @@
 from guavagate.const import HEADER_EXCHANGE
 from guavagate.measure.history import AnsweredByUpstream, RanAtUpstream
 from guavagate.ports.plain_service import ServiceReport
-from standins._web import read_json, refuse, reset, route, write_json
+from standins._web import (
+    read_json,
+    reset_connection,
+    route,
+    write_error,
+    write_json,
+)
 from standins.history import Recorder, now
 
 
@@ -93,10 +99,10 @@
     body = req.bounded_stream.read()
     if state.faults.leaving or state.faults.overloaded:
         code = 'leaving' if state.faults.leaving else 'overloaded'
-        refuse(resp, 503, code)
+        write_error(resp, 503, code)
         return
     if state.draws(state.faults.reset):
-        reset(req)
+        reset_connection(req)
         return
     state.running += 1
     try:
@@ -134,7 +140,7 @@
         )
     )
     if state.draws(state.faults.crash_after_run):
-        reset(req)
+        reset_connection(req)
         return
     crossed = state.draws(state.faults.crossed)
     resp.set_header(HEADER_EXCHANGE, 'another' if crossed else exchange)
--- a/standins/scoring.py
+++ b/standins/scoring.py
@@ -8,7 +8,13 @@
 from guavagate.integrations.scoring_service.models import (
     ScoreRequest,
 )
-from standins._web import read_json, refuse, reset, route, write_json
+from standins._web import (
+    read_json,
+    reset_connection,
+    route,
+    write_error,
+    write_json,
+)
 
 
 class ScoringOptions(
@@ -51,11 +57,11 @@
         wanted: ScoreRequest = read_json(req, ScoreRequest)
         fault = faults[0]
         if fault.overloaded:
-            refuse(resp, 503, 'overloaded')
+            write_error(resp, 503, 'overloaded')
             return
         gevent.sleep(settings.score_s + fault.slow_s)
         if fault.crash:
-            reset(req)
+            reset_connection(req)
         named = 'another' if fault.crossed else wanted.sample_id
         write_json(resp, {'sample_id': named, 'score': score_text(wanted.text)})
 
--- a/standins/spread.py
+++ b/standins/settings_propagation.py
@@ -162,7 +162,7 @@
 
 
 def _ask(process: Process, method: str, path: str, body: Any = None) -> Any:
-    answer = _http.ask(
+    answer = _http.send_request(
         process.addresses['http'],
         method,
         path,
--- a/standins/text.py
+++ b/standins/text.py
@@ -19,7 +19,7 @@
 class Token(msgspec.Struct, frozen=True):
     """One token of a text."""
 
-    mark: str
+    prompt_digest: str
     index: int
     version: int
 
@@ -32,24 +32,24 @@
     return f'{prompt} [{tag}]'
 
 
-def read_tag(prompt: str) -> str:
+def parse_tag(prompt: str) -> str:
     """Return the name in a prompt, or nothing."""
     tags = _TAG.findall(prompt)
     return tags[-1] if tags else ''
 
 
-def mark_prompt(prompt: str) -> str:
+def compute_prompt_digest(prompt: str) -> str:
     """Return the digest by which tokens name their prompt, or its tag."""
-    name = read_tag(prompt) or prompt
+    name = parse_tag(prompt) or prompt
     return xxhash.xxh64_hexdigest(name.encode())[:_MARK_SIZE]
 
 
 def make_token(prompt: str, index: int, version: int) -> str:
     """Return the text of one token."""
-    return f' {mark_prompt(prompt)}.{index}.{version}'
+    return f' {compute_prompt_digest(prompt)}.{index}.{version}'
 
 
-def read_tokens(text: str) -> list[Token]:
+def parse_tokens(text: str) -> list[Token]:
     """Return the tokens of a text; raises `ValueError` when it has others."""
     tokens = []
     for word in text.split():
@@ -58,7 +58,7 @@
     return tokens
 
 
-def count_tokens(prompt: str, draw: str, max_tokens: int) -> int:
+def choose_length(prompt: str, draw: str, max_tokens: int) -> int:
     """Return how many tokens an answer has; a few answers are long.
 
     Parameters
@@ -79,11 +79,11 @@
     Without a prompt, all tokens must be of the same one.
     """
     try:
-        tokens = read_tokens(text)
+        tokens = parse_tokens(text)
     except ValueError:
         return 'text holds what no engine made'
-    mark = mark_prompt(prompt) if prompt else text[1 : _MARK_SIZE + 1]
-    if any(token.mark != mark for token in tokens):
+    mark = compute_prompt_digest(prompt) if prompt else text[1 : _MARK_SIZE + 1]
+    if any(token.prompt_digest != mark for token in tokens):
         return 'text of another prompt'
     indexes = [token.index for token in tokens]
     if indexes != list(range(len(tokens))):
@@ -94,7 +94,7 @@
 def count_versions(text: str) -> list[tuple[int, int]]:
     """Return ``(version, tokens)`` for each run of one version, in order."""
     runs: list[tuple[int, int]] = []
-    for token in read_tokens(text):
+    for token in parse_tokens(text):
         if runs and runs[-1][0] == token.version:
             runs[-1] = (token.version, runs[-1][1] + 1)
         else:
--- a/standins/trainer/_api.py
+++ b/standins/trainer/_api.py
@@ -74,7 +74,7 @@
 
     def _insist(
         self, what: str, body: dict[str, Any], stopped: Event
-    ) -> _http.Answer | None:
+    ) -> _http.Response | None:
         """Repeat a call until it succeeds or the trainer is stopped."""
         while not stopped.is_set():
             answer = self._call(what, body)
@@ -83,11 +83,11 @@
             stopped.wait(_PAUSE)
         return None
 
-    def _call(self, what: str, body: dict[str, Any]) -> _http.Answer | None:
+    def _call(self, what: str, body: dict[str, Any]) -> _http.Response | None:
         """Call once."""
         address = self._balancer.choose()
         try:
-            answer = _http.ask(
+            answer = _http.send_request(
                 address,
                 'POST',
                 f'{self._path}/{what}',
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from guavagate.integrations.weight_store.models import WeightEntry
-from standins._bucket import Bucket
-from standins._web import read_json, refuse, route, write_json
+from standins._bucket import TokenBucket
+from standins._web import read_json, route, write_error, write_json
 
 
 class WeightStoreOptions(
@@ -45,14 +45,14 @@
     def __init__(self, options: WeightStoreOptions) -> None:
         self.options = options
         self.faults = WeightStoreFaults()
-        self.bucket = Bucket(options.rate)
+        self.bucket = TokenBucket(options.rate)
 
     def refuse(self, resp: falcon.Response, version: int) -> bool:
         """Answer with a fault, if one is set."""
         if self.faults.outage:
-            refuse(resp, 503, 'outage')
+            write_error(resp, 503, 'outage')
         elif version in self.faults.missing:
-            refuse(resp, 404, 'not_found')
+            write_error(resp, 404, 'not_found')
         else:
             return False
         return True
@@ -80,7 +80,7 @@
     if state.refuse(resp, version):
         return
     if not state.bucket.take():
-        refuse(resp, 429, 'rate_limited')
+        write_error(resp, 429, 'rate_limited')
         resp.set_header('Retry-After', '1')
         return
     gevent.sleep(state.options.fetch_s + state.faults.slow_s)
--- a/tests/test_object_api_standin.py
+++ b/tests/test_object_api_standin.py
@@ -8,7 +8,7 @@
 
 from guavagate.exceptions import UpstreamError
 from standins import object_api
-from standins._http import Answer, ask
+from standins._http import Response, send_request
 from standins._web import Server, serve
 
 
@@ -21,23 +21,23 @@
     running.stop()
 
 
-def _put(server: Server, value: bytes, expected: int | None = None) -> Answer:
+def _put(server: Server, value: bytes, expected: int | None = None) -> Response:
     """Write the object ``a/b``."""
     headers = {}
     if expected is not None:
         headers['X-Expected-Version'] = str(expected)
     path = '/v1/objects/a/b'
-    return ask(server.address, 'PUT', path, value, headers=headers)
+    return send_request(server.address, 'PUT', path, value, headers=headers)
 
 
-def _get(server: Server, path: str) -> Answer:
+def _get(server: Server, path: str) -> Response:
     """Read a path."""
-    return ask(server.address, 'GET', path)
+    return send_request(server.address, 'GET', path)
 
 
 def _set_faults(server: Server, **faults: Any) -> None:
     """Set the faults."""
-    ask(server.address, 'POST', '/control/faults', faults)
+    send_request(server.address, 'POST', '/control/faults', faults)
 
 
 def test_a_lost_answer_may_hide_a_successful_write(server: Server) -> None:
@@ -95,7 +95,7 @@
     """The list is out of date, lacks instances and has unknown ones."""
     entry = {'availability_zone': 'z', 'http_address': '127.0.0.1:1'}
     for name in ('one', 'two'):
-        ask(server.address, 'PUT', f'/v1/instances/{name}', entry)
+        send_request(server.address, 'PUT', f'/v1/instances/{name}', entry)
     _set_faults(server, hide=['one'], ghosts=[{'id': 'ghost'}])
     shown = _get(server, '/v1/instances').decode()['instances']
     assert [one['id'] for one in shown] == ['two', 'ghost']
