--- a/standins/capacity/__init__.py
+++ b/standins/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""Measures what control costs a node at rest, and how that grows."""
+"""Measures the control overhead of an idle node and its growth."""
 
 from standins.capacity._command import main
 from standins.capacity._loss import main as measure_loss
--- a/standins/capacity/_command.py
+++ b/standins/capacity/_command.py
@@ -1,4 +1,4 @@
-"""``script/measure capacity``."""
+"""Command line of ``script/measure capacity``."""
 
 import json
 import subprocess
@@ -20,29 +20,31 @@
 from standins.capacity._fleets import (
     DaemonFleet,
     MeasuredFleet,
-    PartsFleet,
-    wait_until_agreed,
+    MembershipFleet,
+    wait_until_converged,
 )
 
 _FLEETS: Final[dict[str, type[MeasuredFleet]]] = {
     'daemon': DaemonFleet,
-    'parts': PartsFleet,
+    'parts': MembershipFleet,
 }
-_AGREE_SECONDS: Final = 60.0
-_MEMORY_SHARE: Final = 0.5
-# News of every node's start is passed on for about as long.
-_SPREAD_SECONDS: Final = 0.5
+_CONVERGENCE_SECONDS: Final = 60.0
+_MAX_MEMORY_SHARE: Final = 0.5
+# Gossip about the start of each node continues for about this time.
+_GOSSIP_SECONDS_PER_NODE: Final = 0.5
 
 
 def measure_size(
     fleet: MeasuredFleet, nodes: int, settle: float, seconds: float
 ) -> Row:
-    """Return the figures of one size."""
+    """Measure a fleet of one size."""
     try:
         fleet.start(nodes)
-        if not wait_until_agreed(fleet, _AGREE_SECONDS):
-            raise click.ClickException(f'{nodes} do not all know all')
-        gevent.sleep(settle + nodes * _SPREAD_SECONDS)
+        if not wait_until_converged(fleet, _CONVERGENCE_SECONDS):
+            raise click.ClickException(
+                f'{nodes} nodes do not all see each other'
+            )
+        gevent.sleep(settle + nodes * _GOSSIP_SECONDS_PER_NODE)
         first = fleet.read()
         gevent.sleep(seconds)
         last = fleet.read()
@@ -69,11 +71,11 @@
 def measure(
     program: str, sizes: list[int], settle: float, seconds: float
 ) -> dict[str, Any]:
-    """Return all sizes' figures and the lines fitted to them."""
+    """Measure all sizes and fit a line to each figure."""
     rows = []
     for nodes in sizes:
-        if psutil.virtual_memory().percent > 100 * _MEMORY_SHARE:
-            raise click.ClickException('half of the memory is in use')
+        if psutil.virtual_memory().percent > 100 * _MAX_MEMORY_SHARE:
+            raise click.ClickException('more than half of the memory is in use')
         row = measure_size(_FLEETS[program](), nodes, settle, seconds)
         click.echo(_format_row(row), err=True)
         rows.append(row)
@@ -95,19 +97,28 @@
     type=click.Choice(sorted(_FLEETS)),
     default='daemon',
     show_default=True,
-    help='whole instances, or the bus and the membership alone',
+    help='complete instances, or the bus and the membership only',
 )
 @click.option('--sizes', default='8,16,32,64,128', show_default=True)
-@click.option('--settle', default=8.0, show_default=True, help='seconds')
-@click.option('--seconds', default=15.0, show_default=True, help='each size')
+@click.option(
+    '--settle',
+    default=8.0,
+    show_default=True,
+    help='seconds before the first reading',
+)
+@click.option(
+    '--seconds', default=15.0, show_default=True, help='seconds per size'
+)
 @click.option('--json', 'as_json', is_flag=True, help='print JSON')
 def main(
     program: str, sizes: str, settle: float, seconds: float, *, as_json: bool
 ) -> None:
-    """Measure a node's control cost at rest, and read it off at 330."""
+    """Measure the control overhead of idle nodes and extrapolate to 330."""
     wanted = [int(size) for size in sizes.split(',')]
     if len(wanted) < 4:
-        raise click.UsageError('give four sizes or more, or no line fits')
+        raise click.UsageError(
+            'give at least four sizes; fewer do not fit a line'
+        )
     click.echo('nodes    cpu %      MB  messages/s     KB/s  store/s', err=True)
     figures = measure(program, wanted, settle, seconds)
     if as_json:
--- a/standins/capacity/_figures.py
+++ b/standins/capacity/_figures.py
@@ -1,4 +1,4 @@
-"""What is measured at each size, and the lines fitted to it."""
+"""Figures of each fleet size and the lines fitted to them."""
 
 import dataclasses
 from typing import Any, Final
@@ -6,7 +6,7 @@
 import numpy as np
 import psutil
 
-# What letter and capacity page allow a node for control, and the size.
+# Budgets of a node's control overhead, and the fleet size they apply to.
 NODES: Final = 330
 BUDGETS: Final = {
     'cpu_percent': 1.2,
@@ -17,10 +17,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Reading:
-    """Totals over all nodes at one time; `at` in seconds.
+    """Totals over all nodes at one time; `at` is in seconds.
 
-    `cpu` is read both before and after the nodes were asked for the rest,
-    since asking costs them processor time as well.
+    CPU time is read before and after querying the nodes for the other totals,
+    because the query costs them CPU time as well.
     """
 
     at: float
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Row:
-    """One size's figures, each the mean of a node."""
+    """Figures of one fleet size, each the mean per node."""
 
     nodes: int
     cpu_percent: float
@@ -44,7 +44,7 @@
 
 
 def make_row(nodes: int, first: Reading, last: Reading, memory: float) -> Row:
-    """Return a size's figures from two readings and its memory in bytes."""
+    """Return the figures between two readings; memory is in bytes."""
     seconds = (last.at - first.at) * nodes
     return Row(
         nodes,
@@ -57,10 +57,10 @@
 
 
 def fit_rows(rows: list[Row]) -> dict[str, dict[str, float]]:
-    """Return each figure's line over the number of nodes.
+    """Fit a line over the number of nodes to each figure.
 
-    `error` is the standard error of the slope; `at_330` has the error of
-    the whole line there, from the covariance of both coefficients.
+    `error` is the standard error of the slope; `error_at_330` is the error of
+    the line at 330 nodes, from the covariance of both coefficients.
     """
     sizes = np.array([row.nodes for row in rows], float)
     lines: dict[str, dict[str, float]] = {}
@@ -81,19 +81,19 @@
 
 
 def measure_cpu(pids: list[int]) -> float:
-    """Return the processor seconds that processes have used."""
+    """Return the CPU seconds that processes have used."""
     times = [psutil.Process(pid).cpu_times() for pid in pids]
     return sum(each.user + each.system for each in times)
 
 
 def measure_memory(pids: list[int]) -> float:
-    """Return the mean of the processes' own memory, in bytes."""
+    """Return the mean unique set size of processes, in bytes."""
     sizes = [psutil.Process(pid).memory_full_info().uss for pid in pids]
     return float(np.mean(sizes))
 
 
 def describe(rows: list[Row]) -> dict[str, Any]:
-    """Return everything, for JSON."""
+    """Return rows, lines and budgets for JSON."""
     return {
         'rows': [dataclasses.asdict(row) for row in rows],
         'lines': fit_rows(rows),
--- a/standins/capacity/_fleets.py
+++ b/standins/capacity/_fleets.py
@@ -1,4 +1,4 @@
-"""Fleets at rest whose cost is measured: whole instances, or bare parts."""
+"""Idle fleets to measure: complete instances, or the membership only."""
 
 import json
 import subprocess
@@ -23,7 +23,7 @@
 from standins.fleet import Fleet, FleetPlan
 from standins.fleet._process import find_free_address
 
-# The two regions of two years from now have seven.
+# The two regions that the project is designed for have seven zones.
 ZONES: Final = tuple(ZoneId(f'zone-{number}') for number in range(7))
 _REGION: Final = RegionId('measure')
 _NODE: Final = 'standins.capacity._node'
@@ -31,7 +31,7 @@
 
 
 class MeasuredFleet(Protocol):
-    """A number of processes that find each other and then rest."""
+    """Processes that discover each other and then are idle."""
 
     module: str
     pids: list[int]
@@ -39,18 +39,18 @@
     def start(self, nodes: int) -> None:
         """Start the processes."""
 
-    def agree(self) -> bool:
-        """Return whether each knows all."""
+    def has_converged(self) -> bool:
+        """Return whether all processes see each other."""
 
     def read(self) -> Reading:
-        """Return the totals now."""
+        """Return the current totals."""
 
     def stop(self) -> None:
-        """End the processes."""
+        """Stop the processes."""
 
 
-class PartsFleet:
-    """Processes of nothing but the bus and the membership."""
+class MembershipFleet:
+    """Processes that run only the bus and the membership."""
 
     def __init__(self) -> None:
         self.module = _NODE
@@ -66,13 +66,13 @@
             path.write_text(render_settings(_make_settings(peer, peers)))
             self._start(str(path))
 
-    def agree(self) -> bool:
-        """Return whether each knows all."""
-        return self.holds(len(self._nodes))
+    def has_converged(self) -> bool:
+        """Return whether all processes see each other."""
+        return self.all_see_alive(len(self._nodes))
 
-    def holds(self, alive: int) -> bool:
-        """Return whether each holds so many in use."""
-        return all(seen['alive'] == alive for seen in self._ask())
+    def all_see_alive(self, alive: int) -> bool:
+        """Return whether each process sees this number of members alive."""
+        return all(seen['alive'] == alive for seen in self._query())
 
     def kill(self, index: int) -> None:
         """Kill one process."""
@@ -81,18 +81,18 @@
         node.kill()
         node.wait()
 
-    def without(self, index: int) -> 'PartsFleet':
-        """Return a view of the others, such as while one is paused."""
-        others = PartsFleet()
+    def exclude(self, index: int) -> 'MembershipFleet':
+        """Return a view without one process, which may be paused."""
+        others = MembershipFleet()
         others._nodes = [
             node for node in self._nodes if node is not self._nodes[index]
         ]
         return others
 
     def read(self) -> Reading:
-        """Return the totals now."""
+        """Return the current totals."""
         before = measure_cpu(self.pids)
-        seen = self._ask()
+        seen = self._query()
         return Reading(
             time.monotonic(),
             before,
@@ -103,7 +103,7 @@
         )
 
     def stop(self) -> None:
-        """End the processes by the end of their input."""
+        """Stop the processes by closing their standard input."""
         for node in self._nodes:
             if node.stdin is not None:
                 node.stdin.close()
@@ -120,7 +120,7 @@
         self._nodes.append(node)
         self.pids.append(node.pid)
 
-    def _ask(self) -> list[dict[str, Any]]:
+    def _query(self) -> list[dict[str, Any]]:
         for node in self._nodes:
             assert node.stdin is not None
             node.stdin.write('\n')
@@ -133,7 +133,7 @@
 
 
 class DaemonFleet:
-    """Whole instances with the platform's stand-in, without any team."""
+    """Complete instances with the platform's stand-in and no teams."""
 
     def __init__(self) -> None:
         self.module = 'guavagate.daemon'
@@ -147,8 +147,8 @@
         self._fleet.start(nodes)
         self.pids = [process.pid for process in self._fleet.instances]
 
-    def agree(self) -> bool:
-        """Return whether each knows all."""
+    def has_converged(self) -> bool:
+        """Return whether all processes see each other."""
         count = len(self._fleet.instances)
         return all(
             _scrape(process.addresses['http']).get('guavagate_members') == count
@@ -156,7 +156,7 @@
         )
 
     def read(self) -> Reading:
-        """Return the totals now."""
+        """Return the current totals."""
         before = measure_cpu(self.pids)
         seen = [
             _scrape(process.addresses['http'])
@@ -176,22 +176,22 @@
         )
 
     def stop(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         self._fleet.stop()
 
 
-def wait_until_agreed(fleet: MeasuredFleet, limit: float) -> bool:
-    """Wait until all know all; return whether they do in time."""
+def wait_until_converged(fleet: MeasuredFleet, limit: float) -> bool:
+    """Wait until all processes see each other; return False on timeout."""
     until = time.monotonic() + limit
     while time.monotonic() < until:
-        if fleet.agree():
+        if fleet.has_converged():
             return True
         gevent.sleep(1)
     return False
 
 
 def _scrape(address: str) -> dict[str, float]:
-    """Return an instance's metrics, summed over their labels."""
+    """Return the metrics of an instance, summed over their labels."""
     text = _http.send_request(address, 'GET', '/metrics').body.decode()
     totals: dict[str, float] = {}
     for line in text.splitlines():
--- a/standins/capacity/_loss.py
+++ b/standins/capacity/_loss.py
@@ -1,4 +1,7 @@
-"""``script/measure lost-instance``: real processes, killed and paused."""
+"""Measures how fast a killed or paused process is detected.
+
+Run by ``script/measure lost-instance``.
+"""
 
 import os
 import signal
@@ -9,56 +12,59 @@
 import gevent
 import numpy as np
 
-from standins.capacity._fleets import PartsFleet, wait_until_agreed
+from standins.capacity._fleets import MembershipFleet, wait_until_converged
 
-_LOOK_SECONDS: Final = 0.05
-_LIMIT: Final = 30.0
+_POLL_SECONDS: Final = 0.05
+_LIMIT_SECONDS: Final = 30.0
 
 
 def measure_kill(nodes: int) -> float:
-    """Return seconds from SIGKILL until no other holds it in use."""
-    fleet = PartsFleet()
+    """Return the seconds from SIGKILL until all others see it as dead."""
+    fleet = MembershipFleet()
     try:
         _start(fleet, nodes)
         fleet.kill(nodes // 2)
-        return _wait(fleet, nodes - 1)
+        return _wait_until_seen(fleet, nodes - 1)
     finally:
         fleet.stop()
 
 
 def measure_pause(nodes: int, seconds: float) -> tuple[float, float]:
-    """Pause one process; return when it was out of use, and back in use.
+    """Return the seconds until a paused process is seen dead and alive again.
 
-    The first is infinite if it never was, the second counts from its waking.
+    The first counts from the pause and is infinite if it was not seen dead; the
+    second counts from its resumption.
     """
-    fleet = PartsFleet()
+    fleet = MembershipFleet()
     try:
         _start(fleet, nodes)
         pid = fleet.pids[nodes // 2]
         os.kill(pid, signal.SIGSTOP)
-        watched = fleet.without(nodes // 2)
-        gone = _wait(watched, nodes - 1, seconds)
-        gevent.sleep(max(seconds - gone, 0) if gone < _LIMIT else 0)
+        watched = fleet.exclude(nodes // 2)
+        gone = _wait_until_seen(watched, nodes - 1, seconds)
+        gevent.sleep(max(seconds - gone, 0) if gone < _LIMIT_SECONDS else 0)
         os.kill(pid, signal.SIGCONT)
-        return gone, _wait(fleet, nodes)
+        return gone, _wait_until_seen(fleet, nodes)
     finally:
         fleet.stop()
 
 
-def _start(fleet: PartsFleet, nodes: int) -> None:
+def _start(fleet: MembershipFleet, nodes: int) -> None:
     fleet.start(nodes)
-    if not wait_until_agreed(fleet, _LIMIT):
-        raise click.ClickException('they do not all know all')
+    if not wait_until_converged(fleet, _LIMIT_SECONDS):
+        raise click.ClickException('the processes do not all see each other')
     gevent.sleep(1)
 
 
-def _wait(fleet: PartsFleet, alive: int, limit: float = _LIMIT) -> float:
-    """Return after how long all of a fleet hold so many alive."""
+def _wait_until_seen(
+    fleet: MembershipFleet, alive: int, limit: float = _LIMIT_SECONDS
+) -> float:
+    """Return the seconds until all processes see this number alive."""
     start = time.monotonic()
     while time.monotonic() < start + limit:
-        if fleet.holds(alive):
+        if fleet.all_see_alive(alive):
             return time.monotonic() - start
-        gevent.sleep(_LOOK_SECONDS)
+        gevent.sleep(_POLL_SECONDS)
     return float('inf')
 
 
@@ -66,7 +72,7 @@
 @click.option('--instances', default=9, show_default=True)
 @click.option('--runs', default=10, show_default=True)
 @click.option(
-    '--pauses', default='1,10', show_default=True, help='seconds each'
+    '--pauses', default='1,10', show_default=True, help='seconds of each pause'
 )
 def main(instances: int, runs: int, pauses: str) -> None:
     """Measure when a killed or paused instance is out of use and back."""
@@ -80,5 +86,5 @@
         gone, back = measure_pause(instances, seconds)
         click.echo(
             f'paused {seconds:g} s: out of use after {gone:.2f} s,'
-            f' all hold all in use {back:.2f} s after waking'
+            f' back in use everywhere {back:.2f} s after its resumption'
         )
--- a/standins/capacity/_node.py
+++ b/standins/capacity/_node.py
@@ -1,4 +1,4 @@
-"""One instance of nothing but the bus and the membership."""
+"""Process that runs only the bus and the membership of an instance."""
 
 import json
 import sys
@@ -15,39 +15,39 @@
 
 
 def main() -> None:
-    """Run until the end of the input; report once for each line of it."""
+    """Run until standard input closes; print the totals for each line."""
     settings = load_instance_settings(sys.argv[1])
     clock = SystemClock()
-    members = Membership(settings, clock, _CREDENTIAL)
+    membership = Membership(settings, clock, _CREDENTIAL)
     bus = ZmqBus(
         settings.id,
         settings.peer_address,
-        members.address,
+        membership.address,
         clock,
         _CREDENTIAL,
     )
     bus.start()
-    members.start()
+    membership.start()
 
-    def look() -> dict[str, int]:
-        both = (bus.traffic, members.traffic)
+    def read_totals() -> dict[str, int]:
+        both = (bus.traffic, membership.traffic)
         return {
-            'alive': len(members.alive()),
+            'alive': len(membership.alive()),
             'messages': sum(each.sent + each.received for each in both),
             'bytes': sum(
                 each.sent_bytes + each.received_bytes for each in both
             ),
         }
 
-    _report(look)
-    members.stop()
+    _report(read_totals)
+    membership.stop()
     bus.stop()
 
 
-def _report(look: Callable[[], dict[str, int]]) -> None:
+def _report(read_totals: Callable[[], dict[str, int]]) -> None:
     pool = gevent.get_hub().threadpool
     while pool.apply(sys.stdin.readline):
-        sys.stdout.write(f'{json.dumps(look())}\n')
+        sys.stdout.write(f'{json.dumps(read_totals())}\n')
         sys.stdout.flush()
 
 
--- a/standins/demo/__init__.py
+++ b/standins/demo/__init__.py
@@ -1,4 +1,4 @@
-"""The main job with real processes, judged from the recorded history."""
+"""Runs real processes under load and checks the recorded history."""
 
 from standins.demo._verdict import Summary, summarize
 
--- a/standins/demo/__main__.py
+++ b/standins/demo/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m standins.demo``: the main job, judged; exit 1 when broken."""
+"""Command line of the demo, run by ``script/demo``."""
 
 import sys
 import tempfile
@@ -21,9 +21,15 @@
     show_default=True,
     help='fleet file',
 )
-@click.option('--seconds', default=30.0, show_default=True, help='of work')
-@click.option('--faults', is_flag=True, help='upstreams and store fail, too')
-@click.option('--seed', default=1, show_default=True, help='of stand-ins')
+@click.option(
+    '--seconds', default=30.0, show_default=True, help='duration of the load'
+)
+@click.option(
+    '--faults', is_flag=True, help='upstreams and the store fail as well'
+)
+@click.option(
+    '--seed', default=1, show_default=True, help='seed of the stand-ins'
+)
 @click.option(
     '--folder',
     type=click.Path(path_type=Path),
@@ -39,20 +45,20 @@
 ) -> None:
     """Run callers and trainers against a fleet that loses instances.
 
-    One instance is killed and one is stopped on the way; both are replaced.
-    Every promise is judged from what callers, trainers and upstreams
-    recorded. Exit 1 when one is broken. With --faults an instance is also
-    paused, upstreams crash, stall and cut streams, and the store is down and
-    loses answers.
+    One instance is killed and one is stopped; both are replaced. Every
+    guarantee is checked against what callers, trainers and upstreams recorded;
+    exits with 1 if one is violated. With --faults an instance is also paused,
+    upstreams crash, stall and cut streams, and the store is down and loses
+    answers.
     """
     plan = load_plan(settings)
-    place = folder or Path(tempfile.mkdtemp(prefix='guavagate-demo-'))
-    click.echo(f'settings {settings}; logs and history in {place}')
-    fleet = Fleet(plan, place, seed)
+    work_folder = folder or Path(tempfile.mkdtemp(prefix='guavagate-demo-'))
+    click.echo(f'settings {settings}; logs and history in {work_folder}')
+    fleet = Fleet(plan, work_folder, seed)
     try:
-        acts = FAULT_SCHEDULE if faults else DEMO_SCHEDULE
+        schedule = FAULT_SCHEDULE if faults else DEMO_SCHEDULE
         demo = Demo(fleet, seconds)
-        summary = demo.run(plan.instances, acts)
+        summary = demo.run(plan.instances, schedule)
     finally:
         fleet.stop()
     _show(summary)
@@ -60,7 +66,7 @@
 
 
 def _show(summary: Summary) -> None:
-    """Print the table, what is broken, and the last line."""
+    """Print the table, the violations and the last line."""
     rows = {
         'requests': summary.requests,
         '  attempts': summary.attempts,
--- a/standins/demo/_demo.py
+++ b/standins/demo/_demo.py
@@ -1,4 +1,4 @@
-"""Runs the demo: the fleet, its callers and trainers, and two stops."""
+"""Runs a fleet with callers and trainers and injects faults."""
 
 import signal
 import time
@@ -23,7 +23,7 @@
 )
 from standins.history import Recorder, now
 
-# What is done to the fleet, and when, as a share of the time.
+# Actions on the fleet, each with its time as a share of the duration.
 Schedule = Sequence[tuple[float, str]]
 
 DEMO_SCHEDULE: Final[Schedule] = (
@@ -32,7 +32,7 @@
     (0.6, 'stop'),
     (0.7, 'start'),
 )
-# Beside them, upstreams and the platform fail, some of them together.
+# Also has faults of upstreams and the platform, some at the same time.
 FAULT_SCHEDULE: Final[Schedule] = (
     (0.1, 'service-fails'),
     (0.15, 'engine-cuts'),
@@ -53,47 +53,49 @@
 
 
 class Demo:
-    """One run.
+    """A run of the demo.
 
     Parameters
     ----------
     fleet
-        What it runs on.
+        Fleet to run on; `run` starts it.
     seconds
-        How long callers and trainers go on.
+        How long callers and trainers send requests.
     """
 
     def __init__(self, fleet: Fleet, seconds: float) -> None:
         self._fleet = fleet
         self._seconds = seconds
         self._actors: list[Process] = []
-        self._failed: list[str] = []
+        self._actor_failures: list[str] = []
         self._progress = Progress(fleet.history)
         self._recorder = Recorder(str(fleet.history), 'demo')
         self._start = time.monotonic()
-        self._do: dict[str, Callable[[], None]] = {
-            'kill': self._kill_one,
-            'stop': self._stop_one,
-            'start': self._start_one,
-            'pause': self._pause_one,
-            'wake': self._wake_one,
-            **make_fault_actions(fleet, self._note),
+        self._actions: dict[str, Callable[[], None]] = {
+            'kill': self._kill_instance,
+            'stop': self._stop_instance,
+            'start': self._start_instance,
+            'pause': self._pause_instance,
+            'wake': self._resume_instance,
+            **make_fault_actions(fleet, self._record_fault),
         }
 
-    def run(self, instances: int, acts: Schedule = DEMO_SCHEDULE) -> Summary:
-        """Run it all and judge the history.
+    def run(
+        self, instances: int, schedule: Schedule = DEMO_SCHEDULE
+    ) -> Summary:
+        """Run the schedule under load and check the history.
 
         Actions are ``kill``, ``stop``, ``start``, ``pause`` and ``wake``, and
         those of `make_fault_actions`.
         """
-        self._say(f'starting {instances} instances and their stand-ins')
+        self._print(f'starting {instances} instances and their stand-ins')
         self._fleet.start(instances)
-        self._say('all instances are ready')
+        self._print('all instances are ready')
         self._start_actors()
         gevent.joinall(
             [
-                gevent.spawn_later(share * self._seconds, self._do[act])
-                for share, act in acts
+                gevent.spawn_later(share * self._seconds, self._actions[action])
+                for share, action in schedule
             ]
             + [gevent.spawn(self._show_progress)],
             raise_error=True,
@@ -101,41 +103,41 @@
         self._stop_actors()
         paths = self._fleet.history.glob('*.jsonl')
         summary = summarize(read_history(*paths))
-        # A caller or trainer that has failed may have recorded too little.
-        summary.problems.extend(self._failed)
+        # The history of a caller or trainer that failed may be incomplete.
+        summary.problems.extend(self._actor_failures)
         return summary
 
-    def _kill_one(self) -> None:
-        """Kill an instance without warning."""
-        victim = self._fleet.instances[1]
-        self._note(f'SIGKILL {victim.name} in {victim.zone}')
-        self._fleet.kill(victim)
-
-    def _stop_one(self) -> None:
-        """Stop an instance as a planned stop."""
-        victim = self._fleet.instances[0]
-        self._note(f'SIGTERM {victim.name} in {victim.zone}')
-        code = self._fleet.stop_gracefully(victim)
-        self._say(f'{victim.name} has ended with exit code {code}')
-
-    def _pause_one(self) -> None:
-        """Pause an instance: it believes that no time has passed."""
-        victim = self._fleet.instances[0]
-        self._note(f'SIGSTOP {victim.name} in {victim.zone}')
-        victim.send(signal.SIGSTOP)
-
-    def _wake_one(self) -> None:
-        """Let the paused instance go on."""
-        victim = self._fleet.instances[0]
-        self._note(f'SIGCONT {victim.name}')
-        victim.send(signal.SIGCONT)
-
-    def _start_one(self) -> None:
-        """Start a replacement."""
+    def _kill_instance(self) -> None:
+        """Kill an instance."""
+        instance = self._fleet.instances[1]
+        self._record_fault(f'SIGKILL {instance.name} in {instance.zone}')
+        self._fleet.kill(instance)
+
+    def _stop_instance(self) -> None:
+        """Stop an instance gracefully."""
+        instance = self._fleet.instances[0]
+        self._record_fault(f'SIGTERM {instance.name} in {instance.zone}')
+        exit_code = self._fleet.stop_gracefully(instance)
+        self._print(f'{instance.name} has ended with exit code {exit_code}')
+
+    def _pause_instance(self) -> None:
+        """Pause an instance, which does not notice the time that passes."""
+        instance = self._fleet.instances[0]
+        self._record_fault(f'SIGSTOP {instance.name} in {instance.zone}')
+        instance.send(signal.SIGSTOP)
+
+    def _resume_instance(self) -> None:
+        """Resume the paused instance."""
+        instance = self._fleet.instances[0]
+        self._record_fault(f'SIGCONT {instance.name}')
+        instance.send(signal.SIGCONT)
+
+    def _start_instance(self) -> None:
+        """Start a replacement and wait until it is ready."""
         instance = self._fleet.start_instance()
-        self._note(f'starting {instance.name} in {instance.zone}')
+        self._record_fault(f'starting {instance.name} in {instance.zone}')
         self._fleet.wait_until_ready([instance])
-        self._say(f'{instance.name} is ready')
+        self._print(f'{instance.name} is ready')
 
     def _start_actors(self) -> None:
         """Start the callers and trainers of all teams."""
@@ -162,7 +164,7 @@
         self._start_actor('caller', team, plan.id, options)
 
     def _start_trainer(self, team: str, plan: DeploymentPlan) -> None:
-        """Start a deployment's trainer."""
+        """Start the trainer of a deployment."""
         options = {
             **msgspec.to_builtins(plan.trainer),
             'deployment': plan.id,
@@ -185,27 +187,29 @@
         self._actors.append(actor)
 
     def _stop_actors(self) -> None:
-        """Have callers and trainers finish what is outstanding."""
-        self._say('callers and trainers finish what is outstanding')
+        """Stop callers and trainers once their pending work is done."""
+        self._print('callers and trainers finish their pending work')
         for actor in self._actors:
             actor.send(signal.SIGTERM)
         for actor in self._actors:
-            code = actor.wait(DRAIN_SECONDS)
-            if code != 0:
-                self._failed.append(f'{actor.name} ended with {code}')
+            exit_code = actor.wait(DRAIN_SECONDS)
+            if exit_code != 0:
+                self._actor_failures.append(
+                    f'{actor.name} ended with {exit_code}'
+                )
 
     def _show_progress(self) -> None:
-        """Say every so often how far it has come."""
+        """Print the progress periodically."""
         until = time.monotonic() + self._seconds
         while time.monotonic() < until:
             gevent.sleep(TICK_SECONDS)
-            self._say(self._progress.read())
+            self._print(self._progress.read())
 
-    def _note(self, fault: str) -> None:
-        """Say and record what is done to the fleet."""
-        self._say(fault)
+    def _record_fault(self, fault: str) -> None:
+        """Print a fault and record it in the history."""
+        self._print(fault)
         self._recorder.record(FaultInjected(at=now(), who='demo', fault=fault))
 
-    def _say(self, text: str) -> None:
+    def _print(self, text: str) -> None:
         """Print a line with the time since the start."""
         click.echo(f'{time.monotonic() - self._start:6.1f} s  {text}')
--- a/standins/demo/_faults.py
+++ b/standins/demo/_faults.py
@@ -1,4 +1,4 @@
-"""Faults of upstreams and the platform in the middle of a demo."""
+"""Injects faults into the demo's upstreams and platform."""
 
 import signal
 from collections.abc import Callable
@@ -9,51 +9,57 @@
 from standins.fleet import Fleet, Process
 
 Actions = dict[str, Callable[[], None]]
-Note = Callable[[str], None]
+RecordFault = Callable[[str], None]
 
 
-def make_fault_actions(fleet: Fleet, note: Note) -> Actions:
-    """Return what can be done to the first team's upstreams and the store."""
-    fault = partial(_set_faults, fleet, note)
+def make_fault_actions(fleet: Fleet, record_fault: RecordFault) -> Actions:
+    """Return the fault actions by name."""
+    set_faults = partial(_set_faults, fleet, record_fault)
     return {
         'service-fails': partial(
-            fault, 'plain', 0, crash_after_run=0.2, reset=0.1
+            set_faults, 'plain', 0, crash_after_run=0.2, reset=0.1
         ),
-        'engine-cuts': partial(fault, 'engine', 0, cut=0.3, cross=0.1),
-        'engine-stalls': partial(fault, 'engine', 2, stall=True),
-        'engine-dies': partial(_kill, fleet, note, 'engine', 1),
-        'store-down': partial(fault, 'object-api', 0, outage=True),
-        'store-loses': partial(fault, 'object-api', 0, lose_answers=0.2),
-        'heal': partial(_heal, fleet, note),
+        'engine-cuts': partial(set_faults, 'engine', 0, cut=0.3, cross=0.1),
+        'engine-stalls': partial(set_faults, 'engine', 2, stall=True),
+        'engine-dies': partial(_kill, fleet, record_fault, 'engine', 1),
+        'store-down': partial(set_faults, 'object-api', 0, outage=True),
+        'store-loses': partial(set_faults, 'object-api', 0, lose_answers=0.2),
+        'heal': partial(_heal, fleet, record_fault),
     }
 
 
 def _set_faults(
-    fleet: Fleet, note: Note, role: str, index: int, **faults: Any
+    fleet: Fleet,
+    record_fault: RecordFault,
+    role: str,
+    index: int,
+    **faults: Any,
 ) -> None:
-    """Set one stand-in's faults; none make it healthy."""
-    victim = _find(fleet, role)[index]
-    note(f'{victim.name}: {faults or "healthy"}')
+    """Set the faults of a stand-in; without any it is healthy."""
+    process = _find(fleet, role)[index]
+    record_fault(f'{process.name}: {faults or "healthy"}')
     _http.send_request(
-        victim.addresses['http'], 'POST', '/control/faults', faults
+        process.addresses['http'], 'POST', '/control/faults', faults
     )
 
 
-def _kill(fleet: Fleet, note: Note, role: str, index: int) -> None:
-    """Kill a stand-in for good."""
-    victim = _find(fleet, role)[index]
-    note(f'SIGKILL {victim.name}')
-    victim.send(signal.SIGKILL)
+def _kill(
+    fleet: Fleet, record_fault: RecordFault, role: str, index: int
+) -> None:
+    """Kill a stand-in without a replacement."""
+    process = _find(fleet, role)[index]
+    record_fault(f'SIGKILL {process.name}')
+    process.send(signal.SIGKILL)
 
 
-def _heal(fleet: Fleet, note: Note) -> None:
-    """Make all that still runs healthy."""
+def _heal(fleet: Fleet, record_fault: RecordFault) -> None:
+    """Clear the faults of all stand-ins that still run."""
     for role in ('plain', 'engine', 'object-api'):
         for index, process in enumerate(_find(fleet, role)):
             if process.is_running():
-                _set_faults(fleet, note, role, index)
+                _set_faults(fleet, record_fault, role, index)
 
 
 def _find(fleet: Fleet, role: str) -> list[Process]:
-    """Return the stand-ins of a role."""
+    """Return the stand-ins with a role."""
     return [process for process in fleet.processes if process.role == role]
--- a/standins/demo/_progress.py
+++ b/standins/demo/_progress.py
@@ -1,4 +1,4 @@
-"""Follows the history while it is recorded."""
+"""Counts events of the history while it is recorded."""
 
 from collections import Counter
 from pathlib import Path
@@ -16,44 +16,44 @@
 }
 
 
-class _Tag(msgspec.Struct):
-    """The part of an event that is counted."""
+class _EventHeader(msgspec.Struct):
+    """The fields of an event that are counted."""
 
     event: str
     samples: list[msgspec.Raw] = []
 
 
 class Progress:
-    """Counts events by reading what has been added to the files.
+    """Counts events by reading the lines added to the history files.
 
     Parameters
     ----------
     folder
-        The history's.
+        Folder of the history.
     """
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
-        self._places: dict[Path, int] = {}
-        self._decoder = msgspec.json.Decoder(_Tag)
+        self._offsets: dict[Path, int] = {}
+        self._decoder = msgspec.json.Decoder(_EventHeader)
         self.counts: Counter[str] = Counter()
 
     def read(self) -> str:
-        """Return a line with the counts up to now."""
+        """Read new events and return a line with the counts."""
         for path in self._folder.glob('*.jsonl'):
             self._read_file(path)
         shown = [f'{text} {self.counts[name]}' for name, text in _SHOWN.items()]
         return ', '.join([*shown, f'samples {self.counts["sample"]}'])
 
     def _read_file(self, path: Path) -> None:
-        """Count the whole lines that were added to one file."""
+        """Count the complete lines that were added to a file."""
         with path.open('rb') as lines:
-            lines.seek(self._places.get(path, 0))
+            lines.seek(self._offsets.get(path, 0))
             added = lines.read().rpartition(b'\n')[0]
         if not added:
             return
-        self._places[path] = self._places.get(path, 0) + len(added) + 1
+        self._offsets[path] = self._offsets.get(path, 0) + len(added) + 1
         for line in added.split(b'\n'):
-            tag = self._decoder.decode(line)
-            self.counts[tag.event] += 1
-            self.counts['sample'] += len(tag.samples)
+            header = self._decoder.decode(line)
+            self.counts[header.event] += 1
+            self.counts['sample'] += len(header.samples)
--- a/standins/demo/_verdict.py
+++ b/standins/demo/_verdict.py
@@ -1,4 +1,4 @@
-"""Judges a demo from the history that the stand-ins recorded."""
+"""Checks the history that the stand-ins of a demo recorded."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterator
@@ -13,21 +13,21 @@
 
 
 class Summary(msgspec.Struct, kw_only=True):
-    """What a history shows.
+    """Counts and violations found in a history.
 
     Parameters
     ----------
     requests
-        Distinct requests, over all their attempts.
+        Distinct requests; several attempts count as one.
     refused
-        Ended with a refusal that says that it did not run, or is final.
+        Requests whose last refusal says that they did not run.
     unknown
-        Ended with a refusal that leaves the outcome open.
+        Requests whose last refusal leaves the outcome open.
     lost
-        Requests without an answer or a refusal, and samples of submitted
-        steps that never came.
+        Requests without a response or a refusal, and samples of submitted
+        steps that were not delivered.
     problems
-        Each broken promise in a line.
+        One line for each violation.
     """
 
     requests: int = 0
@@ -46,7 +46,7 @@
 
     @property
     def last_line(self) -> str:
-        """Return the demo's last line."""
+        """Return the last line that the demo prints."""
         return (
             f'demo: requests={self.requests}'
             f' answered_once={self.answered_once}'
@@ -56,14 +56,14 @@
         )
 
     def has_passed(self) -> bool:
-        """Tell whether every promise was kept and something was done."""
+        """Return whether there was load and no violation."""
         worked = self.answered_once and self.delivered_once
         broken = self.stale or self.lost or self.doubled or self.problems
         return bool(worked) and not broken
 
 
 def summarize(events: list[hist.Event]) -> Summary:
-    """Return what a history shows, with every promise that it breaks."""
+    """Return the counts and violations of a history."""
     summary = Summary()
     _count_requests(events, summary)
     _count_samples(events, summary)
@@ -80,33 +80,33 @@
 
 
 def _count_requests(events: list[hist.Event], summary: Summary) -> None:
-    """Count what became of each request."""
-    bases: dict[str, str] = {}
+    """Count requests by their outcome."""
+    requests: dict[str, str] = {}
     last: dict[str, hist.Event] = {}
     answers: Counter[str] = Counter()
     for event in events:
         if isinstance(event, hist.SentRequest):
             summary.attempts += 1
-            base = event.request.partition('.')[0]
-            bases[event.attempt] = base
-            last[base] = event
+            request = event.request.partition('.')[0]
+            requests[event.attempt] = request
+            last[request] = event
         elif isinstance(
             event, hist.Received | hist.ReceivedRefusal | hist.BrokeOff
         ):
-            base = bases[event.attempt]
-            last[base] = event
-            answers[base] += isinstance(event, hist.Received)
+            request = requests[event.attempt]
+            last[request] = event
+            answers[request] += isinstance(event, hist.Received)
     summary.requests = len(last)
     summary.answered_once = sum(count == 1 for count in answers.values())
     summary.doubled += sum(count > 1 for count in answers.values())
-    for base, event in last.items():
-        if not answers[base]:
+    for request, event in last.items():
+        if not answers[request]:
             _count_unanswered(event, summary)
-    summary.doubled += _count_runs_too_many(events)
+    summary.doubled += _count_repeated_runs(events)
 
 
 def _count_unanswered(event: hist.Event, summary: Summary) -> None:
-    """Count a request by its last event."""
+    """Count a request without a response by its last event."""
     if isinstance(event, hist.ReceivedRefusal):
         if event.not_run == 'true':
             summary.refused += 1
@@ -116,86 +116,92 @@
         summary.lost += 1
 
 
-def _count_runs_too_many(events: list[hist.Event]) -> int:
-    """Return how many requests ran twice that may run once."""
+def _count_repeated_runs(events: list[hist.Event]) -> int:
+    """Return how many non-idempotent requests ran more than once."""
     once = {
         event.request
-        for event in _pick(events, hist.SentRequest)
+        for event in _select_kind(events, hist.SentRequest)
         if not event.idempotent
     }
-    runs = Counter(event.request for event in _pick(events, hist.RanAtUpstream))
+    runs = Counter(
+        event.request for event in _select_kind(events, hist.RanAtUpstream)
+    )
     return sum(runs[request] > 1 for request in once)
 
 
 def _count_samples(events: list[hist.Event], summary: Summary) -> None:
-    """Count what was delivered of each step."""
-    wanted = {
+    """Count the delivered samples of each step."""
+    submitted = {
         (event.run, event.step): event.groups * event.samples_per_group
-        for event in _pick(events, hist.SubmittedStep)
+        for event in _select_kind(events, hist.SubmittedStep)
     }
     acked = {
         (event.run, event.step, event.cursor)
-        for event in _pick(events, hist.Acked)
+        for event in _select_kind(events, hist.Acked)
     }
-    taken: dict[tuple[str, str], Counter[str]] = defaultdict(Counter)
+    delivered: dict[tuple[str, str], Counter[str]] = defaultdict(Counter)
     seen: set[tuple[str, str, str]] = set()
-    for batch in _pick(events, hist.PulledBatch):
+    for batch in _select_kind(events, hist.PulledBatch):
         place = (batch.run, batch.step, batch.follows)
         if place in acked and place not in seen:
             seen.add(place)
             names = [sample.sample for sample in batch.samples]
-            taken[place[:2]].update(names)
-    done = {(one.run, one.step) for one in _pick(events, hist.StepDone)}
+            delivered[place[:2]].update(names)
+    done = {(one.run, one.step) for one in _select_kind(events, hist.StepDone)}
     summary.steps = len(done)
-    for counts in taken.values():
+    for counts in delivered.values():
         summary.samples += len(counts)
         once = sum(count == 1 for count in counts.values())
         summary.delivered_once += once
         summary.doubled += len(counts) - once
-    # The trainer waits for its last step as well, so one that is not whole in
-    # the end has lost samples, too.
-    for step, count in wanted.items():
-        summary.lost += max(count - len(taken[step]), 0)
-    summary.versions = len(list(_pick(events, hist.PublishedVersion)))
+    # The trainer waits for its last step as well, so samples that are missing
+    # from any step are lost.
+    for step, count in submitted.items():
+        summary.lost += max(count - len(delivered[step]), 0)
+    summary.versions = len(list(_select_kind(events, hist.PublishedVersion)))
 
 
 def _find_text_faults(events: list[hist.Event]) -> Iterator[str]:
-    """Find answers and samples whose text tells another story.
+    """Find responses and samples whose text is wrong.
 
-    Each token tells its prompt, index and version, as only an engine writes
-    them, so a gap, a repeat, a crossed answer and a wrong version show.
+    Engines write prompt, index and version into each token, so the text shows
+    gaps, repeats, responses to other requests and wrong versions.
     """
-    kinds = {one.attempt: one.body for one in _pick(events, hist.SentRequest)}
-    for event in _pick(events, hist.Received):
+    kinds = {
+        one.attempt: one.body for one in _select_kind(events, hist.SentRequest)
+    }
+    for event in _select_kind(events, hist.Received):
         if kinds[event.attempt] in {'chat', 'completion'}:
             prompt = tag_prompt('', event.request)
-            yield from _judge_text(
+            yield from _check_text(
                 event.request, prompt, event.answer, event.versions
             )
-    for batch in _pick(events, hist.PulledBatch):
+    for batch in _select_kind(events, hist.PulledBatch):
         for sample in batch.samples:
-            yield from _judge_text(
+            yield from _check_text(
                 sample.sample, '', sample.text, sample.versions
             )
 
 
-def _judge_text(
+def _check_text(
     subject: str, prompt: str, text: str, versions: tuple[int, ...]
 ) -> Iterator[str]:
-    """Judge one text; without a prompt, by its own first token's."""
+    """Check a text; without a prompt, all tokens must have the same one."""
     fault = find_fault(prompt, text)
     if fault:
         yield f'{hist.Promise.OWN_WHOLE_ANSWER.value}: {subject}: {fault}'
         return
-    truth = tuple(version for version, _ in count_versions(text))
-    if versions != truth:
+    expected = tuple(version for version, _ in count_versions(text))
+    if versions != expected:
         yield (
-            f'{hist.Promise.TRUE_VERSIONS.value}: {subject}: it names'
-            f' {versions} and was made by {truth}'
+            f'{hist.Promise.TRUE_VERSIONS.value}: {subject}: it reports'
+            f' versions {versions} and was generated by {expected}'
         )
 
 
-def _pick(events: list[hist.Event], kind: type[_Kind]) -> Iterator[_Kind]:
+def _select_kind(
+    events: list[hist.Event], kind: type[_Kind]
+) -> Iterator[_Kind]:
     """Yield the events of one kind."""
     for event in events:
         if isinstance(event, kind):
--- a/standins/fleet/__init__.py
+++ b/standins/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Fleets of real processes: instances and stand-ins on the loopback."""
+"""Runs fleets of real instances and stand-ins on the loopback address."""
 
 from standins.fleet._fleet import CREDENTIAL, Fleet
 from standins.fleet._plan import (
--- a/standins/fleet/__main__.py
+++ b/standins/fleet/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m standins.fleet``: a fleet in the foreground until SIGINT."""
+"""Command line that runs a fleet in the foreground until SIGINT."""
 
 import json
 import signal
@@ -13,7 +13,9 @@
 
 
 @click.command()
-@click.option('--instances', type=click.IntRange(1, 200), help='how many')
+@click.option(
+    '--instances', type=click.IntRange(1, 200), help='number of instances'
+)
 @click.option(
     '--settings',
     type=click.Path(path_type=Path),
@@ -21,7 +23,9 @@
     show_default=True,
     help='fleet file',
 )
-@click.option('--seed', default=1, show_default=True, help='of stand-ins')
+@click.option(
+    '--seed', default=1, show_default=True, help='seed of the stand-ins'
+)
 @click.option(
     '--folder',
     type=click.Path(path_type=Path),
@@ -30,13 +34,16 @@
 def main(
     instances: int | None, settings: Path, seed: int, folder: Path | None
 ) -> None:
-    """Run instances and stand-ins until SIGINT; describe them first."""
+    """Run instances and stand-ins until SIGINT.
+
+    Prints a description of the fleet as JSON once all instances are ready.
+    """
     plan = load_plan(settings)
-    place = folder or Path(tempfile.mkdtemp(prefix='guavagate-fleet-'))
-    fleet = Fleet(plan, place, seed)
+    work_folder = folder or Path(tempfile.mkdtemp(prefix='guavagate-fleet-'))
+    fleet = Fleet(plan, work_folder, seed)
     stopped = Event()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        gevent.signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        gevent.signal_handler(signal_number, stopped.set)
     try:
         fleet.start(instances or plan.instances)
         click.echo(json.dumps(fleet.describe()))
--- a/standins/fleet/_fleet.py
+++ b/standins/fleet/_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes on the loopback address."""
+"""Starts and stops a fleet of real processes on the loopback address."""
 
 import itertools
 import signal
@@ -34,21 +34,21 @@
 
 READY_SECONDS: Final = 30.0
 CREDENTIAL: Final = 'fleet-credential'
-# Fleets run on the loopback only.
+# Needs no secrecy: fleets run on the loopback address only.
 FLEET_TOKEN: Final = 'gg_fleet-operator'
 
 
 class Fleet:
-    """The platform, the upstreams and the instances.
+    """A platform, upstreams and instances that run as processes.
 
     Parameters
     ----------
     plan
         What to start.
     folder
-        For settings, logs and the history.
+        Where settings, logs and the history are written.
     seed
-        For the stand-ins' own choices.
+        Seed of the stand-ins' random choices.
     """
 
     def __init__(self, plan: FleetPlan, folder: Path, seed: int) -> None:
@@ -60,12 +60,12 @@
         self.instances: list[Process] = []
         self._numbers = itertools.count(1)
         self._zones = itertools.cycle(plan.availability_zones)
-        self._places: dict[str, tuple[str, ZoneId]] = {}
+        self._locations: dict[str, tuple[str, ZoneId]] = {}
 
     @property
     def platform(self) -> str:
         """Return the object API's address."""
-        return self._places['object-api'][0]
+        return self._locations['object-api'][0]
 
     def start(self, instances: int) -> None:
         """Start everything and wait until every instance is ready."""
@@ -78,48 +78,48 @@
                 self._start_service(service)
         self.wait_for_addresses()
         self._apply_settings()
-        # All are entered before the first starts, so that each one's settings
-        # name all the others.
+        # Registers all instances before the first one starts, so that the
+        # settings of each list all others.
         for _ in range(instances):
-            self._enter_instance()
+            self._register_instance()
         for process in self.instances:
             self._run_instance(process)
         self.wait_until_ready(self.instances)
 
     def start_instance(self) -> Process:
-        """Start one more instance, entered into the platform's list."""
-        process = self._enter_instance()
+        """Register and start one more instance."""
+        process = self._register_instance()
         self._run_instance(process)
         return process
 
     def kill(self, process: Process) -> None:
-        """Kill an instance; the platform's list shows it for a while."""
+        """Kill an instance; the platform lists it for two more seconds."""
         process.send(signal.SIGKILL)
         process.wait(READY_SECONDS)
         self.instances.remove(process)
-        gevent.spawn_later(2, self._unlist, process)
+        gevent.spawn_later(2, self._delete_list_entry, process)
 
     def stop_gracefully(self, process: Process) -> int | None:
-        """Stop an instance as the platform does; return its exit code."""
-        self._list(process, 'leaving')
+        """Stop an instance as the platform does and return its exit code."""
+        self._put_list_entry(process, 'leaving')
         process.send(signal.SIGTERM)
-        code = process.wait(READY_SECONDS)
+        exit_code = process.wait(READY_SECONDS)
         self.instances.remove(process)
-        self._unlist(process)
-        return code
+        self._delete_list_entry(process)
+        return exit_code
 
     def wait_until_ready(self, processes: list[Process]) -> None:
-        """Wait for the readiness of instances."""
+        """Wait until all given instances are ready."""
         for process in processes:
-            ready = _wait(partial(_is_up, process), READY_SECONDS)
+            ready = _wait_until(partial(_is_up, process), READY_SECONDS)
             if not ready:
                 raise click.ClickException(
                     f'{process.name} is not ready after {READY_SECONDS:g} s;'
-                    f' see {self._log(process.name)}'
+                    f' see {self._get_log_path(process.name)}'
                 )
 
     def describe(self) -> dict[str, Any]:
-        """Return the fleet's first line."""
+        """Return the description that the command line prints."""
         return {
             'region': self.plan.region,
             'folder': str(self.folder),
@@ -136,38 +136,40 @@
     def start_standin(
         self, role: str, name: str, options: dict[str, Any], zone: str = ''
     ) -> Process:
-        """Start a stand-in without waiting for its address."""
+        """Start a stand-in without waiting until it listens."""
         process = Process(role, name, zone)
-        process.start(make_standin_command(role, options), self._log(name))
+        process.start(
+            make_standin_command(role, options), self._get_log_path(name)
+        )
         self.processes.append(process)
         return process
 
     def wait_for_addresses(self) -> None:
-        """Wait until every stand-in that has been started has its address."""
+        """Wait until every started stand-in has printed its address."""
         for process in self.processes:
-            if process.name in self._places:
+            if process.name in self._locations:
                 continue
             address = process.read_address()
             if not address:
                 raise click.ClickException(
                     f'{process.name} did not start;'
-                    f' see {self._log(process.name)}'
+                    f' see {self._get_log_path(process.name)}'
                 )
-            self._places[process.name] = (address, ZoneId(process.zone))
+            self._locations[process.name] = (address, ZoneId(process.zone))
 
     def stop(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         stop_all(self.instances)
         stop_all(self.processes)
 
     def kill_all(self) -> None:
-        """End all processes at once, without a planned stop."""
+        """Kill all processes without a planned stop."""
         for process in (*self.instances, *self.processes):
             process.send(signal.SIGKILL)
             process.wait(READY_SECONDS)
 
-    def _enter_instance(self) -> Process:
-        """Give an instance its place and enter it into the list."""
+    def _register_instance(self) -> Process:
+        """Assign a zone and addresses to a new instance and register it."""
         name = f'instance-{next(self._numbers)}'
         process = Process('guavagated', name, next(self._zones))
         process.addresses = {
@@ -175,16 +177,18 @@
             'peer': find_free_address(),
         }
         self.instances.append(process)
-        self._list(process, 'live')
+        self._put_list_entry(process, 'live')
         return process
 
     def _run_instance(self, process: Process) -> None:
-        """Write an instance's settings and start it."""
+        """Write the settings of an instance and start it."""
         path = self.folder / 'settings' / f'{process.name}.toml'
         path.parent.mkdir(parents=True, exist_ok=True)
         text = render_settings(self._make_settings(process))
         path.write_text(text, encoding='utf-8')
-        process.start(make_daemon_command(path), self._log(process.name))
+        process.start(
+            make_daemon_command(path), self._get_log_path(process.name)
+        )
 
     def _start_platform(self) -> None:
         """Start the object API and the weight store."""
@@ -199,7 +203,7 @@
         secret.write_text(CREDENTIAL, encoding='utf-8')
 
     def _start_deployment(self, plan: DeploymentPlan) -> None:
-        """Start a deployment's engines."""
+        """Start the engines of a deployment."""
         for number in range(1, plan.samplers + 1):
             name = f'{plan.id}-{number}'
             options = {
@@ -208,14 +212,14 @@
                 'run': plan.trainer.run if plan.trainer else plan.id,
                 'slots': plan.slots,
                 'checks_fences': plan.fences_orders,
-                'weight_store': self._places['weight-store'][0],
+                'weight_store': self._locations['weight-store'][0],
                 'history': self.history,
                 'seed': self.seed + number,
             }
             self.start_standin('engine', name, options, next(self._zones))
 
     def _start_service(self, plan: ServicePlan) -> None:
-        """Start a service's upstreams."""
+        """Start the upstreams of a service."""
         for number in range(1, plan.upstreams + 1):
             name = f'{plan.id}-{number}'
             zone = next(self._zones)
@@ -231,16 +235,16 @@
             self.start_standin('plain', name, options, zone)
 
     def _apply_settings(self) -> None:
-        """Write the teams' settings as their operators would."""
+        """Write the settings of all teams as their operators would."""
         for team in self.plan.teams:
-            settings = make_settings(team, self._places)
+            settings = make_settings(team, self._locations)
             record = make_record(settings, 1, time.time())
-            self._platform_call(
+            self._call_platform(
                 'PUT', f'/v1/objects/settings/{team.team}', record
             )
 
     def _make_settings(self, process: Process) -> InstanceSettings:
-        """Return an instance's own settings."""
+        """Return the settings of an instance."""
         secret = self.folder / 'platform-credential'
         return InstanceSettings(
             id=InstanceId(process.name),
@@ -266,7 +270,7 @@
         )
 
     def _make_peer(self, process: Process) -> PeerSettings:
-        """Return what the platform's list says of an instance."""
+        """Return the entry of an instance in the platform's list."""
         return PeerSettings(
             id=InstanceId(process.name),
             availability_zone=ZoneId(process.zone),
@@ -275,19 +279,19 @@
             http_address=process.addresses['http'],
         )
 
-    def _list(self, process: Process, state: str) -> None:
-        """Enter an instance into the platform's list."""
+    def _put_list_entry(self, process: Process, state: str) -> None:
+        """Write the entry of an instance to the platform's list."""
         entry = msgspec.to_builtins(self._make_peer(process))
-        self._platform_call(
+        self._call_platform(
             'PUT', f'/v1/instances/{process.name}', {**entry, 'state': state}
         )
 
-    def _unlist(self, process: Process) -> None:
-        """Take an instance off the platform's list."""
-        self._platform_call('DELETE', f'/v1/instances/{process.name}', None)
+    def _delete_list_entry(self, process: Process) -> None:
+        """Delete the entry of an instance from the platform's list."""
+        self._call_platform('DELETE', f'/v1/instances/{process.name}', None)
 
-    def _platform_call(self, method: str, path: str, body: Any) -> None:
-        """Call the platform's stand-in."""
+    def _call_platform(self, method: str, path: str, body: Any) -> None:
+        """Call the object API and require status 200."""
         headers = {'Authorization': f'Bearer {CREDENTIAL}'}
         answer = _http.send_request(
             self.platform, method, path, body, headers=headers
@@ -295,20 +299,20 @@
         if answer.status != 200:
             raise click.ClickException(f'{method} {path}: {answer.status}')
 
-    def _log(self, name: str) -> Path:
-        """Return where a process logs."""
+    def _get_log_path(self, name: str) -> Path:
+        """Return the log file of a process."""
         return self.folder / 'logs' / f'{name}.log'
 
 
 def _is_up(process: Process) -> bool:
-    """Tell whether an instance is ready; raise when it has ended."""
+    """Return whether an instance is ready; raise if it has exited."""
     if not process.is_running():
-        raise click.ClickException(f'{process.name} has ended at its start')
+        raise click.ClickException(f'{process.name} exited during its start')
     return _http.is_ready(process.addresses['http'])
 
 
-def _wait(done: Callable[[], bool], limit: float) -> bool:
-    """Wait until something is so, looking every tenth of a second."""
+def _wait_until(done: Callable[[], bool], limit: float) -> bool:
+    """Poll until a condition is true; return whether it was in time."""
     until = time.monotonic() + limit
     while time.monotonic() < until:
         if done():
--- a/standins/fleet/_plan.py
+++ b/standins/fleet/_plan.py
@@ -1,4 +1,4 @@
-"""What a fleet file describes: instances, platform, stand-ins and teams."""
+"""Schema of a fleet file: instances, platform, stand-ins and teams."""
 
 import tomllib
 from pathlib import Path
@@ -21,25 +21,25 @@
 class _Plan(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Base: keyword-only, unchangeable, unknown keys refused."""
+    """Base of all plans: immutable, keyword-only, rejects unknown keys."""
 
 
 class PlatformPlan(_Plan, frozen=True, kw_only=True):
-    """The object API's limits, in calls a second."""
+    """Rate limits of the object API, in calls per second."""
 
     reads: float = 2000
     writes: float = 400
 
 
 class WeightStorePlan(_Plan, frozen=True, kw_only=True):
-    """The weight store's limit, in fetches a second."""
+    """Limit of the weight store in fetches per second, and their duration."""
 
     rate: float = 12
     fetch_s: float = 0.05
 
 
 class EnginePlan(_Plan, frozen=True, kw_only=True):
-    """How every engine behaves."""
+    """Behaviour of every engine."""
 
     token_s: float = 0.01
     slowdown: float = 1.0
@@ -49,13 +49,13 @@
 
 
 class ServiceUpstreamPlan(_Plan, frozen=True, kw_only=True):
-    """How every upstream of a plain service behaves."""
+    """Behaviour of every upstream of a plain service."""
 
     work_s: float = 0.02
 
 
 class TrainerPlan(_Plan, frozen=True, kw_only=True):
-    """A trainer's steps and how often it publishes."""
+    """Size of a trainer's steps and how often it publishes a version."""
 
     run: RunId
     groups: int = 12
@@ -67,7 +67,7 @@
 
 
 class DeploymentPlan(_Plan, frozen=True, kw_only=True):
-    """A deployment; `samplers` is how many it has."""
+    """A deployment; `samplers` is their number."""
 
     id: DeploymentId
     samplers: int = 6
@@ -100,7 +100,7 @@
 
 
 class CallerPlan(_Plan, frozen=True, kw_only=True):
-    """A caller; `rate` is requests a second."""
+    """A caller; `rate` is in requests per second."""
 
     id: CallerId
     rate: float = 10.0
@@ -113,7 +113,7 @@
 
 
 class TeamPlan(_Plan, frozen=True, kw_only=True):
-    """One team."""
+    """A team with its deployments, services and callers."""
 
     team: TeamId
     weight: float = 1.0
@@ -123,7 +123,7 @@
 
 
 class FleetPlan(_Plan, frozen=True, kw_only=True):
-    """A whole fleet file."""
+    """The contents of a fleet file."""
 
     region: RegionId
     availability_zones: tuple[ZoneId, ...]
@@ -136,7 +136,7 @@
 
 
 def load_plan(path: Path) -> FleetPlan:
-    """Return the plan in a fleet file."""
+    """Load a fleet file."""
     try:
         plain = tomllib.loads(path.read_text(encoding='utf-8'))
         return msgspec.convert(plain, FleetPlan)
--- a/standins/fleet/_process.py
+++ b/standins/fleet/_process.py
@@ -1,4 +1,4 @@
-"""Processes that a fleet starts, watches and stops."""
+"""Starts, signals and stops the processes of a fleet."""
 
 import contextlib
 import itertools
@@ -21,12 +21,12 @@
 
 
 class Process:
-    """One process, started by us and ended by its pid.
+    """A child process that is signalled by its pid.
 
     Parameters
     ----------
     role
-        ``guavagated`` or a stand-in's role.
+        ``guavagated`` or the role of a stand-in.
     name
         Unique in the fleet.
     """
@@ -39,13 +39,13 @@
         self._child: subprocess.Popen[bytes] | None = None
 
     def start(self, command: list[str], log: Path) -> None:
-        """Start the command; its output goes to a file."""
+        """Start a Python command that logs to a file."""
         log.parent.mkdir(parents=True, exist_ok=True)
         env = {**os.environ, 'PYTHONPATH': os.pathsep.join(sys.path)}
         with log.open('ab') as errors:
             self._child = subprocess.Popen(
                 [sys.executable, *command],
-                stdout=subprocess.PIPE if self._prints() else errors,
+                stdout=subprocess.PIPE if self._prints_address() else errors,
                 stderr=errors,
                 env=env,
                 start_new_session=True,
@@ -53,11 +53,11 @@
 
     @property
     def pid(self) -> int:
-        """Return the process's id."""
+        """Return the process id, or 0 before the start."""
         return self._child.pid if self._child else 0
 
     def read_address(self) -> str:
-        """Return the address that a stand-in prints first."""
+        """Read the address that a stand-in prints as its first line."""
         if self._child is None or self._child.stdout is None:
             return ''
         address = self._child.stdout.readline().decode().strip()
@@ -65,16 +65,16 @@
         return address
 
     def is_running(self) -> bool:
-        """Tell whether the process has not ended."""
+        """Return whether the process is running."""
         return self._child is not None and self._child.poll() is None
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if the process runs."""
+        """Send a signal if the process is running."""
         if self._child is not None and self.is_running():
             self._child.send_signal(number)
 
     def wait(self, timeout: float) -> int | None:
-        """Wait for the end; return the exit code, or nothing if it runs."""
+        """Wait for the exit code; return None on timeout."""
         if self._child is None:
             return None
         try:
@@ -83,7 +83,7 @@
             return None
 
     def stop(self, timeout: float = _KILL_SECONDS) -> None:
-        """End the process, by force if it takes too long."""
+        """Stop the process; kill it if it does not exit in time."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGTERM)
         if self.wait(timeout) is None:
@@ -91,7 +91,7 @@
             self.wait(timeout)
 
     def describe(self) -> dict[str, Any]:
-        """Return what the fleet's first line says of it."""
+        """Return the entry of the process in the fleet's description."""
         return {
             'role': self.role,
             'id': self.name,
@@ -100,28 +100,30 @@
             'pid': self.pid,
         }
 
-    def _prints(self) -> bool:
-        """Tell whether the first line is an address."""
+    def _prints_address(self) -> bool:
+        """Return whether the process prints its address first."""
         return self.role != 'guavagated'
 
 
 def make_standin_command(role: str, options: dict[str, Any]) -> list[str]:
-    """Return the command of a stand-in."""
-    pairs = [f'{name}={_show(value)}' for name, value in options.items()]
+    """Return the command that starts a stand-in."""
+    pairs = [
+        f'{name}={_format_value(value)}' for name, value in options.items()
+    ]
     return ['-m', 'standins', role, '--listen', '127.0.0.1:0', *pairs]
 
 
 def make_daemon_command(settings: Path) -> list[str]:
-    """Return the command of an instance."""
+    """Return the command that starts an instance."""
     return ['-c', _RUN_DAEMON, '--settings', str(settings)]
 
 
 def find_free_address() -> str:
-    """Return an address that nobody listens on now.
+    """Return a loopback address that is free for both TCP and UDP.
 
-    Below the ports that the kernel gives to outgoing connections: one of
-    those may be taken between this look and the daemon's start, as was seen
-    when 128 instances started.
+    Uses ports below the kernel's ephemeral range. An outgoing connection may
+    take a port of that range between this check and the start of the daemon;
+    this happened when 128 instances started.
     """
     while True:
         address = ('127.0.0.1', next(_PORTS))
@@ -135,11 +137,11 @@
             return f'{address[0]}:{address[1]}'
 
 
-def _show(value: Any) -> str:
-    """Return an option's value as text."""
+def _format_value(value: Any) -> str:
+    """Format the value of a command line option."""
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
 def stop_all(processes: list[Process]) -> None:
-    """End processes side by side."""
+    """Stop processes in parallel."""
     gevent.joinall([gevent.spawn(process.stop) for process in processes])
--- a/standins/fleet/_teams.py
+++ b/standins/fleet/_teams.py
@@ -1,4 +1,4 @@
-"""Turns a plan's teams into the settings that operators would apply."""
+"""Builds the settings of the teams in a fleet file."""
 
 from collections.abc import Mapping
 
@@ -20,17 +20,17 @@
 )
 from standins.fleet._plan import DeploymentPlan, ServicePlan, TeamPlan
 
-# Stand-in name to its address and availability zone.
-Places = Mapping[str, tuple[str, ZoneId]]
+# Address and availability zone by the name of the stand-in.
+Locations = Mapping[str, tuple[str, ZoneId]]
 
 
 def make_token(team: str, caller: str) -> str:
-    """Return the token of a caller; fleets run on the loopback only."""
+    """Return a predictable token; fleets run on the loopback only."""
     return f'gg_fleet-{team}-{caller}'
 
 
 def list_tokens(plan: TeamPlan) -> dict[str, str]:
-    """Return the token of each caller, trainer and the operator."""
+    """Return the tokens of the callers, trainers and the operator."""
     names = [caller.id for caller in plan.callers]
     runs = [one.trainer.run for one in plan.deployments if one.trainer]
     return {
@@ -39,24 +39,24 @@
     }
 
 
-def make_settings(plan: TeamPlan, places: Places) -> TeamSettings:
-    """Return a team's settings with the addresses of its stand-ins."""
+def make_settings(plan: TeamPlan, locations: Locations) -> TeamSettings:
+    """Return the settings of a team with the addresses of its stand-ins."""
     return TeamSettings(
         team=plan.team,
         weight=plan.weight,
         callers=_make_callers(plan),
         deployments=tuple(
-            _make_deployment(deployment, places)
+            _make_deployment(deployment, locations)
             for deployment in plan.deployments
         ),
         services=tuple(
-            _make_service(service, places) for service in plan.services
+            _make_service(service, locations) for service in plan.services
         ),
     )
 
 
 def make_record(settings: TeamSettings, revision: int, at: float) -> bytes:
-    """Return the object that the store holds for a team."""
+    """Return the encoded settings record that is stored for a team."""
     change = Change(
         revision=Revision(revision),
         change_id=f'fleet-{settings.team}-{revision}',
@@ -74,38 +74,38 @@
 
 
 def _make_callers(plan: TeamPlan) -> tuple[CallerSettings, ...]:
-    """Return the callers, trainers and operator with their hashes."""
+    """Return the callers, trainers and operator with token hashes."""
     weights = {caller.id: caller.weight for caller in plan.callers}
     return tuple(
         CallerSettings(
             id=name,  # type: ignore[arg-type]
             token_hash=hash_token(token),
-            role=_role(name, weights),  # type: ignore[arg-type]
+            role=_get_role(name, weights),  # type: ignore[arg-type]
             weight=weights.get(name, 1.0),  # type: ignore[call-overload]
         )
         for name, token in list_tokens(plan).items()
     )
 
 
-def _role(name: str, callers: Mapping[str, float]) -> Role:
-    """Return what a token allows."""
+def _get_role(name: str, callers: Mapping[str, float]) -> Role:
+    """Return the role of a caller."""
     if name in callers:
         return Role.CALLER
     return Role.OPERATOR if name == 'operator' else Role.TRAINER
 
 
 def _make_deployment(
-    plan: DeploymentPlan, places: Places
+    plan: DeploymentPlan, locations: Locations
 ) -> DeploymentSettings:
-    """Return a deployment with its samplers' addresses."""
+    """Return a deployment with the addresses of its samplers."""
     names = [f'{plan.id}-{number}' for number in range(1, plan.samplers + 1)]
     return DeploymentSettings(
         id=plan.id,
         samplers=tuple(
             SamplerSettings(
                 id=SamplerId(name),
-                address=places[name][0],
-                availability_zone=places[name][1],
+                address=locations[name][0],
+                availability_zone=locations[name][1],
                 slots=plan.slots,
             )
             for name in names
@@ -120,22 +120,22 @@
 
 
 def _make_runs(plan: DeploymentPlan) -> tuple[RunSettings, ...]:
-    """Return the run of the deployment's trainer."""
+    """Return the run of the deployment's trainer, if it has one."""
     if plan.trainer is None:
         return ()
     return (RunSettings(id=plan.trainer.run),)
 
 
-def _make_service(plan: ServicePlan, places: Places) -> ServiceSettings:
-    """Return a service with its upstreams' addresses."""
+def _make_service(plan: ServicePlan, locations: Locations) -> ServiceSettings:
+    """Return a service with the addresses of its upstreams."""
     names = [f'{plan.id}-{number}' for number in range(1, plan.upstreams + 1)]
     return ServiceSettings(
         id=plan.id,
         upstreams=tuple(
             UpstreamSettings(
                 id=UpstreamId(name),
-                address=places[name][0],
-                availability_zone=places[name][1],
+                address=locations[name][0],
+                availability_zone=locations[name][1],
             )
             for name in names
         ),
--- a/standins/fleet/env.py
+++ b/standins/fleet/env.py
@@ -1,8 +1,9 @@
-"""``python -m standins.fleet.env FILE``: variables for a fleet that runs.
+"""Prints shell variables for a running fleet, for ``script/fleet-env``.
 
-`FILE` holds the first line of ``script/fleet``. For a shell to evaluate: where
-an instance listens, the tokens of a caller and a trainer, the operators' tool
-with its settings, and the process id of an instance that is not asked.
+The argument is a file with the first output line of ``script/fleet``. The
+variables have the address of an instance, the tokens of a caller and a trainer,
+the operators' command with its settings, and the id and process id of the last
+instance, which is not among the endpoints of that command.
 """
 
 import json
@@ -15,32 +16,34 @@
 import click
 
 WAIT_SECONDS: Final = 60.0
-_STEP: Final = 0.2
+_POLL_SECONDS: Final = 0.2
 
 
 @click.command()
 @click.argument('file', type=click.Path(path_type=pathlib.Path))
 def main(file: pathlib.Path) -> None:
-    """Print the variables once the fleet has described itself."""
+    """Print the variables once the fleet's description is written."""
     until = time.monotonic() + WAIT_SECONDS
     while not (file.exists() and file.read_text().endswith('\n')):
         if time.monotonic() > until:
             raise click.ClickException(
-                f'{file} holds no line; see what script/fleet has printed'
+                f'{file} is empty; see the output of script/fleet'
             )
-        time.sleep(_STEP)
-    for name, text in _collect(json.loads(file.read_text())).items():
+        time.sleep(_POLL_SECONDS)
+    for name, text in _make_variables(json.loads(file.read_text())).items():
         click.echo(f'export {name}={shlex.quote(text)}')
 
 
-def _collect(described: dict[str, Any]) -> dict[str, str]:
+def _make_variables(description: dict[str, Any]) -> dict[str, str]:
     instances = [
-        each for each in described['processes'] if each['role'] == 'guavagated'
+        each
+        for each in description['processes']
+        if each['role'] == 'guavagated'
     ]
-    tokens = next(iter(described['tokens'].values()))
-    folder = pathlib.Path(described['folder'])
+    tokens = next(iter(description['tokens'].values()))
+    folder = pathlib.Path(description['folder'])
     token_file = folder / 'operator-token'
-    token_file.write_text(described['fleet_operator_token'])
+    token_file.write_text(description['fleet_operator_token'])
     addresses = [each['addresses']['http'] for each in instances]
     endpoints = [f'http://{address}' for address in addresses[:-1]]
     config = folder / 'cli.toml'
