--- a/guavagate/measure/__init__.py
+++ b/guavagate/measure/__init__.py
@@ -1,4 +1,4 @@
-"""The tool that measures the decisions under virtual time."""
+"""Measure scheduling decisions by simulation in virtual time."""
 
 from guavagate.measure._patterns import PATTERNS
 from guavagate.measure._runs import Job, run_job
--- a/guavagate/measure/__main__.py
+++ b/guavagate/measure/__main__.py
@@ -1,7 +1,7 @@
-"""``script/measure``: one command for each pattern or measurement.
+"""Command line of ``script/measure``: a command per pattern or measurement.
 
-A further measurement adds one line to `_COMMANDS`; its module is loaded only
-when the command is called.
+To add a measurement, add one line to `_COMMANDS`. Its module is imported only
+when the command runs.
 """
 
 import importlib
@@ -27,7 +27,7 @@
 
 
 class LazyGroup(click.Group):
-    """Loads a command's module when it is called."""
+    """Group that imports the module of a command when the command runs."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all commands."""
@@ -36,7 +36,7 @@
     def get_command(
         self, ctx: click.Context, cmd_name: str
     ) -> click.Command | None:
-        """Return a command by name."""
+        """Return the command of this name, or None if it doesn't exist."""
         target = _COMMANDS.get(cmd_name)
         if target is not None:
             module, _, name = target.partition(':')
--- a/guavagate/measure/_commands.py
+++ b/guavagate/measure/_commands.py
@@ -1,4 +1,4 @@
-"""The commands for patterns, the list and the whole table."""
+"""Commands that list patterns, measure one, or write the table of all."""
 
 from pathlib import Path
 from typing import Final
@@ -19,7 +19,7 @@
 
 @click.command('list')
 def list_patterns() -> None:
-    """List the patterns, their aims and the policies to compare with."""
+    """List the patterns with their aims, and the policies to compare with."""
     for pattern in PATTERNS.values():
         click.echo(f'{pattern.name:18}{pattern.summary}')
         for aim in pattern.aims:
@@ -55,9 +55,9 @@
 @click.command()
 @click.option('--seed', default=1, help='First seed.')
 @click.option('--seeds', default=10, help='Number of seeds.')
-@click.option('--write', is_flag=True, help=f'Write it into {_PAGE}.')
+@click.option('--write', is_flag=True, help=f'Write the tables to {_PAGE}.')
 def decisions(seed: int, seeds: int, write: bool) -> None:
-    """Measure every pattern against its baselines, as docs/decisions.md."""
+    """Measure all patterns and their baselines for docs/decisions.md."""
     policies_by_pattern = {
         name: (PRODUCT, *pattern.baselines)
         for name, pattern in PATTERNS.items()
@@ -79,10 +79,10 @@
     return [
         click.Option(['--seed'], default=1, help='First seed.'),
         click.Option(['--seeds'], default=1, help='Number of seeds.'),
-        click.Option(['--policy'], default=PRODUCT, help='What to measure.'),
-        click.Option(['--against'], multiple=True, help='A baseline.'),
-        click.Option(['--json', 'as_json'], is_flag=True, help='As JSON.'),
-        click.Option(['--plot'], type=path, help='Write a plot to a file.'),
+        click.Option(['--policy'], default=PRODUCT, help='Policy to measure.'),
+        click.Option(['--against'], multiple=True, help='Policy to compare.'),
+        click.Option(['--json', 'as_json'], is_flag=True, help='Print JSON.'),
+        click.Option(['--plot'], type=path, help='Write a plot to this file.'),
     ]
 
 
@@ -103,6 +103,6 @@
     _, found, foot = rest.partition(_END)
     if not found:
         raise click.ClickException(
-            f'{_PAGE} has no marked part; put {_BEGIN} and {_END} into it'
+            f'{_PAGE} lacks the markers {_BEGIN} and {_END}; add both'
         )
     _PAGE.write_text(f'{head}{_BEGIN}\n\n{text}\n\n{_END}{foot}')
--- a/guavagate/measure/_cost.py
+++ b/guavagate/measure/_cost.py
@@ -1,4 +1,4 @@
-"""What a decision costs, and how that grows."""
+"""Measure the processor time of a decision and how it scales."""
 
 import math
 import time
@@ -19,7 +19,7 @@
 )
 from guavagate.models import CallerId, RequestId, SamplerId, TeamId
 
-# Samplers of one deployment in one pool, at most.
+# Largest number of samplers of one deployment in one pool.
 MAX_POOL_SAMPLERS: Final = 16
 _SLOTS_PER_SAMPLER: Final = 8
 _ROUNDS: Final = 2_000
@@ -29,7 +29,7 @@
 
 
 class Cost(msgspec.Struct, frozen=True, kw_only=True):
-    """Microseconds of one choice, each the median of all rounds."""
+    """Microseconds for each part of a decision, as medians of all rounds."""
 
     samplers: int
     queued: int
@@ -40,14 +40,14 @@
 
     @property
     def choice_us(self) -> float:
-        """Return the whole choice: pool, admission and sampler."""
+        """Return the total for choosing a pool, admission and placement."""
         return self.pool_us + self.offer_us + self.place_us
 
 
 @click.command()
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def cost(as_json: bool) -> None:
-    """Measure a choice's processor time by samplers and queued requests."""
+    """Measure the processor time of a decision by samplers and queue length."""
     costs = [
         measure_cost(samplers, queued)
         for samplers in _SAMPLER_COUNTS
@@ -68,7 +68,7 @@
 
 
 def measure_cost(samplers: int, queued: int) -> Cost:
-    """Measure with all slots in use and this much queued at one home."""
+    """Measure a queue owner with all slots in use and this many queued."""
     pools = [
         PoolView(
             id=f'pool-{index}',
@@ -113,7 +113,7 @@
 
 
 def fit_exponent(costs: list[Cost]) -> float:
-    """Return the power of the queue's length by which a choice grows."""
+    """Fit the exponent by which a decision's time grows with the queue."""
     points = [item for item in costs if item.queued]
     lengths = np.log([item.queued for item in points])
     times = np.log([item.choice_us for item in points])
@@ -121,11 +121,11 @@
 
 
 def _measure_call(
-    elapsed: np.ndarray, place: int, call: Callable[..., Any], *args: Any
+    elapsed: np.ndarray, index: int, call: Callable[..., Any], *args: Any
 ) -> Any:
     started_at = time.perf_counter()
     result = call(*args)
-    elapsed[place] = time.perf_counter() - started_at
+    elapsed[index] = time.perf_counter() - started_at
     return result
 
 
--- a/guavagate/measure/_engine.py
+++ b/guavagate/measure/_engine.py
@@ -1,9 +1,10 @@
-"""A small model of a sampler under virtual time.
+"""A simplified model of a sampler in virtual time.
 
-All streams of a batch advance at the same pace, which slows a little with
-each stream (decode is bound by memory bandwidth) and steeply beyond what the
-engine's memory holds. Prompts are read at `PREFILL_SHARE` of a token's time
-for the part that isn't cached. The cache is least recently used first.
+All streams of a batch generate tokens at the same interval. It grows slightly
+with each stream, because memory bandwidth limits decoding, and steeply when the
+streams no longer fit in the engine's memory. Each prompt token that isn't
+cached costs `PREFILL_SHARE` of a generated token. The prefix cache evicts the
+least recently used key first.
 """
 
 import collections
@@ -15,16 +16,17 @@
 from guavagate.decisions._work import PREFILL_SHARE
 from guavagate.models import RequestId
 
-# Seconds per token of a single stream; 50 tokens a second is usual.
+# For a stream that runs alone; 50 tokens a second is a common speed.
 TOKEN_INTERVAL_SECONDS: Final = 0.02
-# Each further stream adds this share: a batch of eight is 14 % slower.
+# Share that each further stream adds to the token interval: a batch of eight is
+# 14 % slower.
 BATCH_SLOWDOWN: Final = 0.02
-# Cached prefixes; a few hundred blocks of some hundred tokens.
+# An engine caches a few hundred blocks of some hundred tokens each.
 MAX_CACHED_KEYS: Final = 300
 
 
 class EngineModel:
-    """One sampler: its batch, its cache and its faults."""
+    """Simulates one sampler: its batch, prefix cache and injected faults."""
 
     def __init__(self, info: SamplerInfo, memory_slots: int) -> None:
         self.info = info
@@ -48,7 +50,7 @@
         return len(self._streams)
 
     def compute_token_interval(self) -> float:
-        """Return the present seconds per token of each stream."""
+        """Return the current seconds per token of each stream."""
         count = max(len(self._streams), 1)
         token_interval = (
             TOKEN_INTERVAL_SECONDS
@@ -60,7 +62,7 @@
         return token_interval
 
     def start(self, work: Work, tokens: int, now: float) -> int:
-        """Start a stream; return the cached prompt tokens."""
+        """Start a stream and return the number of cached prompt tokens."""
         self.advance(now)
         cached = self._read_prompt(work)
         cost = tokens + (work.prompt_tokens - cached) * PREFILL_SHARE
@@ -70,12 +72,12 @@
         return cached
 
     def cancel(self, work_id: RequestId, now: float) -> None:
-        """End a stream early."""
+        """Remove a stream."""
         self.advance(now)
         self._streams.pop(work_id, None)
 
     def advance(self, now: float) -> None:
-        """Let all streams progress until now."""
+        """Advance all streams to this time."""
         elapsed = now - self._advanced_at
         if self._streams:
             self._progress += elapsed / self.compute_token_interval()
@@ -83,7 +85,10 @@
         self._advanced_at = now
 
     def predict_next_end(self) -> tuple[float, RequestId] | None:
-        """Return when which stream ends if nothing changes."""
+        """Return the time and work ID of the next stream to end.
+
+        Valid until a stream starts or ends or the engine's speed changes.
+        """
         while self._ends:
             end, _, work_id = self._ends[0]
             if self._streams.get(work_id) == end:
@@ -97,11 +102,11 @@
         return None
 
     def list_streams(self) -> list[RequestId]:
-        """Return the streams, for their pace to be looked at."""
+        """Return the work IDs of the running streams."""
         return list(self._streams)
 
     def take_events(self) -> list[tuple[str, int]]:
-        """Return the cache events since the last call."""
+        """Return and clear the cache events since the last call."""
         events, self.events = self.events, []
         return events
 
--- a/guavagate/measure/_faults.py
+++ b/guavagate/measure/_faults.py
@@ -1,4 +1,4 @@
-"""Patterns of faults: slow, flapping, failing and leaving samplers."""
+"""Fault patterns: slow, flapping, failing and leaving samplers."""
 
 from collections.abc import Callable
 from typing import Final
@@ -35,7 +35,8 @@
 _LOAD_END_SECONDS: Final = 90.0
 _SLOWDOWN_FACTOR: Final = 10.0
 _FLAP_INTERVAL_SECONDS: Final = 3.0
-# Back to normal: this many windows of a second in a row are as before.
+# Callers have recovered after this many consecutive one-second windows with
+# normal results.
 _RECOVERY_WINDOWS: Final = 3
 _RECOVERED_IN_TIME_SHARE: Final = 0.95
 _RECOVERED_LATENCY_FACTOR: Final = 1.25
@@ -176,7 +177,7 @@
 
 
 def compute_hit_share(records: list[Record]) -> float:
-    """Return the cached share of all prompt tokens read."""
+    """Return the cached share of all prompt tokens."""
     prompts = sum(record.prompt for record in records)
     return sum(record.cached for record in records) / max(prompts, 1)
 
@@ -228,7 +229,7 @@
 def _compute_extra_work(
     simulation: Simulation, records: list[Record] | None = None
 ) -> float:
-    """Return the attempts beyond each request's first, per first attempt."""
+    """Return the number of further attempts per attempted request."""
     if records is None:
         records = list(simulation.records.values())
     attempted = [record for record in records if record.attempts]
@@ -237,7 +238,7 @@
 
 
 def _find_recovery(simulation: Simulation) -> float:
-    """Return the seconds after the fault until callers notice nothing."""
+    """Return the seconds from the end of the fault to normal results."""
     before = select_arrivals(
         simulation, _FAULT_START_SECONDS - 20, _FAULT_START_SECONDS
     )
--- a/guavagate/measure/_keys.py
+++ b/guavagate/measure/_keys.py
@@ -1,4 +1,4 @@
-"""The pattern of a hot prompt prefix."""
+"""Load pattern with one hot prompt prefix."""
 
 from typing import Final
 
@@ -70,7 +70,7 @@
 
 
 def _compute_best_hit_share(records: list[Record], since: float) -> float:
-    """Return the share were all caches one, and without end."""
+    """Return the hit share of one unlimited cache shared by all samplers."""
     seen: set[tuple[int, ...]] = set()
     hits = 0
     total = 0
--- a/guavagate/measure/_load.py
+++ b/guavagate/measure/_load.py
@@ -1,4 +1,4 @@
-"""Patterns of load: burst, overload, hot caller, long jobs, cold start."""
+"""Load patterns: burst, overload, hot caller, long requests, cold start."""
 
 from typing import Final
 
@@ -206,7 +206,7 @@
 def _compute_in_time_work(
     simulation: Simulation, start: float, end: float
 ) -> float:
-    """Return the in-time work per second's capacity of full samplers."""
+    """Return the work answered in time, in seconds of the full capacity."""
     token_interval = TOKEN_INTERVAL_SECONDS * (1 + BATCH_SLOWDOWN * (SLOTS - 1))
     done = sum(
         record.request.tokens * token_interval
@@ -232,7 +232,11 @@
 
 
 def _add_length_to_ids(requests: list[Request], tokens: int) -> list[Request]:
-    """Give requests of the same caller but another length their own ids."""
+    """Add the mean length to the request IDs, so that they are unique.
+
+    A caller sends a stream of short and one of long requests, whose IDs would
+    otherwise be the same.
+    """
     renamed = []
     for request in requests:
         name = f'{request.work.id}-{tokens}'
--- a/guavagate/measure/_patterns.py
+++ b/guavagate/measure/_patterns.py
@@ -1,4 +1,4 @@
-"""The patterns by name, with their aims and what they are shown against."""
+"""The load and fault patterns by name, with their aims and baselines."""
 
 from collections.abc import Callable
 from typing import Final
@@ -14,24 +14,27 @@
 
 
 class Aim(msgspec.Struct, frozen=True, kw_only=True):
-    """What a figure should be: at most or at least a limit."""
+    """A target for a figure: at most or at least a limit."""
 
     figure: str
     limit: float
     at_least: bool = False
 
     def is_met(self, value: float) -> bool:
-        """Return whether a value meets it."""
+        """Return whether a value meets the aim."""
         return value >= self.limit if self.at_least else value <= self.limit
 
     def describe(self) -> str:
-        """Return it as a text."""
+        """Return the aim as text, such as ``p99_s ≤ 1``."""
         sign = '≥' if self.at_least else '≤'
         return f'{self.figure} {sign} {self.limit:g}'
 
 
 class Pattern(msgspec.Struct, frozen=True, kw_only=True):
-    """A load pattern: how it is measured, shown and judged."""
+    """A pattern: its measurement, aims, table columns and baselines.
+
+    `shown` names the figures that the table has besides those with an aim.
+    """
 
     name: str
     measure: Callable[[Policy, int], Figures]
@@ -41,7 +44,7 @@
 
     @property
     def summary(self) -> str:
-        """Return what the pattern is."""
+        """Return a one-line description of the pattern."""
         return (self.measure.__doc__ or '').strip()
 
 
@@ -223,10 +226,10 @@
     Raises
     ------
     SettingsError
-        There is none of this name.
+        No pattern has this name.
     """
     pattern = PATTERNS.get(name)
     if pattern is None:
         known = ', '.join(PATTERNS)
-        raise SettingsError(f'no pattern {name!r}', f'use one of {known}')
+        raise SettingsError(f'unknown pattern {name!r}', f'use one of {known}')
     return pattern
--- a/guavagate/measure/_plot.py
+++ b/guavagate/measure/_plot.py
@@ -1,4 +1,4 @@
-"""Plots of a pattern's figures."""
+"""Plot the figures of a pattern."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -11,9 +11,10 @@
 
 
 def draw(pattern: Pattern, results: Sequence[Result], path: Path) -> None:
-    """Write a plot: a panel for each figure, a dot for each seed."""
+    """Write a plot with a panel for each figure and a dot for each seed."""
     mpl.use('Agg')
-    # Loaded after the backend is chosen, and only when a plot is asked for.
+    # Imported here because the backend must be chosen first, and because the
+    # import is needed only for plots.
     from matplotlib import pyplot as plt
 
     figures = list_shown_figures(pattern)
--- a/guavagate/measure/_policies.py
+++ b/guavagate/measure/_policies.py
@@ -1,4 +1,4 @@
-"""What is measured: the product, the baselines, each safeguard off."""
+"""Policies to measure: the product, baselines, and one safeguard disabled."""
 
 from collections.abc import Callable, Sequence
 from typing import Final
@@ -18,7 +18,8 @@
 )
 from guavagate.exceptions import SettingsError
 
-# What a balancer without a queue of its own sends to an engine at once.
+# Slots for a load balancer that has no queue and sends all requests to the
+# engines at once.
 _UNLIMITED_SLOTS: Final = 100_000
 
 PRODUCT: Final = 'guavagate'
@@ -26,14 +27,14 @@
 
 
 class Policy(msgspec.Struct, frozen=True, kw_only=True):
-    """Settings of a pool, made anew for each run."""
+    """Pool settings under a name; each run creates its own settings."""
 
     name: str
     make_settings: Callable[[], PoolSettings]
     unlimited: bool = False
 
     def make_pool(self, infos: Sequence[SamplerInfo]) -> Pool:
-        """Return a pool of these samplers."""
+        """Create a pool of these samplers."""
         if self.unlimited:
             infos = [
                 msgspec.structs.replace(info, slots=_UNLIMITED_SLOTS)
@@ -48,21 +49,21 @@
     Raises
     ------
     SettingsError
-        There is none of this name.
+        No policy has this name.
     """
-    policy = _all_policies().get(name)
+    policy = _make_policies().get(name)
     if policy is None:
-        known = ', '.join(_all_policies())
-        raise SettingsError(f'no policy {name!r}', f'use one of {known}')
+        known = ', '.join(_make_policies())
+        raise SettingsError(f'unknown policy {name!r}', f'use one of {known}')
     return policy
 
 
 def list_policies() -> list[str]:
     """Return the names of all policies."""
-    return list(_all_policies())
+    return list(_make_policies())
 
 
-def _all_policies() -> dict[str, Policy]:
+def _make_policies() -> dict[str, Policy]:
     policies = [
         _make_policy(PRODUCT),
         _make_policy(FIFO, safeguards=frozenset()),
--- a/guavagate/measure/_record.py
+++ b/guavagate/measure/_record.py
@@ -1,4 +1,4 @@
-"""What happened to each request, seen from its caller."""
+"""Results of simulated requests as callers see them, and statistics."""
 
 import enum
 from typing import Final
@@ -8,7 +8,7 @@
 
 from guavagate.decisions import Work
 
-# Histograms count microseconds up to an hour, to three digits.
+# Histograms record microseconds up to one hour.
 _MIN_MICROSECONDS: Final = 1
 _MAX_MICROSECONDS: Final = 3_600_000_000
 _SIGNIFICANT_DIGITS: Final = 3
@@ -25,7 +25,11 @@
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True):
-    """A request to come: `tokens` is its true length."""
+    """A request that will arrive.
+
+    `at` is the arrival time, `tokens` the number of tokens that are generated,
+    and `alone` the seconds that it takes on an idle sampler.
+    """
 
     at: float
     work: Work
@@ -34,7 +38,11 @@
 
 
 class Record(msgspec.Struct, kw_only=True):
-    """One request's way, in seconds of virtual time."""
+    """What happened to one request; times are seconds of virtual time.
+
+    `copies` counts hedges and speculative runs; `prompt` and `cached` count
+    prompt tokens.
+    """
 
     request: Request
     outcome: Outcome = Outcome.OPEN
@@ -48,17 +56,17 @@
 
     @property
     def latency(self) -> float:
-        """Return the seconds from arrival to the end."""
+        """Return the seconds from arrival to the result."""
         return self.ended - self.request.at
 
     @property
     def stretch(self) -> float:
-        """Return the latency divided by the time alone on a sampler."""
+        """Return the latency as a multiple of the time on an idle sampler."""
         return self.latency / self.request.alone
 
 
 def percentile(values: list[float], percent: float) -> float:
-    """Return a percentile by histogram; zero of nothing."""
+    """Return a percentile from a histogram, or 0 without values."""
     if not values:
         return 0
     histogram = HdrHistogram(
@@ -72,12 +80,12 @@
 
 
 def mean(values: list[float]) -> float:
-    """Return the mean; zero of nothing."""
+    """Return the mean, or 0 without values."""
     return sum(values) / len(values) if values else 0
 
 
 def compute_jain_index(values: list[float]) -> float:
-    """Return Jain's index of fairness: 1 when all are equal."""
+    """Return Jain's fairness index: 1 when all values are equal."""
     squares = sum(value * value for value in values)
     if not squares:
         return 1
--- a/guavagate/measure/_runs.py
+++ b/guavagate/measure/_runs.py
@@ -1,4 +1,4 @@
-"""Runs patterns over seeds and policies, several at a time."""
+"""Run patterns for several seeds and policies in parallel processes."""
 
 import itertools
 from collections.abc import Iterable
@@ -11,12 +11,12 @@
 from guavagate.measure._policies import get_policy
 from guavagate.measure._scenario import Figures
 
-# Half of a small machine: other work goes on beside a measurement.
+# Half the cores of a small machine, because other work runs on it too.
 MAX_WORKERS: Final = 6
 
 
 class Job(msgspec.Struct, frozen=True, kw_only=True):
-    """One run."""
+    """One simulation run."""
 
     pattern: str
     policy: str
@@ -24,13 +24,13 @@
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True):
-    """One policy's figures over all seeds, in the seeds' order."""
+    """The figures of one policy for each seed, in the order of the seeds."""
 
     policy: str
     runs: tuple[Figures, ...]
 
     def values(self, figure: str) -> list[float]:
-        """Return a figure's value for each seed."""
+        """Return the values of a figure for all seeds."""
         return [run[figure] for run in self.runs]
 
 
@@ -43,14 +43,14 @@
 def run_pattern(
     pattern: Pattern, policies: Iterable[str], seeds: Iterable[int]
 ) -> list[Result]:
-    """Run a pattern with each policy over all seeds."""
+    """Run one pattern with each policy and seed."""
     return run_all({pattern.name: tuple(policies)}, tuple(seeds))[pattern.name]
 
 
 def run_all(
     policies_by_pattern: dict[str, tuple[str, ...]], seeds: tuple[int, ...]
 ) -> dict[str, list[Result]]:
-    """Run several patterns, each with its policies, over all seeds."""
+    """Run several patterns, each with its own policies and all seeds."""
     for policies in policies_by_pattern.values():
         for policy in policies:
             get_policy(policy)
--- a/guavagate/measure/_scenario.py
+++ b/guavagate/measure/_scenario.py
@@ -1,4 +1,4 @@
-"""The common ground of all patterns: samplers, requests and one run."""
+"""Helpers of all patterns: declare samplers, run requests, sum up results."""
 
 from collections.abc import Callable, Iterable
 from typing import Final
@@ -18,11 +18,12 @@
 from guavagate.measure._simulation import Simulation
 from guavagate.models import SamplerId, ZoneId
 
-# The Trust's coach-models: six samplers in three availability zones.
+# As coach-models, the example deployment: six samplers in three availability
+# zones.
 ZONES: Final = (ZoneId('jhb-east'), ZoneId('jhb-west'), ZoneId('pta-north'))
 SAMPLERS: Final = 6
 SLOTS: Final = 8
-# After the last arrival, let what was admitted end.
+# Time after the last arrival for admitted requests to end.
 DRAIN_SECONDS: Final = 120.0
 
 Figures = dict[str, float]
@@ -32,7 +33,7 @@
 def declare_samplers(
     count: int = SAMPLERS, slots: int = SLOTS
 ) -> list[SamplerInfo]:
-    """Return the declared samplers."""
+    """Declare samplers, spread over the zones."""
     return [
         SamplerInfo(
             id=SamplerId(f'sampler-{index}'),
@@ -53,7 +54,10 @@
     infos: list[SamplerInfo] | None = None,
     memory_slots: int = SLOTS,
 ) -> Simulation:
-    """Run requests through a policy and return what happened."""
+    """Simulate requests under a policy and return the simulation.
+
+    `prepare` is called before the run, for example to schedule faults.
+    """
     infos = infos or declare_samplers()
     engines = [EngineModel(info, memory_slots) for info in infos]
     pool = policy.make_pool(infos)
@@ -67,7 +71,7 @@
 
 
 def summarise(records: list[Record]) -> Figures:
-    """Return the callers' figures, times in seconds."""
+    """Return the figures for callers; times are in seconds."""
     served = [
         record
         for record in records
@@ -98,7 +102,7 @@
 
 
 def count_outcome(records: Iterable[Record], outcome: Outcome) -> int:
-    """Return how many ended that way."""
+    """Return the number of requests with this outcome."""
     return sum(record.outcome is outcome for record in records)
 
 
--- a/guavagate/measure/_settings.py
+++ b/guavagate/measure/_settings.py
@@ -1,4 +1,4 @@
-"""``script/measure settings``: settings in force, in virtual time."""
+"""``script/measure settings``: time until changed settings apply."""
 
 import logging
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
     multiple=True,
     default=(9, 64, 330),
     show_default=True,
-    help='May be repeated.',
+    help='Number of instances; may be repeated.',
 )
 @click.option('--changes', default=200, show_default=True)
 @click.option('--seed', default=1, show_default=True)
@@ -23,7 +23,7 @@
 def settings(
     instances: tuple[int, ...], changes: int, seed: int, *, as_json: bool
 ) -> None:
-    """Measure how soon changes of settings are in force everywhere."""
+    """Measure how soon changed settings apply on all instances."""
     logging.disable(logging.CRITICAL)
     results = [measure_propagation(count, changes, seed) for count in instances]
     if as_json:
--- a/guavagate/measure/_simulation.py
+++ b/guavagate/measure/_simulation.py
@@ -1,4 +1,4 @@
-"""Drives a pool and models of its samplers under virtual time."""
+"""Simulate a pool and its samplers in virtual time."""
 
 import heapq
 import itertools
@@ -19,21 +19,23 @@
 from guavagate.measure._record import Outcome, Record, Request
 from guavagate.models import RequestId, SamplerId
 
-# The daemon's own times: how often it looks for copies, how old a report is
-# when it comes, how late cache events are, and how long a refusal takes.
+# As in an instance: how often it starts speculative runs, how often samplers
+# report, and how late reports and cache events arrive.
 SPECULATION_INTERVAL_SECONDS: Final = 0.25
 REPORT_INTERVAL_SECONDS: Final = 1.0
 REPORT_DELAY_SECONDS: Final = 1.0
 EVENT_DELAY_SECONDS: Final = 2.0
+# Share of batches of cache events that are lost.
 EVENT_LOSS_PROBABILITY: Final = 0.2
+# A failing sampler refuses a request, or accepts it and fails later.
 REFUSAL_DELAY_SECONDS: Final = 0.01
 ABORT_DELAY_SECONDS: Final = 0.5
-# Tokens that an entry must see before it judges a stream's pace.
+# An entry receives this many tokens before it reports a slow stream.
 _MIN_OBSERVED_TOKENS: Final = 4
 
 
 class Simulation:
-    """Virtual time, the requests and what became of them."""
+    """Runs requests through a pool in virtual time and records the results."""
 
     def __init__(
         self,
@@ -59,16 +61,16 @@
     def call_at(
         self, when: float, run: Callable[..., None], *args: Any
     ) -> None:
-        """Do something at a later time."""
+        """Schedule a call at a time."""
         item = (when, next(self._order), run, args)
         heapq.heappush(self._timers, item)
 
     def submit(self, request: Request) -> None:
-        """Let a request arrive at its time."""
+        """Schedule the arrival of a request."""
         self.call_at(request.at, self._arrive, request)
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Run scheduled calls until a time, or until `stopped` is set."""
         while self._timers and self._timers[0][0] <= until:
             if self.stopped:
                 return
@@ -79,13 +81,13 @@
             engine.advance(until)
 
     def dispatch(self) -> None:
-        """Start what the pool places and end what it refuses."""
+        """Start the requests that the pool places and end expired ones."""
         for placement in self.pool.place(self.now):
             self._start(placement)
         self._end_expired()
 
     def reschedule_finish(self, engine: EngineModel) -> None:
-        """Work out anew when the engine's next stream ends."""
+        """Schedule the next end of a stream, in place of the earlier timer."""
         engine.timer_version += 1
         upcoming = engine.predict_next_end()
         if upcoming is not None:
@@ -95,7 +97,7 @@
             )
 
     def set_slowdown(self, engine: EngineModel, slowdown: float) -> None:
-        """Make an engine slower or faster."""
+        """Change the factor by which an engine is slower than usual."""
         engine.advance(self.now)
         engine.slowdown = slowdown
         self.reschedule_finish(engine)
@@ -184,7 +186,7 @@
         self.call_at(self.now + SPECULATION_INTERVAL_SECONDS, self._speculate)
 
     def _report_slow_streams(self) -> None:
-        """Tell of slow streams, as entries do that have seen some tokens."""
+        """Report slow streams to the pool, as entries do after a few tokens."""
         for engine in self.engines.values():
             token_interval = engine.compute_token_interval()
             if (
--- a/guavagate/measure/_table.py
+++ b/guavagate/measure/_table.py
@@ -1,4 +1,4 @@
-"""Results as tables, with each aim judged."""
+"""Format results as Markdown tables with a verdict on each aim."""
 
 from collections.abc import Sequence
 
@@ -8,7 +8,7 @@
 
 
 def render(pattern: Pattern, results: Sequence[Result]) -> str:
-    """Return a pattern's Markdown table: a row for each policy."""
+    """Return a table of the shown figures with a row for each policy."""
     figures = list_shown_figures(pattern)
     lines = [
         _format_row(['policy', *figures]),
@@ -22,7 +22,7 @@
 
 
 def render_all(pattern: Pattern, results: Sequence[Result]) -> str:
-    """Return all figures: a row for each figure, a column for each policy."""
+    """Return a table of all figures with a column for each policy."""
     policies = [result.policy for result in results]
     lines = [
         _format_row(['figure', *policies]),
@@ -36,13 +36,13 @@
 
 
 def list_shown_figures(pattern: Pattern) -> list[str]:
-    """Return a pattern's figures, those with an aim first."""
+    """Return the shown figures of a pattern, those with an aim first."""
     aims = [aim.figure for aim in pattern.aims]
     return aims + [name for name in pattern.shown if name not in aims]
 
 
 def format_verdict(aim: Aim, result: Result) -> str:
-    """Return whether an aim is met, in how many of the seeds."""
+    """Return whether an aim is met and for how many seeds."""
     values = result.values(aim.figure)
     met = sum(aim.is_met(value) for value in values)
     verdict = 'missed'
@@ -57,7 +57,7 @@
 
 
 def _format_cell(values: list[float]) -> str:
-    """Return the mean, and the range over several seeds."""
+    """Format the mean, with the range if there are several seeds."""
     if len(values) == 1:
         return f'{values[0]:.4g}'
     return f'{mean(values):.4g} ({min(values):.3g}–{max(values):.3g})'
--- a/guavagate/measure/_trainers.py
+++ b/guavagate/measure/_trainers.py
@@ -1,4 +1,4 @@
-"""Patterns of trainers: a step's stragglers, two trainers on one pool."""
+"""Trainer patterns: stragglers in steps, two trainers on one pool."""
 
 from typing import Final
 
@@ -31,23 +31,28 @@
 _MEAN_TOKENS: Final = 200
 _PROMPT_TOKENS: Final = 1_000
 _SLOWDOWN_FACTOR: Final = 3.0
-# A stalled sampler: nothing comes for as good as the whole minute.
+# A stalled sampler generates almost nothing during the stall.
 _STALL_SLOWDOWN_FACTOR: Final = 100.0
 _STALL_SECONDS: Final = 60.0
-# What the samplers give in all while one of them is slow.
+# Throughput of all samplers, in healthy ones, while one is slow.
 _EFFECTIVE_SAMPLERS: Final = SAMPLERS - 1 + 1 / _SLOWDOWN_FACTOR
-# A trainer's time for a step, by the clairvoyant time to generate a mean one:
-# samplers are bought so that a trainer, the dearer part, needn't wait.
+# Time to train a step, as a multiple of the time to generate a mean step when
+# all lengths are known in advance. Samplers are provisioned so that the
+# trainer, which costs more, doesn't wait.
 _TRAINING_RATIO: Final = 1.1
-# The same aims are shown for a trainer that is nearly as fast as the samplers.
+# A trainer that is nearly as fast as the samplers; the aims are the same.
 _TIGHT_TRAINING_RATIO: Final = 1.04
-# Steps that a trainer lets be generated ahead: with one in training and one
-# in generation, a sample is at most one version old when it is used.
+# Steps that a trainer submits in advance. With one step in training and one in
+# generation, a sample is at most one version old when it is used.
 _STEPS_AHEAD: Final = 2
 
 
 class TrainerModel(msgspec.Struct, kw_only=True):
-    """A trainer that submits steps, waits for them and trains."""
+    """Simulates a trainer that submits steps, waits for them and trains.
+
+    Dictionaries are keyed by step. `trained` counts the steps whose training
+    has started, and `version` those whose training has ended.
+    """
 
     run: str
     samples: int
@@ -295,13 +300,16 @@
 
 
 def _estimate_step_seconds(samples: int) -> float:
-    """Return the time of a mean step on full, healthy samplers."""
+    """Return the seconds for a mean step when all samplers are healthy."""
     token_interval = TOKEN_INTERVAL_SECONDS * (1 + BATCH_SLOWDOWN * (SLOTS - 1))
     return samples * _MEAN_TOKENS * token_interval / (SAMPLERS * SLOTS)
 
 
 def _compute_lower_bound(requests: list[Request], samplers: float) -> float:
-    """Return a time that no order can beat, though it knew all lengths."""
+    """Return a lower bound on a step's seconds for any order of its requests.
+
+    No order is faster, even if it knows all lengths in advance.
+    """
     token_interval = TOKEN_INTERVAL_SECONDS * (1 + BATCH_SLOWDOWN * (SLOTS - 1))
     tokens = sum(request.tokens for request in requests)
     longest = max(request.tokens for request in requests)
--- a/guavagate/measure/_workload.py
+++ b/guavagate/measure/_workload.py
@@ -1,4 +1,4 @@
-"""Requests to come, drawn from a seeded generator."""
+"""Generate requests from a seeded random generator."""
 
 import math
 from collections.abc import Callable
@@ -14,19 +14,24 @@
 from guavagate.models import CallerId, RequestId, TeamId
 
 TEAM: Final = TeamId('trust')
-# Estimated lengths are off by up to this factor either way.
+# Estimated lengths are too high or too low by up to this factor.
 MAX_ERROR_FACTOR: Final = 2.0
 # Callers limit the length (``max_tokens``) to this multiple of the mean.
 LENGTH_LIMIT_FACTOR: Final = 4
-# Prefix keys of one prompt: some shared, the last its own.
+# A prompt has this many shared prefix keys, then one of its own.
 SHARED_KEYS_PER_PROMPT: Final = 3
+# Shared keys are below this limit, a prompt's own key is at or above it.
 _SHARED_KEY_LIMIT: Final = 1 << 20
 
 Rng = np.random.Generator
 
 
 class Stream(msgspec.Struct, frozen=True, kw_only=True):
-    """One caller's requests: `patience` is the time to the deadline."""
+    """Parameters of the requests of one caller.
+
+    `rate` is in requests per second, `timeout_seconds` the time from arrival to
+    the deadline, and `sigma` that of the lognormal lengths.
+    """
 
     caller: str
     rate: float
@@ -44,7 +49,7 @@
     slots: int,
     prompt_tokens: float = 0,
 ) -> float:
-    """Return the requests a second that all samplers answer, full."""
+    """Return the requests per second that samplers serve with full batches."""
     token_interval = TOKEN_INTERVAL_SECONDS * (1 + BATCH_SLOWDOWN * (slots - 1))
     cost = mean_tokens + prompt_tokens * PREFILL_SHARE
     return samplers * slots / (cost * token_interval)
@@ -59,7 +64,7 @@
 
 
 def draw_lengths(rng: Rng, count: int, mean: float, sigma: float) -> np.ndarray:
-    """Return lognormal lengths of a given mean, cut at the callers' limit."""
+    """Return lognormal lengths, clipped to the limit that callers set."""
     mu = math.log(mean) - sigma * sigma / 2
     lengths = rng.lognormal(mu, sigma, count)
     limit = LENGTH_LIMIT_FACTOR * mean
@@ -67,7 +72,7 @@
 
 
 def draw_estimate_errors(rng: Rng, count: int) -> np.ndarray:
-    """Return factors by which estimates are off, up to twice either way."""
+    """Return random factors between estimated and actual lengths."""
     return MAX_ERROR_FACTOR ** rng.uniform(-1, 1, count)
 
 
@@ -78,7 +83,10 @@
     end: float,
     draw_prefixes: Callable[[int], np.ndarray] | None = None,
 ) -> list[Request]:
-    """Return a caller's requests between two times."""
+    """Return the requests of a caller between two times.
+
+    `draw_prefixes` returns the index of the shared prefix of each request.
+    """
     times = draw_arrival_times(rng, stream.rate, start, end)
     lengths = draw_lengths(rng, len(times), stream.mean_tokens, stream.sigma)
     errors = draw_estimate_errors(rng, len(times))
@@ -113,7 +121,7 @@
 
 
 def clamp_estimate(estimate: float, mean: float) -> int:
-    """Return an estimate that keeps the callers' limit."""
+    """Round an estimate and clamp it to the limit that callers set."""
     return max(min(round(float(estimate)), int(LENGTH_LIMIT_FACTOR * mean)), 1)
 
 
@@ -126,7 +134,7 @@
 
 
 def make_request(at: float, work: Work, tokens: int) -> Request:
-    """Return a request with its time alone on a sampler."""
+    """Return a request with the seconds it takes on an idle sampler."""
     alone = (
         tokens + work.prompt_tokens * PREFILL_SHARE
     ) * TOKEN_INTERVAL_SECONDS
