--- a/guavagate/integrations/object_api/_call_metrics.py
+++ b/guavagate/integrations/object_api/_call_metrics.py
@@ -11,15 +11,15 @@
 
 
 def measure_calls(
-    carry: Transport, metrics: Metrics, clock: Clock
+    transport: Transport, metrics: Metrics, clock: Clock
 ) -> Transport:
     """Return a transport that records the duration of each call."""
 
-    def carry_timed(call: Call) -> Answer:
+    def call_timed(call: Call) -> Answer:
         began_at = clock.now()
         outcome = 'failed'
         try:
-            answer = carry(call)
+            answer = transport(call)
             outcome = str(answer.status)
         finally:
             if call.timeout <= LONGEST_CALL_SECONDS:
@@ -31,4 +31,4 @@
                 )
         return answer
 
-    return carry_timed
+    return call_timed
--- a/guavagate/integrations/object_api/_client.py
+++ b/guavagate/integrations/object_api/_client.py
@@ -83,7 +83,7 @@
 
     def get(self, path: str) -> StoredObject | None:
         """Return the object or `None`; never a version older than known."""
-        answer = self._read(_make_target(path), classify(path))
+        answer = self._read(_make_target(path), find_priority(path))
         if answer.status == _NOT_FOUND:
             self._confirm_missing(path)
             return None
@@ -97,7 +97,7 @@
     def list_under(self, prefix: str) -> tuple[list[StoredObject], Revision]:
         """Return all objects under a prefix and the revision of the list."""
         query = urlencode({'prefix': prefix})
-        answer = self._read(f'/v1/objects?{query}', classify(prefix))
+        answer = self._read(f'/v1/objects?{query}', find_priority(prefix))
         _require_status(answer, _OK)
         body = _decode(answer, ListBody)
         if self._known_versions.is_old_list(body.revision):
@@ -134,7 +134,7 @@
         )
         answer = self._read(
             f'/v1/watch?{query}',
-            classify(prefix),
+            find_priority(prefix),
             timeout + _WATCH_GRACE_SECONDS,
         )
         if answer.status == _GONE:
@@ -176,7 +176,9 @@
             headers=headers,
             timeout=const.CALL_SECONDS,
         )
-        answer = self._client.call(call, classify(path), const.DEADLINE_SECONDS)
+        answer = self._client.call(
+            call, find_priority(path), const.DEADLINE_SECONDS
+        )
         if answer.status == _CONFLICT:
             self._record_conflict(path, answer)
             raise StoreConflictError(
@@ -204,7 +206,7 @@
         self._known_versions.record(path, revision, present=False)
 
 
-def classify(path: str) -> Priority:
+def find_priority(path: str) -> Priority:
     """Return the priority of calls for a path."""
     for prefix, priority in _PRIORITIES:
         if path.startswith(prefix):
--- a/guavagate/integrations/object_api/_peers.py
+++ b/guavagate/integrations/object_api/_peers.py
@@ -119,7 +119,7 @@
         """Start to check the direct route."""
         self._clock.spawn(self._check_periodically)
 
-    def carry(self, call: Call) -> Answer:
+    def call(self, call: Call) -> Answer:
         """Make a call by whichever route works."""
         if self._direct_route_lost:
             try:
--- a/guavagate/integrations/object_api/_retrying_client.py
+++ b/guavagate/integrations/object_api/_retrying_client.py
@@ -201,7 +201,7 @@
 
 
 def make_shared_client(
-    carry: Transport,
+    transport: Transport,
     clock: Clock,
     count_members: Callable[[], int],
     *,
@@ -223,5 +223,5 @@
         SHARED_MAX_PROBE_INTERVAL_SECONDS,
     )
     return RetryingClient(
-        carry, clock, count_members, secrets.SystemRandom(), rates
+        transport, clock, count_members, secrets.SystemRandom(), rates
     )
--- a/guavagate/integrations/object_api/pool_transport.py
+++ b/guavagate/integrations/object_api/pool_transport.py
@@ -22,10 +22,10 @@
     Statuses 429 and 503 guarantee that the call has not run, as a failure to
     connect does.
     """
-    return functools.partial(_carry, address, pool)
+    return functools.partial(_call, address, pool)
 
 
-def _carry(address: str, pool: ConnectionPool, call: Call) -> Answer:
+def _call(address: str, pool: ConnectionPool, call: Call) -> Answer:
     headers = [(b'Host', address.encode())]
     if call.body:
         headers.append((b'Content-Type', b'application/json'))
--- a/guavagate/integrations/object_api/transport.py
+++ b/guavagate/integrations/object_api/transport.py
@@ -28,7 +28,7 @@
     connections = Connections(clock)
     authorization = {'Authorization': f'Bearer {credential}'}
 
-    def carry(call: Call) -> Answer:
+    def send(call: Call) -> Answer:
         try:
             return _exchange(connections, address, call, authorization)
         except UpstreamNotStartedError as error:
@@ -36,7 +36,7 @@
         except UpstreamError as error:
             raise NoAnswerError(error.problem) from error
 
-    return carry
+    return send
 
 
 def _exchange(
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -186,7 +186,7 @@
     def _make_store(self) -> PlatformStore:
         table = self._settings.platform
         caller = make_shared_client(
-            self._store_route.carry,
+            self._store_route.call,
             self._clock,
             lambda: len(self._members.alive()),
             reads=table.reads_per_s,
--- a/tests/integrations/test_peers.py
+++ b/tests/integrations/test_peers.py
@@ -39,7 +39,7 @@
     def _start(self, name: str) -> None:
         clock = self.world.hosts[InstanceId(name)].clock
 
-        def carry(call: Call) -> Answer:
+        def transport(call: Call) -> Answer:
             if call.path == _PROBE:
                 self.probes.append(name)
             else:
@@ -53,7 +53,7 @@
             return Answer(status=200)
 
         self.fallbacks[name] = PeerFallback(
-            carry,
+            transport,
             self.world.bus(name),
             self.world.hosts[InstanceId(name)].clock,
             lambda: [InstanceId(each) for each in 'abc' if each != name],
@@ -64,7 +64,7 @@
 
     def call(self, name: str, call: Call = _CALL) -> Answer:
         """Make a call at an instance."""
-        task = self.world.clock.spawn(self.fallbacks[name].carry, call)
+        task = self.world.clock.spawn(self.fallbacks[name].call, call)
         self.world.clock.run_until(task.ready, 10)
         answer: Answer = task.get(block=False)
         return answer
@@ -120,7 +120,7 @@
     probe detects it. The watch is then repeated through a peer.
     """
     fleet = _Fleet()
-    task = fleet.world.clock.spawn(fleet.fallbacks['a'].carry, _WATCH)
+    task = fleet.world.clock.spawn(fleet.fallbacks['a'].call, _WATCH)
     fleet.world.clock.advance(0.1)
     fleet.stalled.add('a')
     fleet.world.clock.advance(0.8)
@@ -137,7 +137,7 @@
     Repeating all watches for that would exceed the rate further.
     """
     fleet = _Fleet()
-    task = fleet.world.clock.spawn(fleet.fallbacks['a'].carry, _WATCH)
+    task = fleet.world.clock.spawn(fleet.fallbacks['a'].call, _WATCH)
     fleet.world.clock.advance(0.1)
     fleet.rejections['a'] = NotSentError('429')
     fleet.call('a')
--- a/tests/test_object_api.py
+++ b/tests/test_object_api.py
@@ -40,7 +40,7 @@
     server.stop()
 
 
-@pytest.fixture(name='carry')
+@pytest.fixture(name='transport')
 def make_transport(server: Server) -> Transport:
     """Return a transport to the stand-in."""
     return make_http_transport(
@@ -49,16 +49,16 @@
 
 
 @pytest.fixture(name='store')
-def make_store(carry: Transport) -> ObjectApi:
+def make_store(transport: Transport) -> ObjectApi:
     """Return the client."""
-    return ObjectApi(carry, SystemClock(), lambda: 9)
+    return ObjectApi(transport, SystemClock(), lambda: 9)
 
 
-def set_faults(carry: Transport, **faults: object) -> None:
+def set_faults(transport: Transport, **faults: object) -> None:
     """Set the faults of the stand-in."""
     body = msgspec.json.encode(faults)
     call = Call(method='POST', path='/control/faults', body=body, timeout=5)
-    assert carry(call).status == 200
+    assert transport(call).status == 200
 
 
 def test_objects_have_versions_and_conditions(store: ObjectApi) -> None:
@@ -82,7 +82,7 @@
 
 
 def test_a_lost_answer_is_not_repeated(
-    store: ObjectApi, carry: Transport
+    store: ObjectApi, transport: Transport
 ) -> None:
     """A write takes effect and its answer is lost.
 
@@ -90,17 +90,19 @@
     The error therefore states that it may be written, and the writer reads
     the object back.
     """
-    set_faults(carry, lose_answers=1)
+    set_faults(transport, lose_answers=1)
     with pytest.raises(StoreUnavailableError) as raised:
         store.put('partitions/1', b'a', ABSENT)
     assert raised.value.may_be_written
-    set_faults(carry)
+    set_faults(transport)
     found = store.get('partitions/1')
     assert found is not None
     assert found.value == b'a'
 
 
-def test_stale_answers_are_rejected(store: ObjectApi, carry: Transport) -> None:
+def test_stale_answers_are_rejected(
+    store: ObjectApi, transport: Transport
+) -> None:
     """The platform answers from a snapshot made before the last writes.
 
     Objects that were replaced, deleted or created since then are rejected;
@@ -109,7 +111,7 @@
     store.put('settings/same', b'1', None)
     store.put('settings/new', b'1', None)
     store.put('settings/gone', b'1', None)
-    set_faults(carry, stale_reads=True)
+    set_faults(transport, stale_reads=True)
     store.put('settings/new', b'2', None)
     store.put('settings/late', b'1', None)
     store.delete('settings/gone', None)
@@ -119,11 +121,13 @@
     with pytest.raises(StoreUnavailableError, match='old copy'):
         store.list_under('settings/')
     assert store.get('settings/same') is not None
-    set_faults(carry)
+    set_faults(transport)
     assert store.get('settings/gone') is None
 
 
-def test_the_instance_list_skips_malformed_entries(carry: Transport) -> None:
+def test_the_instance_list_skips_malformed_entries(
+    transport: Transport,
+) -> None:
     """One malformed entry hides no other instance."""
     entry = {
         'availability_zone': 'jhb-east',
@@ -133,11 +137,13 @@
     }
     body = msgspec.json.encode(entry)
     call = Call(method='PUT', path='/v1/instances/a', body=body, timeout=5)
-    carry(call)
-    set_faults(carry, ghosts=[{'id': 'b'}, {**entry, 'id': 'c'}])
+    transport(call)
+    set_faults(transport, ghosts=[{'id': 'b'}, {**entry, 'id': 'c'}])
     received: list[str] = []
     poller = InstanceListPoller(
-        carry, SystemClock(), lambda peers: received.extend(p.id for p in peers)
+        transport,
+        SystemClock(),
+        lambda peers: received.extend(p.id for p in peers),
     )
     listed = poller.poll()
     assert listed is not None
@@ -153,7 +159,7 @@
         self.calls: list[float] = []
         self.paths: list[str] = []
 
-    def carry(self, call: Call) -> Answer:
+    def answer(self, call: Call) -> Answer:
         """Answer at once, or time out."""
         self.calls.append(self.clock.now())
         self.paths.append(call.path)
@@ -173,7 +179,7 @@
     clock = PausedClock()
     platform = Platform(clock)
     stores = [
-        ObjectApi(platform.carry, clock, lambda: 800, random.Random(seed))
+        ObjectApi(platform.answer, clock, lambda: 800, random.Random(seed))
         for seed in range(10)
     ]
     answered: set[ObjectApi] = set()
@@ -212,7 +218,9 @@
     platform that is down.
     """
     clock = PausedClock()
-    store = ObjectApi(Platform(clock).carry, clock, lambda: 9, random.Random(1))
+    store = ObjectApi(
+        Platform(clock).answer, clock, lambda: 9, random.Random(1)
+    )
     sent: list[bool] = []
 
     def put() -> None:
