--- a/guavagate/assembly.py
+++ b/guavagate/assembly.py
@@ -135,7 +135,7 @@
         clock.sleep(LEAVE_PROPAGATION_SECONDS)
         self._log('handing partitions over')
         complete = self._partitions.stop(max(end - clock.now(), 0) / 2)
-        self._log('completing requests in flight', handed_over=complete)
+        self._log('finishing what is held', handed_over=complete)
         self._instance.finish(max(end - clock.now(), 0))
         self._close()
 
@@ -166,7 +166,7 @@
 
     def _check_superseded(self) -> str:
         lost = self._members.superseded()
-        return 'a later process uses this instance id' if lost else ''
+        return 'a later process carries this instance id' if lost else ''
 
     def _check_stopping(self) -> str:
         return (
--- a/guavagate/decisions/_speculation.py
+++ b/guavagate/decisions/_speculation.py
@@ -134,7 +134,7 @@
     decision = _reasons.make_placed(
         work,
         state,
-        'the first run is expected to end later',
+        'the first copy is expected to end later',
         fleet.samplers.values(),
         kind='copy',
     )
--- a/guavagate/decisions/placement.py
+++ b/guavagate/decisions/placement.py
@@ -49,10 +49,7 @@
             best = state
             matched = count
     if matched:
-        return (
-            best,
-            f'{matched} of {len(work.prefix_keys)} prefix keys are cached',
-        )
+        return best, f'holds {matched} of {len(work.prefix_keys)} prefix keys'
     key = work.prefix_keys[0]
     best = max(within, key=lambda state: rank(key, state.id))
     return best, 'first of the prefix in rendezvous order'
@@ -67,7 +64,7 @@
     matches = [state.prefixes.match(work.prefix_keys) for state in samplers]
     matched = max(matches)
     if matched:
-        return samplers[matches.index(matched)], 'the prefix is cached'
+        return samplers[matches.index(matched)], 'holds the prefix'
     return choose_rendezvous(work, samplers)
 
 
--- a/guavagate/decisions/pool.py
+++ b/guavagate/decisions/pool.py
@@ -123,7 +123,7 @@
     def offer(self, work: Work, now: float) -> Queued | Refused:
         """Queue work, or refuse it before any of it has run."""
         if self._table.get(work.id) is not None:
-            return _reasons.make_queued(work, 0, 'already queued or running')
+            return _reasons.make_queued(work, 0, 'already here')
         if not self._fleet.samplers:
             return self._refuse(work, RefusalReason.NO_SAMPLER, now)
         if len(self._queue) >= self._max_queued:
@@ -140,7 +140,7 @@
                 return self._refuse(work, reason, now)
         self._table.add(attempts)
         self._enqueue(attempts)
-        return _reasons.make_queued(work, wait, 'expected to meet its deadline')
+        return _reasons.make_queued(work, wait, 'in time by the expected wait')
 
     def adopt(self, work: Work, sampler: SamplerId, now: float) -> None:
         """Count work that already ran when this instance became queue owner."""
@@ -263,7 +263,7 @@
         attempts.exclude(sampler, len(self._fleet.samplers))
         self._enqueue(attempts)
         return _reasons.make_queued(
-            attempts.work, self._expect_wait(attempts), 'retried elsewhere'
+            attempts.work, self._expect_wait(attempts), 'tried again elsewhere'
         )
 
     def cancel(self, work_id: RequestId, now: float) -> list[SamplerId]:
--- a/guavagate/decisions/pools.py
+++ b/guavagate/decisions/pools.py
@@ -77,9 +77,9 @@
         if tried >= _MAX_ZONE_TRIES:
             break
     if fallback is not None:
-        return fallback, _decide(work, fallback, 'no pool in the zone has room')
+        return fallback, _decide(work, fallback, 'no near pool has room')
     least = min(pools, key=lambda pool: decay_load(pool, now))
-    return least, _decide(work, least, 'all pools are over the load bound')
+    return least, _decide(work, least, 'all are over the load bound')
 
 
 def _walk_ring(work: Work, pools: Sequence[PoolView]) -> Iterator[PoolView]:
--- a/guavagate/reports.py
+++ b/guavagate/reports.py
@@ -131,7 +131,7 @@
         now = self._runtime.clock.now()
         for owned in pools:
             if now < owned.grants_from:
-                yield f'pool {owned.spec.key} counts the work that already runs'
+                yield f'pool {owned.spec.key} counts what already runs'
 
     def _list_pool(self, owned: OwnedPool) -> Iterator[SamplerReport]:
         deployment = owned.spec.deployment
--- a/guavagate/settings/_check.py
+++ b/guavagate/settings/_check.py
@@ -40,7 +40,7 @@
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__(
             '\n'.join(str(problem) for problem in problems),
-            'fix them and try again',
+            'mend them and try again',
         )
         self.problems = problems
 
--- a/guavagate/settings/_documents.py
+++ b/guavagate/settings/_documents.py
@@ -109,7 +109,7 @@
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        checker.add('', None, f'is not TOML: {error}', 'fix that line')
+        checker.add('', None, f'is not TOML: {error}', 'mend that line')
         raise SettingsProblemsError(checker.problems) from error
 
 
--- a/guavagate/settings/_record.py
+++ b/guavagate/settings/_record.py
@@ -90,6 +90,6 @@
         return msgspec.json.decode(value, type=SettingsRecord)
     except msgspec.DecodeError as error:
         raise StoreError(
-            f'the object {path} is not a settings record: {error}',
+            f'the object {path} is no settings record: {error}',
             'write it through `guavagate settings apply`',
         ) from error
--- a/guavagate/settings/_status.py
+++ b/guavagate/settings/_status.py
@@ -48,7 +48,7 @@
 
     def request_revisions(peer: InstanceId) -> SettingsRevisions | str:
         if not peers[peer]:
-            return 'not alive: stopped, or not reachable from this instance'
+            return 'not alive: stopped, or this instance does not hear it'
         try:
             return bus.request(
                 peer,
@@ -106,7 +106,7 @@
 def _explain_lag(answer: SettingsRevisions, newest: Revision) -> str:
     seconds = answer.heard_peers
     if seconds is None or seconds > _PEERS_STALE_SECONDS:
-        return f'no recent message from a peer, so revision {newest} is missing'
+        return f'has not heard a peer lately, so lacks revision {newest}'
     return f'revision {newest} is on its way'
 
 
--- a/guavagate/settings/_value_kinds.py
+++ b/guavagate/settings/_value_kinds.py
@@ -126,9 +126,7 @@
 
 def _check_duration(text: str) -> None:
     if parse_duration(text) <= 0:
-        raise SettingsError(
-            f'{text!r} is not more than 0', 'write a longer duration'
-        )
+        raise SettingsError(f'{text!r} is no time at all', 'write more than 0')
 
 
 _CHECKS: Final[dict[Kind, Callable[[str], object]]] = {
--- a/guavagate/settings/_writer.py
+++ b/guavagate/settings/_writer.py
@@ -319,7 +319,7 @@
         )
     if not request.why.strip():
         raise SettingsError(
-            'the change has no reason', 'give one, for the history'
+            'the change says no reason', 'give one, for the history'
         )
 
 
