--- a/guavagate/callers/_completions.py
+++ b/guavagate/callers/_completions.py
@@ -299,7 +299,7 @@
             if deployment.id == model:
                 return team, deployment
     raise RefusalError(
-        f'model {model!r} is not a deployment of your team',
+        f'model {model!r} is no deployment of your team',
         'use the id of a deployment; `guavagate deployments` lists them',
         reason='unknown_deployment',
         status=404,
--- a/guavagate/callers/_request.py
+++ b/guavagate/callers/_request.py
@@ -84,8 +84,8 @@
 
 def _make_deadline_refusal(text: str) -> RefusalError:
     return RefusalError(
-        f'{HEADER_DEADLINE}: {text!r} is not a valid deadline',
-        'use an integer number of milliseconds from 1 to 3600000',
+        f'{HEADER_DEADLINE}: {text!r} is no usable deadline',
+        'give whole milliseconds from 1 to 3600000',
         reason='bad_deadline',
         status=400,
     )
--- a/guavagate/callers/_services.py
+++ b/guavagate/callers/_services.py
@@ -221,8 +221,8 @@
 ) -> RefusalError:
     context.permits.release(permit, Release.FAILED)
     return RefusalError(
-        f'the upstream returned no complete answer: {error.problem}',
-        'the call may have run; check with the service before you repeat it',
+        f'the upstream gave no whole answer: {error.problem}',
+        'it may have run; ask the service before you send it again',
         reason='outcome_unknown',
         status=502,
         not_run=NotRun.UNKNOWN,
@@ -240,7 +240,7 @@
             if settings.id == service:
                 return team, settings
     raise RefusalError(
-        f'{service!r} is not a service of your team',
+        f'{service!r} is no service of your team',
         'use the id of a service that your team declares',
         reason='unknown_service',
         status=404,
--- a/guavagate/forwarding/_attempt.py
+++ b/guavagate/forwarding/_attempt.py
@@ -137,7 +137,7 @@
             answer.close()
             raise UpstreamNotStartedError(
                 f'{upstream.id} answered {answer.status}, not run',
-                'use another upstream',
+                'ask another upstream',
             )
         return answer
 
@@ -174,6 +174,6 @@
 
 def _make_timeout_error(upstream: Upstream) -> UpstreamError:
     return UpstreamError(
-        f'{upstream.id} did not complete its answer in time',
+        f'{upstream.id} has not ended its answer in time',
         'check the upstream, or raise the time limit of the route',
     )
--- a/guavagate/forwarding/_stream.py
+++ b/guavagate/forwarding/_stream.py
@@ -98,7 +98,7 @@
         if answer.status != _OK and run.exchange.started:
             raise UpstreamError(
                 f'{upstream.id} answered {answer.status} to a resumed stream',
-                'check the upstream; a resumable stream continues elsewhere',
+                'check the upstream; the stream goes on elsewhere if it may',
             )
         if not run.exchange.started:
             headers = drop_hop_by_hop(answer.headers)
@@ -115,7 +115,7 @@
         if run.partial and answer.status == _OK:
             raise UpstreamError(
                 f'{upstream.id} ended in the middle of an event',
-                'check the upstream; a resumable stream continues elsewhere',
+                'check the upstream; the stream goes on elsewhere if it may',
             )
         if run.partial:
             run.exchange.send(run.partial)
@@ -161,6 +161,6 @@
 
 def _make_stall_error(upstream: Upstream) -> UpstreamError:
     return UpstreamError(
-        f'{upstream.id} sent no event in time',
-        'check the upstream and the network path to it',
+        f'{upstream.id} was silent',
+        'check the upstream and the way to it',
     )
--- a/guavagate/http1/_client.py
+++ b/guavagate/http1/_client.py
@@ -89,7 +89,7 @@
             if isinstance(event, h11.Response):
                 break
             if not isinstance(event, h11.InformationalResponse):
-                raise self._make_error(f'sent {event!r} instead of a response')
+                raise self._make_error(f'sent {event!r} for an answer')
         self.status = event.status_code
         self.headers = list(event.headers.raw_items())
 
@@ -102,9 +102,7 @@
             elif isinstance(event, h11.EndOfMessage):
                 self.complete = True
             else:
-                raise self._make_error(
-                    'closed the connection within its response'
-                )
+                raise self._make_error('closed in the middle of its answer')
         self._release()
 
     def read(self) -> bytes:
@@ -120,7 +118,7 @@
     def _next_event(self) -> object:
         connection = self._connection
         if connection is None:
-            raise self._make_error('the connection was closed on this side')
+            raise self._make_error('was left by us')
         try:
             while True:
                 event = connection.http.next_event()
@@ -301,7 +299,7 @@
         ]
     except h11.LocalProtocolError as error:
         raise UpstreamNotStartedError(
-            f'the request cannot be forwarded ({error})',
+            f'the request can not be sent on ({error})',
             'send a request that is valid HTTP/1.1',
         ) from error
     # An upstream may respond and close while a long body is being sent. The
--- a/guavagate/ledger/_refusals.py
+++ b/guavagate/ledger/_refusals.py
@@ -22,8 +22,8 @@
     Only the ledger could tell, so the refusal does not say "not run".
     """
     return RefusalError(
-        f'the request ledger did not answer ({error.problem})',
-        'retry with the same key, which runs the request at most once',
+        f'the request ledger gave no answer ({error.problem})',
+        'retry with the same key, which runs at most once',
         reason='ledger_unavailable',
         not_run=NotRun.UNKNOWN,
         retry_after=_RETRY_AFTER_SECONDS,
@@ -32,8 +32,8 @@
 
 def _make_unknown(limits: LedgerLimits) -> RefusalError:
     return RefusalError(
-        'the outcome of the request with this key cannot be determined',
-        'check at the upstream whether it ran, then use a new key',
+        'the outcome of this key can not be known',
+        'find out at the upstream whether it ran; then use a new key',
         reason='outcome_unknown',
         status=409,
         not_run=NotRun.UNKNOWN,
@@ -52,7 +52,7 @@
 
 def _make_full(limits: LedgerLimits) -> RefusalError:
     return RefusalError(
-        'the request ledger is full, and keys expire only after '
+        'the request ledger is full and forgets no key within '
         f'{limits.window:.0f}s',
         'retry later, or raise the ledger size',
         reason='ledger_full',
@@ -63,9 +63,9 @@
 
 def _make_not_stored(limits: LedgerLimits) -> RefusalError:
     return RefusalError(
-        'the request was answered, but bodies over '
-        f'{limits.answer_bytes} B are not stored',
-        'read the result from the upstream',
+        f'it ran and was answered, but bodies over {limits.answer_bytes} B '
+        'are not kept',
+        'read the result at the upstream',
         reason='answer_not_kept',
         status=409,
         not_run=NotRun.FALSE,
--- a/guavagate/runs/_client.py
+++ b/guavagate/runs/_client.py
@@ -77,9 +77,8 @@
         )
         if outcome.verdict is Verdict.CONFLICT:
             raise RefusalError(
-                f'version {version} is lower than the newest published'
-                f' version, {outcome.newest}',
-                'publish versions in ascending order',
+                f'version {version} is below the newest, {outcome.newest}',
+                'publish versions in rising order',
                 reason='version_order',
                 status=409,
             )
@@ -189,7 +188,7 @@
         except OutcomeUnknownError as error:
             raise RefusalError(
                 error.problem,
-                'repeat the same call; it is idempotent',
+                'repeat the same call; a repeat is harmless',
                 reason='outcome_unknown',
                 not_run=NotRun.UNKNOWN,
                 retry_after=1.0,
@@ -199,15 +198,15 @@
 def _check_submitted(verdict: Verdict, step_id: str) -> None:
     if verdict is Verdict.CONFLICT:
         raise RefusalError(
-            f'step {step_id!r} was already submitted with different groups',
-            'give the new step a different step_id',
+            f'step {step_id!r} was submitted before with other groups',
+            'give the new step another step_id',
             reason='step_conflict',
             status=409,
         )
     if verdict is Verdict.FULL:
         raise RefusalError(
-            'this run has too many open steps',
-            'pull the batches of the earlier steps, then submit again',
+            'too many steps are in work for this run',
+            'pull the earlier steps, then submit again',
             reason='too_many_steps',
             status=429,
             retry_after=5.0,
@@ -217,14 +216,14 @@
 def _check_pulled(batch: Batch) -> None:
     if batch.verdict is Verdict.SUPERSEDED:
         raise RefusalError(
-            'a later cursor has already been presented',
-            'present the cursor of the last batch that you accepted',
+            'a later cursor has been presented already',
+            'present the cursor of the batch that was taken last',
             reason='cursor_superseded',
             status=409,
         )
     if batch.verdict is Verdict.UNKNOWN_STEP:
         raise RefusalError(
-            f'step {batch.step_id!r} is unknown; its record was removed',
+            f'step {batch.step_id!r} is not known; its record was removed',
             'publish your newest version and submit your steps again, then'
             ' pull with the same cursor',
             reason='unknown_step',
--- a/guavagate/runs/_cursor.py
+++ b/guavagate/runs/_cursor.py
@@ -49,8 +49,8 @@
         return msgspec.msgpack.decode(packed, type=Cursor)
     except (binascii.Error, msgspec.MsgspecError, UnicodeError) as error:
         raise RefusalError(
-            'the cursor was not issued by guavagate',
-            'present the cursor of the last batch unchanged, or omit it',
+            'the cursor is not one that guavagate issued',
+            'present the cursor of the last batch unchanged, or none',
             reason='bad_cursor',
             status=400,
         ) from error
--- a/guavagate/trainers/_resources.py
+++ b/guavagate/trainers/_resources.py
@@ -181,7 +181,7 @@
     if body.deployment not in {None, deployment.id}:
         raise RefusalError(
             f'the run belongs to deployment {deployment.id!r}',
-            f'use {deployment.id!r}, or omit the deployment',
+            f'name {deployment.id!r}, or leave the deployment out',
             reason='wrong_deployment',
             status=422,
         )
@@ -189,7 +189,7 @@
     if len(names) < len(body.groups):
         raise RefusalError(
             'two groups have the same group_id',
-            'use a unique group_id for each group of a step',
+            'give each group of a step its own group_id',
             reason='duplicate_group',
             status=422,
         )
