--- a/guavagate/feeds/_feed.py
+++ b/guavagate/feeds/_feed.py
@@ -368,7 +368,7 @@
         if not self.relaying or not loaded:
             raise LinkError(
                 f'{self._me} does not relay',
-                'send the request to another instance',
+                'ask another instance',
             )
         return FeedCopy(
             boot=self._boot,
--- a/guavagate/helpers/event_stream.py
+++ b/guavagate/helpers/event_stream.py
@@ -42,7 +42,7 @@
             self.cancel()
             raise UpstreamError(
                 'ended in the middle of an event',
-                'nothing; the item resumes on another sampler',
+                'nothing; the item goes on elsewhere',
             )
 
     def cancel(self) -> None:
--- a/guavagate/integrations/_errors.py
+++ b/guavagate/integrations/_errors.py
@@ -44,12 +44,10 @@
     """
     code = read_error_code(data)
     if status == _UNAVAILABLE and code == LEAVING_CODE:
-        return UpstreamLeavingError(
-            f'{address} is leaving', 'use another upstream'
-        )
+        return UpstreamLeavingError(f'{address} leaves', 'ask another upstream')
     if status == _UNAVAILABLE and code in NOT_STARTED_CODES:
         return UpstreamNotStartedError(
-            f'{address} is {code}', 'use another upstream'
+            f'{address} is {code}', 'ask another upstream'
         )
     return UpstreamError(
         f'{address} answered {status} {code}',
@@ -60,6 +58,6 @@
 def make_malformed_error(address: str, error: Exception) -> UpstreamError:
     """Return the exception for a response that cannot be decoded."""
     return UpstreamError(
-        f'{address} sent a malformed response ({error})',
-        'check that the server at this address uses this protocol',
+        f'{address} sent what is no answer ({error})',
+        'check that the address speaks this protocol',
     )
--- a/guavagate/integrations/_http.py
+++ b/guavagate/integrations/_http.py
@@ -226,6 +226,6 @@
 def _make_broken_error(address: str, error: Exception) -> UpstreamError:
     """Return the error for an interrupted exchange."""
     return UpstreamError(
-        f'the exchange with {address} was interrupted ({error})',
+        f'{address} broke the exchange off ({error})',
         'check the upstream; whether it ran the request is unknown',
     )
--- a/guavagate/integrations/model_engine/_client.py
+++ b/guavagate/integrations/model_engine/_client.py
@@ -148,7 +148,7 @@
                 return
         raise UpstreamError(
             f'{address} ended its stream without a terminal event',
-            'resume from the last piece received',
+            'ask again from the last piece received',
         )
 
     def _read_events(
--- a/guavagate/integrations/model_engine/_wire.py
+++ b/guavagate/integrations/model_engine/_wire.py
@@ -58,8 +58,8 @@
         """
         if event.weight_version is None or not event.choices:
             raise UpstreamError(
-                f'{self._address} does not state which version made its text',
-                'configure the engine to send weight_version in each event',
+                f'{self._address} does not say which version made its text',
+                'have the engine state weight_version on each event',
             )
         choice = event.choices[0]
         self._tokens += event.usage.tokens
@@ -85,6 +85,6 @@
         gap = self._strays > 0 if total is None else total != self._tokens
         if gap:
             raise UpstreamError(
-                f'{self._address} omitted a piece of {self._exchange}',
+                f'{self._address} left out a piece of {self._exchange}',
                 'resume from the last piece received',
             )
--- a/guavagate/integrations/object_api/_client.py
+++ b/guavagate/integrations/object_api/_client.py
@@ -182,8 +182,8 @@
         if answer.status == _CONFLICT:
             self._record_conflict(path, answer)
             raise StoreConflictError(
-                f'{path} does not have the expected version {expected}',
-                'read it again and retry',
+                f'{path} has another version than {expected}',
+                'read it and decide again',
             )
         _require_status(answer, _OK)
         return answer
@@ -232,8 +232,8 @@
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.MsgspecError as error:
         raise StoreUnavailableError(
-            f'the platform sent a malformed answer ({error})',
-            'check which server listens at the object API address',
+            f'the platform sent what is no answer ({error})',
+            'check what the object API address leads to',
         ) from error
 
 
@@ -241,6 +241,6 @@
     write(_LOGGER, fleet.STORE_STALE, path=path)
     return StoreUnavailableError(
         f'the platform answered for {path} from an old copy',
-        'retry later; versions older than known are rejected',
+        'ask again later; nothing older than what was seen is taken',
         may_be_written=False,
     )
--- a/guavagate/integrations/object_api/_peers.py
+++ b/guavagate/integrations/object_api/_peers.py
@@ -290,4 +290,4 @@
 
 
 def _make_timeout_error() -> NoAnswerError:
-    return NoAnswerError('the store does not answer')
+    return NoAnswerError('the store is silent')
--- a/guavagate/integrations/object_api/_retrying_client.py
+++ b/guavagate/integrations/object_api/_retrying_client.py
@@ -121,7 +121,7 @@
     ) -> None:
         """Check the circuit breaker, then wait for the rate limit."""
         if self._circuit.admit(self._clock.now()) > 0:
-            raise _make_not_sent_error('the platform does not answer')
+            raise _make_not_sent_error('the platform gives no answers')
         bucket = self._reads if call.method == _READ else self._writes
         rates = self._rates
         rate = rates.reads if call.method == _READ else rates.writes
@@ -132,7 +132,7 @@
             if wait == 0:
                 return
             if now + wait >= until:
-                raise _make_not_sent_error('the call rate is used up')
+                raise _make_not_sent_error('the rate of calls is used up')
             self._clock.sleep(wait)
 
     def _get_fleet_size(self) -> int:
@@ -168,7 +168,7 @@
         if self._circuit.record_success():
             self._resume_slowly()
         return answer, _make_unavailable_error(
-            'the platform rejects further calls', may_be_written=False
+            'the platform refuses more calls', may_be_written=False
         )
 
     def _record_failure(self) -> None:
--- a/guavagate/integrations/plain_service/_client.py
+++ b/guavagate/integrations/plain_service/_client.py
@@ -109,7 +109,7 @@
         )
         raise UpstreamError(
             f'{address} answered exchange {named} instead of {exchange}',
-            'check the proxies in front of the upstream',
+            'check what lies between here and the upstream',
         )
 
 
--- a/guavagate/integrations/scoring_service/_client.py
+++ b/guavagate/integrations/scoring_service/_client.py
@@ -62,7 +62,7 @@
         if score.sample_id != sample_id:
             raise UpstreamError(
                 f'{address} scored {score.sample_id} instead of {sample_id}',
-                'retry; check the proxies in front of the service',
+                'ask again; check what lies between here and the service',
             )
         return score.score
 
--- a/guavagate/jobs/_runner.py
+++ b/guavagate/jobs/_runner.py
@@ -160,7 +160,7 @@
             raise UpstreamError(
                 f'{upstream.id} sent event {event.number} after'
                 f' {progress.text.last_number}',
-                'check the sampler; the item resumes after the last good event',
+                'check the sampler; the item goes on after the last whole one',
             )
         self._states.record_version(upstream.id, job.model, event.version)
         progress.text.add(event)
@@ -168,8 +168,8 @@
         if not progress.text.meets_version_bounds(job.min_version, single):
             progress.text = Text()
             raise UpstreamError(
-                f'{upstream.id} sent an event of version {event.version}',
-                'no action; the item restarts with an accepted version',
+                f'{upstream.id} made an event under version {event.version}',
+                'nothing; the item starts anew under a version that fits',
             )
 
     def _discard_unusable_text(
@@ -225,6 +225,6 @@
 
 def _make_timeout_error(upstream: Upstream) -> Callable[[], Exception]:
     return lambda: UpstreamError(
-        f'{upstream.id} sent nothing before the timeout',
-        'check the sampler; the item resumes elsewhere',
+        f'{upstream.id} was silent',
+        'check the sampler; the item goes on',
     )
--- a/guavagate/platform/_servers.py
+++ b/guavagate/platform/_servers.py
@@ -50,11 +50,11 @@
     """
     server = msgspec.json.decode(value, type=_Server)
     if server.state not in _STATES:
-        raise ValueError(f'unknown state {server.state!r}')
+        raise ValueError(f'the state {server.state!r} is not known')
     if not _is_address(server.address):
-        raise ValueError(f'{server.address!r} is not an IP address with a port')
+        raise ValueError(f'{server.address!r} is no IP address with a port')
     if not 0 <= server.slots <= _MAX_SLOTS:
-        raise ValueError(f'{server.slots} slots are out of range')
+        raise ValueError(f'{server.slots} slots are none')
     return Upstream(
         id=UpstreamId(name),
         service=ServiceId(server.service),
