--- a/guavagate/links/_link.py
+++ b/guavagate/links/_link.py
@@ -210,7 +210,7 @@
         error: Exception = decode_error(envelope.body)
         if envelope.act == Act.REFUSED and entry.resent:
             # The peer may have handled the first message.
-            error = self._make_uncertain_error('refused a resent message')
+            error = self._make_uncertain_error('refused a repeated message')
         entry.result.set_exception(error)
 
     def _replace(self, probe: Connection) -> None:
@@ -260,14 +260,14 @@
         if unsent and not entry.resent:
             return LinkRefusedError(
                 f'{self._peer} could not be reached',
-                'try another instance; this one did not receive the message',
+                'ask another instance; this one was not given the message',
             )
         return self._make_uncertain_error(problem)
 
     def _make_uncertain_error(self, problem: str) -> LinkError:
         return LinkError(
             f'{self._peer} {problem}',
-            'find out whether it handled the message before retrying',
+            'find out whether it handled the message before asking again',
         )
 
     def _handle_loss(self, source: Connection) -> None:
--- a/guavagate/links/_server.py
+++ b/guavagate/links/_server.py
@@ -106,7 +106,7 @@
                 identity,
                 envelope,
                 f'{self._me} has no handler for {envelope.kind}',
-                'send it to an instance of a release that has one',
+                'ask an instance of a release that has one',
             )
             return
         if self._running >= HANDLER_LIMIT:
@@ -192,8 +192,8 @@
 
 def _make_uncertain_error(me: InstanceId) -> LinkError:
     return LinkError(
-        f'{me} may have handled the message and has not stored the reply',
-        'find out whether it did before retrying',
+        f'{me} may have handled the message and keeps no answer',
+        'find out whether it did before asking again',
     )
 
 
--- a/guavagate/links/_zmq_bus.py
+++ b/guavagate/links/_zmq_bus.py
@@ -112,7 +112,7 @@
         if address is None or not self._open:
             raise LinkRefusedError(
                 f'{peer} is not in use',
-                'send it to an instance that the membership shows as alive',
+                'ask an instance that the membership shows as alive',
             )
         known = self._links.get(peer)
         if known is not None and known[0] == address:
--- a/guavagate/partitions/_hosting.py
+++ b/guavagate/partitions/_hosting.py
@@ -262,7 +262,7 @@
             self._taking_over.discard(partition)
 
     def _record_taken(self, partition: PartitionId, primary: Primary) -> None:
-        reason = 'first live instance by rendezvous hashing'
+        reason = 'first of those alive by rendezvous hashing'
         write(
             _LOGGER, events.TAKEN_OVER, partition=partition, epoch=primary.epoch
         )
--- a/guavagate/partitions/_primary.py
+++ b/guavagate/partitions/_primary.py
@@ -131,16 +131,13 @@
         if self.closed or self.frozen:
             return SubmitReply(verdict=Verdict.MOVED, holder=self.holder)
         if not self.machine.is_registered(entry.kind):
-            problem = f'no state handles {entry.kind}'
+            problem = f'no state takes {entry.kind}'
             return SubmitReply(verdict=Verdict.INVALID, problem=problem)
         if abs(self._clock.wall() - entry.at) > MAX_CLOCK_SKEW_SECONDS:
-            problem = (
-                'the command time differs from the local clock by more than '
-                f'{MAX_CLOCK_SKEW_SECONDS:.0f}s'
-            )
+            problem = f'its clock is {MAX_CLOCK_SKEW_SECONDS:.0f}s off'
             return SubmitReply(verdict=Verdict.INVALID, problem=problem)
         if self._is_store_stalled():
-            problem = 'the store does not answer'
+            problem = 'the store gives no answer'
             return SubmitReply(verdict=Verdict.REFUSED, problem=problem)
         known = self._find_applied(entry)
         if known is not None or not repeated:
@@ -190,7 +187,9 @@
         for pending in batch:
             outcome = self._try_apply(pending, new_entries)
             if outcome is None:
-                self._step_down(batch, Verdict.MOVED, 'a command failed')
+                self._step_down(
+                    batch, Verdict.MOVED, 'a command could not be applied'
+                )
                 return
             outcomes.append(outcome)
         if not self._safeguards.durable_first:
--- a/guavagate/partitions/_state_machine.py
+++ b/guavagate/partitions/_state_machine.py
@@ -90,7 +90,7 @@
         for entry in entries:
             if not self.is_registered(entry.kind):
                 raise StoreError(
-                    f'{entry.kind} in the record is unknown to this release',
+                    f'the record holds {entry.kind}, unknown to this release',
                     'stop this instance, or run the release that wrote it',
                 )
             self.apply(entry)
--- a/guavagate/partitions/_stored.py
+++ b/guavagate/partitions/_stored.py
@@ -128,7 +128,7 @@
         if primary is None or primary.epoch != epoch:
             raise NotAppliedError(
                 f'partition {partition} is not held here in epoch {epoch}',
-                'send it to the current holder',
+                'ask its present holder',
             )
         entry = self._make_entry(command)
         reply = primary.submit(entry, _ATTEMPT_SECONDS, repeated=False)
@@ -193,7 +193,7 @@
         if maybe_applied:
             raise _make_unknown_error()
         raise NotAppliedError(
-            f'no primary of partition {partition} answers',
+            f'partition {partition} has no primary that answers',
             'try again in a few seconds',
         )
 
@@ -258,7 +258,7 @@
         return reply.outcome
     if reply.verdict is Verdict.FORGOTTEN or maybe_applied:
         raise _make_unknown_error()
-    remedy = 'check the releases and clocks of the instances'
+    remedy = 'check releases and clocks of the instances'
     if reply.verdict is Verdict.REFUSED:
         remedy = 'try again when the object API answers'
     raise NotAppliedError(reply.problem, remedy)
@@ -267,7 +267,7 @@
 def _make_unknown_error() -> OutcomeUnknownError:
     """Return the error for a command that may have been applied."""
     return OutcomeUnknownError(
-        'the partition gave no outcome in time', 'retry with the same key'
+        'the partition gave no outcome in time', 'ask again with the same key'
     )
 
 
