--- a/guavagate/metrics/names.py
+++ b/guavagate/metrics/names.py
@@ -14,39 +14,39 @@
 REQUEST_SECONDS: Final = Metric(
     name='guavagate_request_seconds',
     kind=MetricKind.HISTOGRAM,
-    text='Time from a request to its complete answer',
+    text='Time from a request to its whole answer',
     labels=('team',),
     plotted=True,
 )
 QUEUED: Final = Metric(
     name='guavagate_queued_requests',
     kind=MetricKind.GAUGE,
-    text='Requests waiting for a permit in pools that this instance owns',
+    text='Requests that wait for a permit at pools at home here',
     labels=('pool',),
     plotted=True,
 )
 RUNNING: Final = Metric(
     name='guavagate_running_requests',
     kind=MetricKind.GAUGE,
-    text='Permits granted by pools that this instance owns',
+    text='Permits given out by pools at home here',
     labels=('pool',),
     plotted=True,
 )
 KEYS_DENIED: Final = Metric(
     name='guavagate_keys_denied_total',
     kind=MetricKind.COUNTER,
-    text='Requests denied or refused because of their key, by reason',
+    text='Requests denied or refused for their key, by reason',
     labels=('reason',),
 )
 PROOF_AGE_SECONDS: Final = Metric(
     name='guavagate_configuration_proof_seconds',
     kind=MetricKind.GAUGE,
-    text='Time since the configuration was last proven to be the newest',
+    text='How long ago the configuration here was surely the newest',
 )
 MEMBERS: Final = Metric(
     name='guavagate_members',
     kind=MetricKind.GAUGE,
-    text='Instances that this instance considers alive',
+    text='Instances that this one sees alive',
     plotted=True,
 )
 PARTITIONS_LED: Final = Metric(
@@ -77,13 +77,13 @@
 PEER_BYTES: Final = Metric(
     name='guavagate_peer_bytes_total',
     kind=MetricKind.COUNTER,
-    text='Bytes of messages between instances, without IP, TCP and UDP headers',
+    text='Their bytes, without the headers of IP, TCP and UDP',
     labels=('by', 'way'),
 )
 EVENTS: Final = Metric(
     name='guavagate_events_total',
     kind=MetricKind.COUNTER,
-    text='Log events by number, including those below the log level',
+    text='Log events by their number, also those below the log level',
     labels=('event',),
 )
 FORWARD_SECONDS: Final = Metric(
@@ -106,24 +106,24 @@
 ITEM_SECONDS: Final = Metric(
     name='guavagate_item_seconds',
     kind=MetricKind.HISTOGRAM,
-    text="Time of an item's last run on a sampler",
+    text="Time of an item's last run at a sampler",
 )
 GROUPS_DEFERRED: Final = Metric(
     name='guavagate_groups_behind_total',
     kind=MetricKind.COUNTER,
-    text='Groups of jobs deferred because they cannot be complete in time',
+    text='Groups of jobs that went behind others as they can not be in time',
     plotted=True,
 )
 REWARD_SECONDS: Final = Metric(
     name='guavagate_reward_seconds',
     kind=MetricKind.HISTOGRAM,
-    text='Time of a reward request including retries, by outcome',
+    text='Time of one reward request with its repeats, by its end',
     labels=('outcome',),
 )
 STORE_SECONDS: Final = Metric(
     name='guavagate_store_call_seconds',
     kind=MetricKind.HISTOGRAM,
-    text='Time of calls to the store, excluding watches',
+    text='Time of calls to the store, watches left out',
     labels=('method', 'outcome'),
 )
 OPEN_JOBS: Final = Metric(
@@ -135,12 +135,12 @@
 CPU_SECONDS: Final = Metric(
     name='process_cpu_seconds_total',
     kind=MetricKind.COUNTER,
-    text='CPU time of the process',
+    text='Processor time of the process',
     plotted=True,
 )
 RESIDENT_BYTES: Final = Metric(
     name='process_resident_memory_bytes',
     kind=MetricKind.GAUGE,
-    text='Resident memory of the process',
+    text='Memory of the process',
     plotted=True,
 )
