--- a/guavagate/callers/_completions.py
+++ b/guavagate/callers/_completions.py
@@ -57,7 +57,7 @@
 
 
 class CompletionContext(msgspec.Struct, frozen=True, kw_only=True):
-    """The services that both routes use."""
+    """The dependencies of both routes."""
 
     runtime: Runtime
     authenticator: Authenticator
--- a/guavagate/callers/_request.py
+++ b/guavagate/callers/_request.py
@@ -60,13 +60,13 @@
 
 
 def _read_id(request: falcon.Request) -> RequestId:
-    # The caller's id is included for its logs but made unique: two requests
-    # with the same id would share a permit and get each other's answers.
-    caller_id = (request.get_header(HEADER_REQUEST_ID) or '')[
+    # The id that the caller sent is kept for its logs, but made unique: two
+    # requests with the same id would share a permit and get mixed answers.
+    sent_id = (request.get_header(HEADER_REQUEST_ID) or '')[
         :MAX_REQUEST_ID_LENGTH
     ]
     unique = uuid.uuid4().hex
-    return RequestId(f'{caller_id}-{unique}' if caller_id else f'req-{unique}')
+    return RequestId(f'{sent_id}-{unique}' if sent_id else f'req-{unique}')
 
 
 def _read_deadline(request: falcon.Request) -> float:
--- a/guavagate/callers/_services.py
+++ b/guavagate/callers/_services.py
@@ -58,7 +58,7 @@
 
 
 class ServiceContext(msgspec.Struct, frozen=True, kw_only=True):
-    """The services that the route uses."""
+    """The dependencies of the route."""
 
     runtime: Runtime
     authenticator: Authenticator
@@ -219,6 +219,7 @@
 def _end_with_unknown_outcome(
     context: ServiceContext, permit: Permit, error: UpstreamError
 ) -> RefusalError:
+    """Release the permit of a call that may have run; return its refusal."""
     context.permits.release(permit, Release.FAILED)
     return RefusalError(
         f'the upstream gave no whole answer: {error.problem}',
--- a/guavagate/clock.py
+++ b/guavagate/clock.py
@@ -163,7 +163,7 @@
     def run_until(
         self, done: Callable[[], bool], limit: float = 3600.0
     ) -> bool:
-        """Advance timer by timer; return whether ``done()`` came in time."""
+        """Advance timer by timer; return whether ``done()`` is true in time."""
         target = self._now + limit
         self.settle()
         while not done():
--- a/guavagate/events/duties.py
+++ b/guavagate/events/duties.py
@@ -1,4 +1,4 @@
-"""Events of usage reporting and scaling, done by one instance for all: 9200."""
+"""Events of usage reporting and scaling: 9200 to 9299."""
 
 import logging
 from typing import Final
--- a/guavagate/events/edge.py
+++ b/guavagate/events/edge.py
@@ -1,4 +1,4 @@
-"""Events of the HTTP edge for callers, trainers and operators: 5000."""
+"""Events of the HTTP edge for callers, trainers and operators: 5000 to 5999."""
 
 import logging
 
--- a/guavagate/events/fleet.py
+++ b/guavagate/events/fleet.py
@@ -1,4 +1,4 @@
-"""Events of membership, links and the object API: 3000."""
+"""Events of membership, links and the object API: 3000 to 3999."""
 
 import logging
 from typing import Final
--- a/guavagate/events/jobs.py
+++ b/guavagate/events/jobs.py
@@ -1,4 +1,4 @@
-"""Events of jobs and of orders to samplers: 9000 to 9999."""
+"""Events of jobs and of orders to samplers: 9000 to 9199."""
 
 import logging
 from typing import Final
--- a/guavagate/events/partitions.py
+++ b/guavagate/events/partitions.py
@@ -1,4 +1,4 @@
-"""Events of partitions and the ledger: 2000."""
+"""Events of partitions and the ledger: 2000 to 2999."""
 
 import logging
 from typing import Final
--- a/guavagate/events/runs.py
+++ b/guavagate/events/runs.py
@@ -1,4 +1,4 @@
-"""Events of runs and weights: 6000."""
+"""Events of runs and weights: 6000 to 6999."""
 
 import logging
 
--- a/guavagate/forwarding/_attempt.py
+++ b/guavagate/forwarding/_attempt.py
@@ -17,11 +17,11 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 _SERVER_ERROR: Final = 500
-# Added to the deadline: an upstream's own answer, sent at that time, tells the
-# caller more than an answer of this instance.
+# Added to the deadline, as an upstream may answer just at it: its own answer
+# tells the caller more than a timeout of this instance.
 GRACE_SECONDS: Final = 0.03
-# A timeout after this long is the upstream's failure, whatever the caller's
-# deadline.
+# An upstream that does not answer for this long has failed, whatever the
+# caller's deadline.
 MIN_DEADLINE_SECONDS: Final = 1.0
 
 
@@ -68,7 +68,7 @@
     def make(self, call: Call, upstream: Upstream, *, reuse: bool) -> Attempt:
         """Send a request once and read the complete answer.
 
-        Killing the task closes the connection, on which the upstream drops the
+        Killing the task closes the connection, so that the upstream drops the
         work.
         """
         load = self._upstreams.load(upstream.id)
--- a/guavagate/forwarding/_forward.py
+++ b/guavagate/forwarding/_forward.py
@@ -84,7 +84,9 @@
         self.may_have_run = False
         self.failed_answers = 0
         self.failed_answer: Attempt | None = None
+        # Send time by upstream, without those that have not run the request.
         self.sent_at: dict[UpstreamId, float] = {}
+        # Send time by upstream, for the attempts in flight.
         self.unanswered: dict[UpstreamId, float] = {}
 
 
--- a/guavagate/forwarding/_stream.py
+++ b/guavagate/forwarding/_stream.py
@@ -1,4 +1,4 @@
-"""Forwards streams by event and resumes them at another upstream."""
+"""Forwards streams event by event and resumes them at another upstream."""
 
 import functools
 import logging
@@ -40,7 +40,7 @@
         self, exchange: Exchange, call: Call, route: Route, service: ServiceId
     ) -> Outcome:
         """Forward a stream; any outcome but `ANSWER` is still to be sent."""
-        run = _StreamRun(exchange, call)
+        progress = _StreamProgress(exchange, call)
         tried: set[UpstreamId] = set()
         outcome = Outcome(OutcomeKind.NOT_RUN, reason='no upstream')
         began_at: float | None = None
@@ -50,8 +50,8 @@
                 break
             tried.add(upstream.id)
             sent_at = self._clock.now()
-            outcome = self._try_upstream(run, upstream)
-            if began_at is None and run.may_have_run:
+            outcome = self._try_upstream(progress, upstream)
+            if began_at is None and progress.may_have_run:
                 began_at = sent_at
             outcome.began_at = began_at
             if outcome.kind is OutcomeKind.ANSWER:
@@ -62,47 +62,51 @@
             exchange.abort()
         return outcome
 
-    def _try_upstream(self, run: '_StreamRun', upstream: Upstream) -> Outcome:
+    def _try_upstream(
+        self, progress: '_StreamProgress', upstream: Upstream
+    ) -> Outcome:
         """Forward a stream from one upstream; return the outcome."""
         try:
-            self._forward_from(run, upstream)
+            self._forward_from(progress, upstream)
         except UpstreamNotStartedError as error:
-            ran = run.may_have_run
+            ran = progress.may_have_run
             kind = OutcomeKind.UNKNOWN if ran else OutcomeKind.NOT_RUN
             return Outcome(kind, reason=error.problem)
         except UpstreamError as error:
-            self._record_break(run, upstream, error)
+            self._record_break(progress, upstream, error)
             return Outcome(OutcomeKind.UNKNOWN, reason=error.problem)
         return Outcome(OutcomeKind.ANSWER)
 
-    def _forward_from(self, run: '_StreamRun', upstream: Upstream) -> None:
+    def _forward_from(
+        self, progress: '_StreamProgress', upstream: Upstream
+    ) -> None:
         load = self._upstreams.load(upstream.id)
         load.in_flight += 1
         answer: Answer | None = None
         try:
             answer = self._attempts.open(
-                run.call, upstream, run.last_event_id, reuse=False
+                progress.call, upstream, progress.last_event_id, reuse=False
             )
-            run.may_have_run = True
-            run.exchange.on_disconnect(answer.close)
-            self._forward_events(run, answer, upstream)
+            progress.may_have_run = True
+            progress.exchange.on_disconnect(answer.close)
+            self._forward_events(progress, answer, upstream)
         finally:
             load.in_flight -= 1
-            run.exchange.on_disconnect(None)
+            progress.exchange.on_disconnect(None)
             if answer is not None:
                 answer.close()
 
     def _forward_events(
-        self, run: '_StreamRun', answer: Answer, upstream: Upstream
+        self, progress: '_StreamProgress', answer: Answer, upstream: Upstream
     ) -> None:
-        if answer.status != _OK and run.exchange.started:
+        if answer.status != _OK and progress.exchange.started:
             raise UpstreamError(
                 f'{upstream.id} answered {answer.status} to a resumed stream',
                 'check the upstream; the stream goes on elsewhere if it may',
             )
-        if not run.exchange.started:
+        if not progress.exchange.started:
             headers = drop_hop_by_hop(answer.headers)
-            run.exchange.start(answer.status, headers)
+            progress.exchange.start(answer.status, headers)
         chunks = answer.chunks()
         make_error = functools.partial(_make_stall_error, upstream)
         while True:
@@ -110,35 +114,38 @@
                 chunk = next(chunks, None)
             if chunk is None:
                 break
-            for event in run.split_events(chunk):
-                run.exchange.send(event)
-        if run.partial and answer.status == _OK:
+            for event in progress.split_events(chunk):
+                progress.exchange.send(event)
+        if progress.partial and answer.status == _OK:
             raise UpstreamError(
                 f'{upstream.id} ended in the middle of an event',
                 'check the upstream; the stream goes on elsewhere if it may',
             )
-        if run.partial:
-            run.exchange.send(run.partial)
-        run.exchange.end()
+        if progress.partial:
+            progress.exchange.send(progress.partial)
+        progress.exchange.end()
 
     def _record_break(
-        self, run: '_StreamRun', upstream: Upstream, error: UpstreamError
+        self,
+        progress: '_StreamProgress',
+        upstream: Upstream,
+        error: UpstreamError,
     ) -> None:
-        run.may_have_run = True
-        run.partial = b''
+        progress.may_have_run = True
+        progress.partial = b''
         self._upstreams.record_failure(upstream.id)
         write(
             _LOGGER,
             events.ATTEMPT_FAILED,
-            request=run.call.id,
+            request=progress.call.id,
             upstream=upstream.id,
             state='broken',
-            after=run.last_event_id,
+            after=progress.last_event_id,
             problem=error.problem,
         )
 
 
-class _StreamRun:
+class _StreamProgress:
     """What a caller has received of a stream."""
 
     def __init__(self, exchange: Exchange, call: Call) -> None:
--- a/guavagate/front/_authenticator.py
+++ b/guavagate/front/_authenticator.py
@@ -27,7 +27,7 @@
     KeyState.MISSING: 'send one `Authorization: Bearer KEY` of your team',
     KeyState.UNKNOWN: 'the key is not known; ask for a key of your team',
 }
-# An isolated instance stays so for seconds, but another one can serve.
+# An instance stays isolated for seconds, but another one can serve.
 UNPROVEN_RETRY_SECONDS: Final = 0.3
 
 
@@ -70,8 +70,8 @@
     def refuse_no_route(self, exchange: Exchange, request_id: str) -> None:
         """Answer 404, or 503 if a newer configuration may have the route.
 
-        Without keys no proof is maintained. The configuration here then counts
-        as current, as a new one is in force within its promised time.
+        Where no key is needed, no proof is maintained. The configuration here
+        then counts as current, because a new one arrives within its time limit.
         """
         proved = may_deny(self._proof_age(), self._bounds)
         if proved or not self._routes.keys.needed:
--- a/guavagate/front/_jobs.py
+++ b/guavagate/front/_jobs.py
@@ -29,7 +29,7 @@
 _OCTETS: Final = (b'Content-Type', b'application/octet-stream')
 # A refused trainer retries at another instance soon.
 JOB_RETRY_SECONDS: Final = 0.5
-UNKNOWN_RETRY_SECONDS: Final = 0.3
+UNCERTAIN_RETRY_SECONDS: Final = 0.3
 ACCEPT_SECONDS: Final = 2.5
 END_SECONDS: Final = 2.5
 MAX_WAIT_SECONDS: Final = 1.0
@@ -152,4 +152,4 @@
     if status is LookupStatus.MISSING:
         send_text(exchange, 404, 'there is no such job or item')
         return
-    refuse(exchange, 'not known at the moment', UNKNOWN_RETRY_SECONDS)
+    refuse(exchange, 'not known at the moment', UNCERTAIN_RETRY_SECONDS)
--- a/guavagate/helpers/listeners.py
+++ b/guavagate/helpers/listeners.py
@@ -3,9 +3,8 @@
 A start takes tenths of a second of CPU time, mostly to load the program.
 Without a listening socket, callers are refused a connection meanwhile; when
 all instances start at once, every caller is refused. With one, connections
-wait in its backlog until the server runs. In paired runs of days that end
-with a kill of all instances, one percent more of the requests in the worst two
-seconds were in time, and no day got worse.
+wait in its backlog until the server runs. After a kill of all instances, one
+percent more of the requests of the worst two seconds are then in time.
 """
 
 import contextlib
--- a/guavagate/helpers/mirror.py
+++ b/guavagate/helpers/mirror.py
@@ -130,7 +130,7 @@
                 self._follow()
             except WatchCompactedError:
                 _LOGGER.debug(
-                    'the store has dropped the watch history of %s',
+                    'The store has dropped the watch history of %s',
                     self._prefix,
                 )
             except StoreUnavailableError as error:
@@ -141,6 +141,7 @@
                 )
 
     def _follow(self) -> None:
+        """List all objects, or watch once from the last known revision."""
         since = self._since
         requested_at = self._boot_clock()
         if since is None:
--- a/guavagate/helpers/reference.py
+++ b/guavagate/helpers/reference.py
@@ -31,7 +31,7 @@
     (8000, 'Forwarding and upstreams'),
     (9000, 'Jobs and orders to samplers'),
 )
-_AREA: Final = 1000
+_NUMBERS_PER_AREA: Final = 1000
 _KINDS: Final[dict[type, str]] = {
     inspected.StrType: 'text',
     inspected.IntType: 'whole number',
@@ -66,17 +66,17 @@
         _NOTE,
         '',
         'Each instance exports these at `/metrics`, all with the labels'
-        ' `instance` and `availability_zone`. `guavagate report` draws those'
-        ' marked as drawn.',
+        ' `instance` and `availability_zone`. `guavagate report` plots those'
+        ' marked as plotted.',
         '',
-        '| metric | kind | labels | drawn | meaning |',
+        '| metric | kind | labels | plotted | meaning |',
         '|---|---|---|---|---|',
     ]
     for metric in metrics.list_metrics():
         labels = ', '.join(f'`{label}`' for label in metric.labels)
-        drawn = 'yes' if metric.plotted else ''
+        plotted = 'yes' if metric.plotted else ''
         lines.append(
-            f'| `{metric.name}` | {metric.kind.value} | {labels} | {drawn}'
+            f'| `{metric.name}` | {metric.kind.value} | {labels} | {plotted}'
             f' | {metric.text} |'
         )
     return _join(lines)
@@ -120,7 +120,7 @@
     found = [
         event
         for event in events.list_events()
-        if start <= event.number < start + _AREA
+        if start <= event.number < start + _NUMBERS_PER_AREA
     ]
     lines = ['| event | level | text | what to do |', '|---|---|---|---|']
     lines += [
--- a/guavagate/http1/_client.py
+++ b/guavagate/http1/_client.py
@@ -173,7 +173,8 @@
         Raises
         ------
         UpstreamNotStartedError
-            No connection was established; nothing was sent.
+            Nothing was sent: no connection was established, or the request is
+            not valid HTTP/1.1.
         UpstreamError
             Part of the request may have been sent.
         """
--- a/guavagate/http1/_exchange.py
+++ b/guavagate/http1/_exchange.py
@@ -11,7 +11,7 @@
 )
 from guavagate.http1._messages import Headers, Request, find_header
 
-_REASONS: Final = {
+_REASON_PHRASES: Final = {
     200: b'OK',
     202: b'Accepted',
     404: b'Not Found',
@@ -87,17 +87,17 @@
 
     def start(self, status: int, headers: Headers) -> None:
         """Send the status and headers of the response."""
-        keep = (
+        keep_open = (
             self._connection.discard_body()
             and not self._connection.is_closing()
         )
-        extra = [] if keep else [(b'Connection', b'close')]
+        extra = [] if keep_open else [(b'Connection', b'close')]
         self.started = True
         self._connection.write(
             h11.Response(
                 status_code=status,
                 headers=[*headers, *extra],
-                reason=_REASONS.get(status, b''),
+                reason=_REASON_PHRASES.get(status, b''),
             )
         )
 
--- a/guavagate/http1/_server.py
+++ b/guavagate/http1/_server.py
@@ -88,7 +88,8 @@
         self.announce_stop()
         self._refuse_new_connections()
         while self._clock.now() < until:
-            # Connections accepted last are counted meanwhile.
+            # Meanwhile the tasks of the connections accepted last start, so
+            # that these are counted.
             self._clock.sleep(_DRAIN_CHECK_SECONDS)
             # A connection with unread data carries a request, which would be
             # lost if it were closed now.
--- a/guavagate/integrations/_http.py
+++ b/guavagate/integrations/_http.py
@@ -133,7 +133,7 @@
         UpstreamError
             Part of the request may have been sent.
         """
-        client = self._client(address, reuse=reuse)
+        client = self._get_client(address, reuse=reuse)
         connecting = client.pool.connecting
 
         def make_timeout_error() -> UpstreamError:
@@ -176,7 +176,7 @@
             client.close()
         self._clients.clear()
 
-    def _client(self, address: str, *, reuse: bool) -> _Client:
+    def _get_client(self, address: str, *, reuse: bool) -> _Client:
         """Return the client for an address."""
         client = self._clients.get((address, reuse))
         if client is None:
--- a/guavagate/integrations/object_api/_peers.py
+++ b/guavagate/integrations/object_api/_peers.py
@@ -52,7 +52,7 @@
 LATENCY_SMOOTHING: Final = 0.5
 # While the direct route is lost; each probe has a cost.
 PROBE_INTERVAL_SECONDS: Final = 0.5
-# Where nothing urgent waits. Ninety instances that probe twice a second cost
+# Where calls are not urgent. Ninety instances that probe twice a second cost
 # more than the calls that go through peers meanwhile.
 IDLE_PROBE_INTERVAL_SECONDS: Final = 2.0
 PEER_GRACE_SECONDS: Final = 0.5
@@ -63,7 +63,7 @@
 
 
 class StoreCall(Message, frozen=True, kw_only=True):
-    """Asks a peer to make a call to the store."""
+    """Requests that a peer makes a call to the store."""
 
     call: Call
 
@@ -84,8 +84,8 @@
     probe_path
         Object to read as a probe; the status is ignored.
     is_urgent
-        Returns whether urgent calls wait here. Otherwise the route is not
-        probed while it works, because each probe has a cost.
+        Returns whether this instance's calls are urgent. Otherwise the route
+        is not probed while it works, because each probe has a cost.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
         self._usual_latency = float(0)
         self._probed_at = clock.now()
         self._waiting: dict[AsyncResult, Task] = {}
-        bus.register(StoreCall, self._serve)
+        bus.register(StoreCall, self._serve_peer)
 
     def start(self) -> None:
         """Start to check the direct route."""
@@ -278,7 +278,7 @@
             if answer is not None:
                 found.set()
 
-    def _serve(self, _: InstanceId, message: Message) -> StoreAnswer:
+    def _serve_peer(self, _: InstanceId, message: Message) -> StoreAnswer:
         """Make a peer's call, by the direct route only."""
         call = expect(message, StoreCall).call
         try:
--- a/guavagate/integrations/object_api/_retrying_client.py
+++ b/guavagate/integrations/object_api/_retrying_client.py
@@ -137,7 +137,7 @@
 
     def _get_fleet_size(self) -> int:
         # An instance that knows few others, as at its start, must not use the
-        # entire rate.
+        # entire rate for its first calls.
         return max(self._fleet_size(), const.MIN_FLEET_SIZE)
 
     def _call_once(
--- a/guavagate/metrics/_registry.py
+++ b/guavagate/metrics/_registry.py
@@ -91,6 +91,7 @@
             refresh()
 
     def _find_collector(self, metric: Metric, labels: dict[str, str]) -> Any:
+        """Return a metric's collector; `None` for one label set too many."""
         collector = self._collectors.get(metric.name)
         if collector is None:
             collector = _COLLECTORS[metric.kind](
--- a/guavagate/operators/_base.py
+++ b/guavagate/operators/_base.py
@@ -1,4 +1,4 @@
-"""Provides the services, authentication and errors of all resources."""
+"""Dependencies, authentication and error responses of all resources."""
 
 import dataclasses
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class OperatorServices:
-    """The services that the operators' routes use."""
+    """The dependencies of the operators' routes."""
 
     authenticator: Authenticator
     teams: TeamSettingsManager
--- a/guavagate/operators/_collect.py
+++ b/guavagate/operators/_collect.py
@@ -117,8 +117,8 @@
             instance, DrainAsk(who=operator), DrainBegun, _TIMEOUT_SECONDS
         )
 
-    def _start_drain(self, operator: str, requested_by: InstanceId) -> None:
-        write(_LOGGER, DRAIN_REQUESTED, who=operator, through=requested_by)
+    def _start_drain(self, operator: str, entry: InstanceId) -> None:
+        write(_LOGGER, DRAIN_REQUESTED, who=operator, through=entry)
         self._reports.start_drain()
 
     def _request_report(
--- a/guavagate/platform/_dialect.py
+++ b/guavagate/platform/_dialect.py
@@ -81,7 +81,8 @@
 def to_headers(headers: dict[str, str], team: TeamId) -> Headers:
     """Return an item's headers as they are sent to a sampler.
 
-    A job's team replaces any team and key that the trainer sent.
+    A job's team replaces any team and key that the trainer sent: a trainer must
+    not choose the team of its items, and samplers receive no keys.
     """
     encoded = [
         (name.encode('latin-1'), value.encode('latin-1'))
--- a/guavagate/platform/_edge.py
+++ b/guavagate/platform/_edge.py
@@ -22,8 +22,8 @@
 _LOGGER: Final = logging.getLogger(__name__)
 
 UNREADY_RETRY_SECONDS: Final = 0.3
-# A starting process loads its configuration in a few milliseconds. Waiting is
-# better for callers than a refusal: they retry ten times later, or never.
+# A starting process loads its configuration in a few milliseconds, so callers
+# wait. A refused one returns after ten times as long, or not at all.
 LOADING_WAIT_SECONDS: Final = 0.1
 _LOTS: Final = '/lots/'
 _ITEMS: Final = '/items/'
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -75,7 +75,7 @@
             me.id, me.peer_address, self._members.address, self._clock
         )
         self._pool = ConnectionPool(self._clock)
-        self._store_route = self._make_store_route()
+        self._peer_fallback = self._make_peer_fallback()
         self._store = self._make_store()
         self._routes = RouteTable()
         self._upstreams = UpstreamTable(
@@ -146,7 +146,7 @@
         """Start every part; HTTP servers follow the feed and registry."""
         self._members.start()
         self._bus.start()
-        self._store_route.start()
+        self._peer_fallback.start()
         self._registry.start()
         self._feed.start()
         if self._settings.data_dir:
@@ -168,7 +168,7 @@
         behind_balancer = bool(self._settings.listen.front)
         self.lifecycle.stop(self._servers, behind_balancer=behind_balancer)
 
-    def _make_store_route(self) -> PeerFallback:
+    def _make_peer_fallback(self) -> PeerFallback:
         table = self._settings.platform
         return PeerFallback(
             measure_calls(
@@ -185,14 +185,14 @@
 
     def _make_store(self) -> PlatformStore:
         table = self._settings.platform
-        caller = make_shared_client(
-            self._store_route.call,
+        client = make_shared_client(
+            self._peer_fallback.call,
             self._clock,
             lambda: len(self._members.alive()),
             reads=table.reads_per_s,
             writes=table.writes_per_s,
         )
-        return PlatformStore(caller)
+        return PlatformStore(client)
 
     def _make_feed(self) -> Feed:
         feed = Feed(
@@ -292,7 +292,7 @@
         return ServerLimits() if configuration is None else configuration.limits
 
     def reload(self, path: str) -> None:
-        """Read the settings again; new addresses take a restart."""
+        """Read the settings again; parts that are built keep the old ones."""
         try:
             self._settings = load_settings(path)
         except SettingsError as error:
--- a/guavagate/platform/_store.py
+++ b/guavagate/platform/_store.py
@@ -33,7 +33,7 @@
 # Allows for answers that take sixty times the usual few milliseconds.
 CALL_SECONDS: Final = 1.0
 DEADLINE_SECONDS: Final = 2.5
-_WATCH_GRACE: Final = 1.5
+_WATCH_GRACE_SECONDS: Final = 1.5
 
 
 class _Metadata(msgspec.Struct, omit_defaults=True):
@@ -71,8 +71,8 @@
 class PlatformStore:
     """Stores objects under ``kind/name``; the value is the ``spec``."""
 
-    def __init__(self, caller: RetryingClient) -> None:
-        self._caller = caller
+    def __init__(self, client: RetryingClient) -> None:
+        self._client = client
 
     def get(self, path: str) -> StoredObject | None:
         """Return the object, or `None`."""
@@ -140,7 +140,7 @@
         milliseconds = round(timeout * MILLIS)
         target = f'{_make_target(prefix)}?watch={since}&wait-ms={milliseconds}'
         answer = self._call(
-            'GET', target, timeout=timeout + _WATCH_GRACE, deadline=0
+            'GET', target, timeout=timeout + _WATCH_GRACE_SECONDS, deadline=0
         )
         if answer.status == _GONE:
             raise WatchCompactedError(prefix)
@@ -161,7 +161,7 @@
         deadline: float = DEADLINE_SECONDS,
     ) -> Answer:
         call = Call(method=method, path=target, body=body, timeout=timeout)
-        return self._caller.call(call, Priority.RECORDS, deadline)
+        return self._client.call(call, Priority.RECORDS, deadline)
 
 
 def _make_target(path: str) -> str:
--- a/guavagate/retirement.py
+++ b/guavagate/retirement.py
@@ -45,7 +45,7 @@
                 self._report_done(path)
             except StoreError as error:
                 _LOGGER.debug(
-                    'could not report the retirement %s: %s', path, error
+                    'Failed to report the retirement %s: %s', path, error
                 )
                 self._clock.sleep(RETRY_SECONDS)
             else:
--- a/guavagate/service.py
+++ b/guavagate/service.py
@@ -149,15 +149,15 @@
         Returns
         -------
         bool
-            Whether this instance was one of them. Only a longer-running
-            instance takes its services over, so it needn't wait until it has
-            discovered all instances that start with it; each moment without
-            an owner delays the services' steps.
+            Whether this instance was one of them. No other instance takes its
+            services over unless that one has run for longer, so it needn't
+            wait until it has discovered all instances that start with it;
+            each moment without an owner delays the services' steps.
         """
         try:
             former = list_holders(self._job_store.object_store)
         except StoreUnavailableError as error:
-            _LOGGER.debug('could not read the former owners: %s', error)
+            _LOGGER.debug('Failed to read the former owners: %s', error)
             return False
         self._ownership.set_former_owners(former)
         return self._me in former.values()
@@ -267,4 +267,4 @@
 
 
 def _do_nothing() -> None:
-    """Do nothing until `set_version_watch` is called."""
+    """Do nothing; the default until `set_version_watch` is called."""
--- a/guavagate/trainers/_resources.py
+++ b/guavagate/trainers/_resources.py
@@ -63,7 +63,7 @@
 
 
 class TrainerContext(msgspec.Struct, frozen=True, kw_only=True):
-    """The services that the routes use."""
+    """The dependencies of the routes."""
 
     runtime: Runtime
     authenticator: Authenticator
@@ -218,9 +218,9 @@
 ) -> str:
     """Return the cursor to pull with, storing a named consumer's cursor.
 
-    A named consumer acknowledges a batch by presenting its cursor in the next
-    pull. The cursor is stored before the pull, so that the consumer doesn't
-    have to keep it.
+    A named consumer acknowledges a batch by sending the batch's cursor with the
+    next pull. The cursor is stored first, so that the consumer need not keep
+    it.
     """
     if body.consumer is None:
         return body.cursor or ''
--- a/guavagate/web/_errors.py
+++ b/guavagate/web/_errors.py
@@ -116,7 +116,7 @@
         path=request.path,
         error=repr(error),
     )
-    _LOGGER.debug('unexpected error', exc_info=error)
+    _LOGGER.debug('Unexpected error', exc_info=error)
     refusal = RefusalError(
         'guavagate met an error of its own',
         'retry with the same Idempotency-Key, and report event GG5001',
--- a/guavagate/web/_server.py
+++ b/guavagate/web/_server.py
@@ -102,9 +102,9 @@
     """
     codings = headers.get_all('Transfer-Encoding') or []
     lengths = headers.get_all('Content-Length') or []
-    plain = all(one.isascii() and one.isdigit() for one in lengths)
-    chunked = not codings or [one.lower() for one in codings] == ['chunked']
-    if chunked and plain and len(lengths) < 2:
+    numeric = all(one.isascii() and one.isdigit() for one in lengths)
+    supported = not codings or [one.lower() for one in codings] == ['chunked']
+    if supported and numeric and len(lengths) < 2:
         return
     raise RefusalError(
         'the length of the body is not plain',
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -262,8 +262,8 @@
     Safeguard(
         'a stream resumes after its last complete event',
         'guavagate/forwarding/_stream.py',
-        "        run.partial = b''\n",
-        '        run.last_event_id += 0\n',
+        "        progress.partial = b''\n",
+        '        progress.last_event_id += 0\n',
         'tests/forwarding',
     ),
     Safeguard(
