--- a/standins/_balancer.py
+++ b/standins/_balancer.py
@@ -1,4 +1,4 @@
-"""A small balancer: instances from the platform's list that are ready."""
+"""Load balancer over the ready instances in the platform's list."""
 
 import itertools
 from typing import Final
@@ -12,40 +12,42 @@
 
 
 class Balancer:
-    """Spreads requests over the instances that are ready.
+    """Distributes requests over the ready instances in turn.
 
     Parameters
     ----------
     platform
-        The object API's address.
+        Address of the object API.
     credential
-        The platform's credential.
+        Credential for the object API.
     """
 
     def __init__(self, platform: str, credential: str) -> None:
         self._platform = platform
         self._headers = {'Authorization': f'Bearer {credential}'}
-        self._known: list[str] = []
+        self._addresses: list[str] = []
         self._ready: list[str] = []
-        self._turn = itertools.count()
+        self._counter = itertools.count()
         self._task = gevent.spawn(self._watch)
 
     def choose(self, avoid: str = '') -> str:
-        """Return a ready instance, another than the given one if possible."""
+        """Return a ready instance, if possible another one than `avoid`."""
         while not self._ready:
             gevent.sleep(CHECK_INTERVAL_SECONDS / 5)
-        others = [one for one in self._ready if one != avoid] or self._ready
-        return others[next(self._turn) % len(others)]
+        others = [
+            address for address in self._ready if address != avoid
+        ] or self._ready
+        return others[next(self._counter) % len(others)]
 
     def close(self) -> None:
-        """Stop looking."""
+        """Stop the periodic check."""
         self._task.kill()
 
     def _watch(self) -> None:
-        """Look after the list and each instance's readiness."""
+        """Check the list and the readiness of each instance periodically."""
         while True:
-            self._look_up()
-            addresses = self._known
+            self._refresh_addresses()
+            addresses = self._addresses
             checks = [
                 gevent.spawn(_http.is_ready, address) for address in addresses
             ]
@@ -57,8 +59,8 @@
             ]
             gevent.sleep(CHECK_INTERVAL_SECONDS)
 
-    def _look_up(self) -> None:
-        """Learn the live instances; an outage leaves those known."""
+    def _refresh_addresses(self) -> None:
+        """Read the list of live instances; keep the last one in an outage."""
         try:
             answer = _http.send_request(
                 self._platform, 'GET', '/v1/instances', headers=self._headers
@@ -66,7 +68,7 @@
         except UpstreamError:
             return
         if answer.status == 200:
-            self._known = [
+            self._addresses = [
                 entry['http_address']
                 for entry in answer.decode()['instances']
                 if entry['state'] == 'live'
--- a/standins/_bucket.py
+++ b/standins/_bucket.py
@@ -1,31 +1,31 @@
-"""A limit on calls a second."""
+"""Rate limit for calls."""
 
 import time
 
 
 class TokenBucket:
-    """A rate limit of so many calls a second, with a second's burst.
+    """Token bucket that allows a burst of one second's calls.
 
     Parameters
     ----------
     rate
-        Calls a second; 0 for no limit.
+        Calls per second; 0 for no limit.
     """
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
-        self._left = rate
-        self._at = time.monotonic()
+        self._tokens = rate
+        self._refilled_at = time.monotonic()
 
     def take(self) -> bool:
-        """Take one call, or say that there is none left."""
+        """Take one token; return whether the call is within the limit."""
         if not self._rate:
             return True
         now = time.monotonic()
-        self._left += (now - self._at) * self._rate
-        self._left = min(self._left, self._rate)
-        self._at = now
-        if self._left < 1:
+        self._tokens += (now - self._refilled_at) * self._rate
+        self._tokens = min(self._tokens, self._rate)
+        self._refilled_at = now
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
--- a/standins/_http.py
+++ b/standins/_http.py
@@ -1,4 +1,4 @@
-"""Plain HTTP calls of the stand-ins that act as callers and trainers."""
+"""HTTP client of the stand-ins that act as callers and trainers."""
 
 from typing import Any
 
@@ -12,14 +12,14 @@
 
 
 class Response(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: Headers
     body: bytes
 
     def decode(self) -> Any:
-        """Return the decoded body; nothing when it is no JSON."""
+        """Return the decoded body; an empty dict if it isn't JSON."""
         try:
             return msgspec.json.decode(self.body)
         except msgspec.MsgspecError:
@@ -39,12 +39,12 @@
     headers: Headers | None = None,
     timeout: float = 10.0,
 ) -> Response:
-    """Send one request, once; a body that is no bytes goes as JSON.
+    """Send a request without retries; encode a body as JSON unless bytes.
 
     Raises
     ------
     UpstreamError
-        No whole answer came.
+        No complete response came.
     """
     data = body if isinstance(body, bytes) else msgspec.json.encode(body)
     answer = CONNECTIONS.send(
@@ -62,7 +62,7 @@
 
 
 def is_ready(address: str) -> bool:
-    """Tell whether an instance takes requests."""
+    """Return whether an instance accepts requests."""
     try:
         return (
             send_request(address, 'GET', '/readyz', timeout=1.0).status == 200
--- a/standins/_roles.py
+++ b/standins/_roles.py
@@ -1,4 +1,4 @@
-"""The roles that a stand-in process can take."""
+"""Roles of a stand-in process and its command line."""
 
 import signal
 from collections.abc import Callable
@@ -22,10 +22,10 @@
 )
 from standins._web import serve
 
-Maker = tuple[type[msgspec.Struct], Callable[[Any], falcon.App]]
-Actor = tuple[type[msgspec.Struct], Callable[[Any, Event], None]]
+ServerRole = tuple[type[msgspec.Struct], Callable[[Any], falcon.App]]
+ClientRole = tuple[type[msgspec.Struct], Callable[[Any, Event], None]]
 
-ROLES: dict[str, Maker] = {
+SERVER_ROLES: dict[str, ServerRole] = {
     'object-api': (object_api.ObjectApiOptions, object_api.make_app),
     'engine': (engine.EngineOptions, engine.make_app),
     'plain': (plain.PlainOptions, plain.make_app),
@@ -35,7 +35,7 @@
 }
 
 
-ACTORS: dict[str, Actor] = {
+CLIENT_ROLES: dict[str, ClientRole] = {
     'caller': (caller.CallerOptions, caller.run),
     'trainer': (trainer.TrainerOptions, trainer.run),
 }
@@ -44,7 +44,7 @@
 def read_options(
     role: str, kind: type[msgspec.Struct], pairs: dict[str, str]
 ) -> msgspec.Struct:
-    """Return a role's options, given as text."""
+    """Convert the options of a role from text."""
     try:
         return msgspec.convert(pairs, kind, strict=False)
     except msgspec.ValidationError as error:
@@ -55,7 +55,9 @@
 
 
 @click.command()
-@click.argument('role', type=click.Choice(sorted((*ROLES, *ACTORS))))
+@click.argument(
+    'role', type=click.Choice(sorted((*SERVER_ROLES, *CLIENT_ROLES)))
+)
 @click.option('--listen', default='', help='127.0.0.1:PORT, 0 for any')
 @click.argument('options', nargs=-1, metavar='[OPTION=VALUE …]')
 def main(role: str, listen: str, options: tuple[str, ...]) -> None:
@@ -68,16 +70,16 @@
     stopped = Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         gevent.signal_handler(number, stopped.set)
-    if role in ACTORS:
-        kind, act = ACTORS[role]
+    if role in CLIENT_ROLES:
+        kind, run = CLIENT_ROLES[role]
         click.echo(role)
-        act(read_options(role, kind, pairs), stopped)
+        run(read_options(role, kind, pairs), stopped)
         return
-    kind, make = ROLES[role]
+    kind, make_app = SERVER_ROLES[role]
     host, _, port = listen.rpartition(':')
     if host != '127.0.0.1':
         raise click.BadParameter('--listen takes 127.0.0.1:PORT only')
-    server = serve(make(read_options(role, kind, pairs)), int(port))
+    server = serve(make_app(read_options(role, kind, pairs)), int(port))
     click.echo(server.address)
     stopped.wait()
     server.stop()
--- a/standins/_web.py
+++ b/standins/_web.py
@@ -1,4 +1,4 @@
-"""What the stand-ins' web applications share: routes, servers, faults."""
+"""Routes, servers and faults that the stand-ins' applications share."""
 
 import socket
 from collections.abc import Callable
@@ -16,13 +16,13 @@
 
 
 class _Handler(WSGIHandler):
-    """Hands the connection to the application, which may reset it."""
+    """Passes the socket to the application, which may reset it."""
 
     def handle(self) -> None:
-        """Send each piece at once.
+        """Disable Nagle's algorithm.
 
-        Otherwise a streamed piece waits until the client has acknowledged the
-        one before it, which clients delay by 40 ms.
+        Otherwise each streamed chunk waits until the client acknowledges the
+        previous one, and clients delay acknowledgements by 40 ms.
         """
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         super().handle()
@@ -35,14 +35,14 @@
 
 
 class Server:
-    """One running stand-in.
+    """A running stand-in.
 
     Parameters
     ----------
     app
         A WSGI application.
     port
-        0 for any free one.
+        Port to listen on; 0 for any free one.
     """
 
     def __init__(self, app: falcon.App, port: int = 0) -> None:
@@ -62,7 +62,7 @@
         return f'127.0.0.1:{self._server.server_port}'
 
     def stop(self) -> None:
-        """Close the socket and cut what runs."""
+        """Close the socket and abort running requests."""
         self._server.stop(timeout=0)
 
     def wait(self) -> None:
@@ -76,7 +76,7 @@
 
 
 def route(app: falcon.App, template: str, **responders: Responder) -> None:
-    """Route methods, named in lower case, to plain functions."""
+    """Add a route; keywords map lower-case HTTP methods to functions."""
     members = {
         f'on_{method}': staticmethod(responder)
         for method, responder in responders.items()
@@ -85,7 +85,7 @@
 
 
 def read_json(req: falcon.Request, kind: Any = dict) -> Any:
-    """Return the decoded body, or answer 400."""
+    """Return the decoded body; respond with 400 if it is invalid."""
     data = req.bounded_stream.read()
     try:
         return msgspec.json.decode(data or b'{}', type=kind)
@@ -94,20 +94,20 @@
 
 
 def write_json(resp: falcon.Response, answer: Any, status: int = 200) -> None:
-    """Answer with JSON."""
+    """Respond with JSON."""
     resp.status = status
     resp.content_type = 'application/json'
     resp.data = msgspec.json.encode(answer)
 
 
 def write_error(resp: falcon.Response, status: int, code: str) -> None:
-    """Answer with an error code."""
+    """Respond with an error code."""
     write_json(resp, {'error': {'code': code, 'message': code}}, status)
 
 
 def reset_connection(req: falcon.Request) -> None:
-    """Break the caller's connection, so that it gets no answer.
+    """Break the client's connection, so that it receives no response.
 
-    The server's files keep the socket open over a mere close.
+    Closing the socket isn't enough: the server's file objects keep it open.
     """
     req.env[_ENV_SOCKET].shutdown(socket.SHUT_RDWR)
--- a/standins/caller/__init__.py
+++ b/standins/caller/__init__.py
@@ -1,4 +1,4 @@
-"""A caller as a stand-in: sends a mix of requests and records the answers."""
+"""Stand-in for a caller: sends a mix of requests and records answers."""
 
 from standins.caller._caller import Caller, CallerOptions, run
 
--- a/standins/caller/_caller.py
+++ b/standins/caller/_caller.py
@@ -1,4 +1,4 @@
-"""Sends requests at a rate, retries them, and records what comes."""
+"""Sends requests at a mean rate, retries them and records the results."""
 
 import random
 import time
@@ -27,19 +27,19 @@
 class CallerOptions(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """How a caller behaves.
+    """Options of a caller; times in seconds.
 
     Parameters
     ----------
     rate
-        Requests a second.
+        Mean number of requests per second.
     limit_s
-        Time for all attempts of one request.
+        Time limit for all attempts of one request.
     completion, chat, read, write
-        Shares of the kinds of request.
+        Relative weights of the request kinds.
     impatience
-        Share of the requests whose first attempt is given up after
-        `impatient_s`, while it runs, and sent again to another instance.
+        Share of the requests whose first attempt is abandoned after
+        `impatient_s`, while it runs, and retried at another instance.
     """
 
     id: str
@@ -63,17 +63,17 @@
 
 
 class Caller:
-    """One caller's state.
+    """State of one caller.
 
     Parameters
     ----------
     options
-        How it behaves.
+        Load and behaviour of the caller.
     """
 
     def __init__(self, options: CallerOptions) -> None:
         self._options = options
-        self._draw = random.Random(options.seed)
+        self._rng = random.Random(options.seed)
         self._recorder = Recorder(options.history, f'caller-{options.id}')
         self._balancer = Balancer(options.platform, options.credential)
         self._tasks = Group()
@@ -83,47 +83,49 @@
         }
 
     def run(self, stopped: Event) -> None:
-        """Send until told to stop, then wait for what is outstanding."""
+        """Send requests until `stopped` is set, then wait for open ones."""
         number = 0
         while not stopped.is_set():
             number += 1
-            kind = self._draw.choices(
+            kind = self._rng.choices(
                 list(self._shares), list(self._shares.values())
             )[0]
-            prompt = self._draw.randrange(len(PROMPTS))
-            hasty = self._draw.random() < self._options.impatience
-            self._tasks.spawn(self._work, kind, number, prompt, hasty=hasty)
-            stopped.wait(self._draw.expovariate(self._options.rate))
+            prompt = self._rng.randrange(len(PROMPTS))
+            impatient = self._rng.random() < self._options.impatience
+            self._tasks.spawn(
+                self._run_request, kind, number, prompt, impatient=impatient
+            )
+            stopped.wait(self._rng.expovariate(self._options.rate))
         self._tasks.join()
         self._balancer.close()
 
-    def _work(
-        self, kind: str, number: int, prompt: int, *, hasty: bool
+    def _run_request(
+        self, kind: str, number: int, prompt: int, *, impatient: bool
     ) -> None:
-        """See one request through, over as many attempts as it takes."""
-        until = time.monotonic() + self._options.limit_s
+        """Send a request and retry it until it succeeds or time runs out."""
+        deadline = time.monotonic() + self._options.limit_s
         avoid = ''
         attempt = 0
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             attempt += 1
-            request = self._make(kind, number, attempt, prompt)
+            request = self._make_request(kind, number, attempt, prompt)
             address = self._balancer.choose(avoid)
             timeout = self._options.timeout_s
-            if hasty and attempt == 1:
+            if impatient and attempt == 1:
                 timeout = self._options.impatient_s
-            pause = self._try(address, request, attempt, timeout)
-            if pause is None:
+            delay = self._send_attempt(address, request, attempt, timeout)
+            if delay is None:
                 return
             avoid = address
-            gevent.sleep(pause)
+            gevent.sleep(delay)
 
-    def _make(
+    def _make_request(
         self, kind: str, number: int, attempt: int, prompt: int
     ) -> Request:
-        """Return one attempt.
+        """Create the request of one attempt.
 
-        All attempts of a write have one name and key: it may run once. Any
-        other attempt stands for itself.
+        All attempts of a write share one name and key, because it may run
+        only once. Attempts of other kinds are independent requests.
         """
         name = f'{self._options.id}-{number}'
         writes = kind == 'write'
@@ -137,10 +139,10 @@
             max_tokens=self._options.max_tokens,
         )
 
-    def _try(
+    def _send_attempt(
         self, address: str, request: Request, attempt: int, timeout: float
     ) -> float | None:
-        """Make one attempt; return the pause before another, or nothing."""
+        """Send one attempt; return the delay before a retry, if any."""
         who = self._options.id
         name = f'{request.name}@{attempt}'
         self._recorder.record(
@@ -183,16 +185,18 @@
                 not_run=result.not_run,
             )
         )
-        return self._judge(request, result)
+        return self._choose_retry_delay(request, result)
 
-    def _judge(self, request: Request, refused: Refused) -> float | None:
-        """Return the pause before a retry, or nothing when it is final."""
-        unknown = request.kind == 'write' and refused.not_run != 'true'
-        if unknown or refused.status not in _RETRIED_STATUS:
+    def _choose_retry_delay(
+        self, request: Request, refused: Refused
+    ) -> float | None:
+        """Return the delay before a retry, or None for a final refusal."""
+        may_have_run = request.kind == 'write' and refused.not_run != 'true'
+        if may_have_run or refused.status not in _RETRIED_STATUS:
             return None
-        return min(refused.retry_after, 2) * self._draw.uniform(0.5, 1)
+        return min(refused.retry_after, 2) * self._rng.uniform(0.5, 1)
 
 
 def run(options: CallerOptions, stopped: Event) -> None:
-    """Run a caller until told to stop."""
+    """Run a caller until `stopped` is set."""
     Caller(options).run(stopped)
--- a/standins/caller/_requests.py
+++ b/standins/caller/_requests.py
@@ -1,4 +1,4 @@
-"""The kinds of request that a caller sends, and how answers are read."""
+"""Sends each kind of request and parses the answer."""
 
 from collections.abc import Iterator
 from typing import Any, Final
@@ -22,7 +22,7 @@
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True):
-    """One attempt of a request; `name` is what upstreams see."""
+    """One attempt of a request; upstreams record its `name`."""
 
     kind: str
     name: str
@@ -34,14 +34,14 @@
 
 
 class Answered(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole answer, with the versions that it names."""
+    """A complete answer and the weight versions that it names."""
 
     text: str
     versions: tuple[int, ...] = ()
 
 
 class Refused(msgspec.Struct, frozen=True, kw_only=True):
-    """A refusal, as its body says."""
+    """A refusal, parsed from its response."""
 
     status: int
     reason: str
@@ -53,7 +53,7 @@
 
 
 def send(address: str, token: str, request: Request, timeout: float) -> Result:
-    """Send one attempt; raises `UpstreamError` when it breaks off."""
+    """Send one attempt; raise `UpstreamError` if no complete answer came."""
     headers = {
         'Authorization': f'Bearer {token}',
         HEADER_DEADLINE: _DEADLINE_MS,
@@ -70,7 +70,7 @@
 def _send_completion(
     address: str, headers: _http.Headers, request: Request, timeout: float
 ) -> Result:
-    """Ask for a completion in one piece."""
+    """Request a completion without streaming."""
     body = {
         'model': request.model,
         'prompt': tag_prompt(PROMPTS[request.prompt], request.name),
@@ -85,18 +85,18 @@
         timeout=timeout,
     )
     if answer.status != 200:
-        return read_refusal(answer)
-    whole = answer.decode()
+        return parse_refusal(answer)
+    completion = answer.decode()
     return Answered(
-        text=whole['choices'][0]['text'],
-        versions=_read_versions(whole),
+        text=completion['choices'][0]['text'],
+        versions=_parse_versions(completion),
     )
 
 
 def _send_chat(
     address: str, headers: _http.Headers, request: Request, timeout: float
 ) -> Result:
-    """Ask for a chat's answer as a stream."""
+    """Request a streamed chat completion."""
     text = tag_prompt(PROMPTS[request.prompt], request.name)
     body = {
         'model': request.model,
@@ -116,7 +116,7 @@
     try:
         if answer.status_code != 200:
             data = _http.CONNECTIONS.read(address, answer, timeout)
-            return read_refusal(_http.Response(answer.status_code, {}, data))
+            return parse_refusal(_http.Response(answer.status_code, {}, data))
         return _join_events(list(_read_events(address, answer, timeout)))
     finally:
         answer.release()
@@ -125,7 +125,7 @@
 def _read_events(
     address: str, answer: Any, timeout: float
 ) -> Iterator[dict[str, Any]]:
-    """Yield a stream's events; without its terminal one it is broken."""
+    """Yield the events of a stream; raise if it ends without ``[DONE]``."""
     while line := _http.CONNECTIONS.read_until(
         b'\n\n', address, answer, timeout
     ):
@@ -135,41 +135,44 @@
         if data == _DONE:
             return
         yield msgspec.json.decode(data)
-    raise UpstreamError(f'{address} sent no [DONE]', 'ask another instance')
+    raise UpstreamError(
+        f'{address} ended the stream without [DONE]',
+        'retry at another instance',
+    )
 
 
 def _join_events(events: list[dict[str, Any]]) -> Result:
-    """Return the answer that a stream's events make."""
+    """Assemble the answer from the events of a stream."""
     parts = []
     versions: tuple[int, ...] = ()
     for event in events:
         for choice in event.get('choices', ()):
             parts.append(choice.get('delta', {}).get('content', ''))
-        versions = _read_versions(event) or versions
+        versions = _parse_versions(event) or versions
     return Answered(text=''.join(parts), versions=versions)
 
 
 def _send_service(
     address: str, headers: _http.Headers, request: Request, timeout: float
 ) -> Result:
-    """Call a plain service; the path names the request."""
+    """Call a plain service; the path contains the request's name."""
     writes = request.kind == 'write'
-    place = 'renewals' if writes else 'slots'
+    resource = 'renewals' if writes else 'slots'
     answer = _http.send_request(
         address,
         'POST' if writes else 'GET',
-        f'/v1/services/{request.service}/{place}/{request.name}',
+        f'/v1/services/{request.service}/{resource}/{request.name}',
         b'renew' if writes else None,
         headers=headers,
         timeout=timeout,
     )
     if answer.status != 200:
-        return read_refusal(answer)
+        return parse_refusal(answer)
     return Answered(text=answer.body.decode())
 
 
-def read_refusal(answer: _http.Response) -> Refused:
-    """Return what a refusal's body says."""
+def parse_refusal(answer: _http.Response) -> Refused:
+    """Parse a refusal."""
     body = answer.decode()
     error = body.get('error', {}) if isinstance(body, dict) else {}
     return Refused(
@@ -180,7 +183,7 @@
     )
 
 
-def _read_versions(event: dict[str, Any]) -> tuple[int, ...]:
-    """Return the versions that an answer names."""
+def _parse_versions(event: dict[str, Any]) -> tuple[int, ...]:
+    """Return the weight versions in the provenance of an answer."""
     provenance = event.get('guavagate') or {}
     return tuple(version for version, _ in provenance.get('versions', ()))
--- a/standins/engine/__init__.py
+++ b/standins/engine/__init__.py
@@ -1,4 +1,4 @@
-"""A model engine as a stand-in."""
+"""Stand-in for a model engine."""
 
 from standins.engine._app import make_app
 from standins.engine._options import EngineFaults, EngineOptions
--- a/standins/engine/_app.py
+++ b/standins/engine/_app.py
@@ -1,4 +1,4 @@
-"""The engine's routes."""
+"""HTTP routes of the engine stand-in."""
 
 from collections.abc import Iterator
 from typing import Any, Final
@@ -22,16 +22,16 @@
 
 
 def make_app(options: EngineOptions | None = None) -> falcon.App:
-    """Return the stand-in as a WSGI application."""
+    """Create the WSGI application of the stand-in."""
     engine = Engine(options or EngineOptions())
     app = falcon.App()
-    _route_work(app, engine)
-    _route_control(app, engine)
+    _add_completion_routes(app, engine)
+    _add_control_routes(app, engine)
     return app
 
 
-def _route_work(app: falcon.App, engine: Engine) -> None:
-    """Add completions and cancels."""
+def _add_completion_routes(app: falcon.App, engine: Engine) -> None:
+    """Add the routes that start and cancel completions."""
 
     def complete(req: falcon.Request, resp: falcon.Response) -> None:
         request = read_json(req, Request)
@@ -57,33 +57,33 @@
 def _stream(
     req: falcon.Request, engine: Engine, request: Request
 ) -> Iterator[bytes]:
-    """Yield the exchange as server-sent events, with the faults set."""
-    cut = engine.draw.random() < engine.faults.cut
+    """Yield the completion as server-sent events, with injected faults."""
+    truncated = engine.rng.random() < engine.faults.cut
     for event in engine.generate(request):
         if engine.faults.crash:
             reset_connection(req)
             return
-        if cut and event['choices'][0]['finish_reason']:
+        if truncated and event['choices'][0]['finish_reason']:
             return
-        yield _encode(_cross(engine, event))
+        yield _encode(_cross_event(engine, event))
     yield _DONE
 
 
 def _encode(event: dict[str, Any]) -> bytes:
-    """Return an event's line."""
+    """Encode a server-sent event."""
     return b'data: %b\n\n' % msgspec.json.encode(event)
 
 
-def _cross(engine: Engine, event: dict[str, Any]) -> dict[str, Any]:
-    """Give some pieces the id of another exchange."""
-    others = [one for one in engine.list_running() if one != event['id']]
-    if others and engine.draw.random() < engine.faults.cross:
-        event['id'] = engine.draw.choice(others)
+def _cross_event(engine: Engine, event: dict[str, Any]) -> dict[str, Any]:
+    """Replace the id of some events by that of another exchange."""
+    others = [id_ for id_ in engine.list_running() if id_ != event['id']]
+    if others and engine.rng.random() < engine.faults.cross:
+        event['id'] = engine.rng.choice(others)
     return event
 
 
-def _route_control(app: falcon.App, engine: Engine) -> None:
-    """Add reports, orders, cache events and faults."""
+def _add_control_routes(app: falcon.App, engine: Engine) -> None:
+    """Add the routes for reports, orders, cache events and faults."""
 
     def report(req: falcon.Request, resp: falcon.Response) -> None:
         if engine.faults.crash:
@@ -101,8 +101,8 @@
 
     def cache_events(req: falcon.Request, resp: falcon.Response) -> None:
         since = req.get_param_as_int('since') or 0
-        following, events = engine.cache.show_events(since)
-        write_json(resp, {'next': following, 'events': events})
+        next_number, events = engine.cache.list_events(since)
+        write_json(resp, {'next': next_number, 'events': events})
 
     def set_faults(req: falcon.Request, resp: falcon.Response) -> None:
         engine.faults = read_json(req, EngineFaults)
--- a/standins/engine/_engine.py
+++ b/standins/engine/_engine.py
@@ -1,4 +1,4 @@
-"""The engine's batch: slots, tokens, cancels and what it reports."""
+"""Batch of the engine: slots, token generation, cancels and reports."""
 
 import random
 import time
@@ -17,24 +17,24 @@
 from standins.history import Recorder
 from standins.text import choose_length, make_token
 
-# A prompt's tokens are counted roughly, by its characters.
+# Estimates the number of tokens of a prompt from its length.
 CHARACTERS_PER_TOKEN: Final = 4
 
 
 class Engine:
-    """One engine's state.
+    """State of one engine.
 
     Parameters
     ----------
     options
-        How it behaves.
+        Speed, capacity and reporting of the engine.
     """
 
     def __init__(self, options: EngineOptions) -> None:
         self.options = options
         self.faults = EngineFaults()
         self.recorder = Recorder(options.history, f'engine-{options.id}')
-        self.draw = random.Random(options.seed)
+        self.rng = random.Random(options.seed)
         self.version = options.version
         self.prefetched = {options.version}
         self.adapters: set[str] = set()
@@ -51,10 +51,10 @@
         self._slots = BoundedSemaphore(options.slots)
         self._running: dict[str, Event] = {}
         self._queued = 0
-        self._reported: tuple[float, EngineReport] | None = None
+        self._last_report: tuple[float, EngineReport] | None = None
 
     def get_rejection_code(self) -> str:
-        """Return why a request is not started, or nothing."""
+        """Return the code that rejects a new request; empty to accept it."""
         if self.faults.leaving:
             return 'leaving'
         if self.faults.overloaded or self._queued >= self.options.max_queue:
@@ -62,7 +62,7 @@
         return ''
 
     def cancel(self, exchange: str) -> bool:
-        """Stop an exchange; tell whether it was running."""
+        """Stop an exchange; return whether it was running."""
         stopped = self._running.get(exchange)
         if stopped is None:
             return False
@@ -70,11 +70,11 @@
         return True
 
     def list_running(self) -> list[str]:
-        """Return the exchanges that run, for crossing them."""
+        """Return the ids of the running exchanges."""
         return list(self._running)
 
     def generate(self, request: Request) -> Iterator[dict[str, Any]]:
-        """Yield the events of one exchange in a slot of the batch."""
+        """Run one exchange in a slot of the batch and yield its events."""
         stopped = Event()
         self._queued += 1
         try:
@@ -87,26 +87,26 @@
             cached = self._prefill(request)
             for event in self._decode(request, stopped):
                 event['usage']['cached_tokens'] = cached
-                trace.add(event)
+                trace.record_event(event)
                 yield event
         finally:
             self._running.pop(request.request_id, None)
             self._slots.release()
-            trace.close()
+            trace.flush()
 
     def report(self) -> EngineReport:
-        """Return what the engine says of itself, late."""
+        """Return the last report; renew it once it is `report_lag_s` old."""
         now = time.monotonic()
-        current = self._describe()
-        if self._reported is None:
-            self._reported = (now, current)
-        at, shown = self._reported
-        if now - at >= self.options.report_lag_s:
-            self._reported = (now, current)
-        return shown
-
-    def _describe(self) -> EngineReport:
-        """Return the state as it is."""
+        current = self._make_report()
+        if self._last_report is None:
+            self._last_report = (now, current)
+        reported_at, report = self._last_report
+        if now - reported_at >= self.options.report_lag_s:
+            self._last_report = (now, current)
+        return report
+
+    def _make_report(self) -> EngineReport:
+        """Return the current state."""
         return EngineReport(
             version=WeightVersion(self.version),
             prefetched=tuple(map(WeightVersion, sorted(self.prefetched))),
@@ -118,44 +118,48 @@
         )
 
     def _prefill(self, request: Request) -> int:
-        """Take the time of the uncached part; return the cached tokens."""
-        cached = len(request.prompt) * self.cache.use(request.prompt)
-        missing = len(request.prompt + request.resume_text) - cached
-        gevent.sleep(missing / 1000 * self.options.prefill_s * self.faults.slow)
+        """Sleep for the uncached part; return the number of cached tokens."""
+        cached = len(request.prompt) * self.cache.look_up_and_store(
+            request.prompt
+        )
+        uncached = len(request.prompt + request.resume_text) - cached
+        gevent.sleep(
+            uncached / 1000 * self.options.prefill_s * self.faults.slow
+        )
         return round(cached / CHARACTERS_PER_TOKEN)
 
     def _decode(
         self, request: Request, stopped: Event
     ) -> Iterator[dict[str, Any]]:
-        """Yield pieces of tokens up to the terminal one."""
+        """Generate tokens and yield an event per piece, up to the last one."""
         start = min(request.resume_tokens, request.max_tokens)
-        total = max(self._draw_length(request), start)
+        total = max(self._choose_length(request), start)
         index = start
         while not stopped.is_set():
             piece, version = self._make_piece(request.prompt, index, total)
             index += len(piece)
-            yield self._show(
+            yield self._make_event(
                 request, piece, version, index - start, done=index >= total
             )
             if index >= total:
                 return
 
-    def _draw_length(self, request: Request) -> int:
-        """Return how long the answer becomes."""
+    def _choose_length(self, request: Request) -> int:
+        """Return the number of tokens of the answer."""
         if self.options.fixed_length:
             return request.max_tokens
-        draw = request.request_id if request.seed is None else request.seed
-        return choose_length(request.prompt, str(draw), request.max_tokens)
+        seed = request.request_id if request.seed is None else request.seed
+        return choose_length(request.prompt, str(seed), request.max_tokens)
 
     def _make_piece(
         self, prompt: str, index: int, total: int
     ) -> tuple[list[str], int]:
-        """Make some tokens by the version loaded now."""
+        """Generate one piece of tokens, all by the same version."""
         self._wait_until_serving()
         version = self.version
         piece: list[str] = []
         while index + len(piece) < total:
-            self._step()
+            self._generate_token()
             if version != self.version and piece:
                 break
             version = self.version
@@ -164,31 +168,31 @@
                 break
         return piece, version
 
-    def _step(self) -> None:
-        """Take the time of one token; a full batch is slower."""
+    def _generate_token(self) -> None:
+        """Sleep for one token; the more slots are in use, the longer."""
         load = len(self._running) / self.options.slots
         factor = 1 + self.options.slowdown * load
         gevent.sleep(self.options.token_s * factor * self.faults.slow)
         self._wait_until_serving()
 
     def _wait_until_serving(self) -> None:
-        """Wait out a swap, and hang while stalled."""
+        """Wait until a swap is done and the stall fault is cleared."""
         self.serving.wait()
         while self.faults.stall:
             gevent.sleep(0.05)
 
-    def _show(
+    def _make_event(
         self,
         request: Request,
         piece: list[str],
         version: int,
-        made: int,
+        generated: int,
         *,
         done: bool,
     ) -> dict[str, Any]:
-        """Return one event, with the tokens made so far."""
+        """Return one event, with the number of tokens generated so far."""
         finish = 'stop' if done else None
-        usage = {'tokens': len(piece), 'completion_tokens': made}
+        usage = {'tokens': len(piece), 'completion_tokens': generated}
         event: dict[str, Any] = {
             'id': request.request_id,
             'choices': [{'text': ''.join(piece), 'finish_reason': finish}],
--- a/standins/engine/_options.py
+++ b/standins/engine/_options.py
@@ -1,4 +1,4 @@
-"""How an engine behaves, and its faults."""
+"""Options, faults and requests of the engine stand-in."""
 
 import msgspec
 
@@ -6,25 +6,25 @@
 class EngineOptions(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """How an engine behaves; times in seconds.
+    """Options of an engine; times in seconds.
 
     Parameters
     ----------
     token_s
-        Time a token takes when it runs alone.
+        Time per token when a single request runs.
     slowdown
-        Added share of `token_s` when all slots are in use.
+        Share of `token_s` that is added when all slots are in use.
     prefill_s
-        Time for a thousand prompt characters that are not cached.
+        Time per 1000 prompt characters that are not cached.
     cache_blocks
-        Prefix blocks that the cache holds.
+        Capacity of the prefix cache in blocks.
     event_gap
         Share of the cache events that are never published.
     fixed_length
-        Make every answer as long as it may be, for measurements.
+        Generate `max_tokens` for every request, for measurements.
     weight_store
-        Address from which versions are fetched; without one, any version is
-        at hand.
+        Address from which versions are fetched; when empty, every version
+        is available at once.
     """
 
     id: str = 'sampler-1'
@@ -49,24 +49,24 @@
 
 
 class EngineFaults(msgspec.Struct, forbid_unknown_fields=True):
-    """What ``POST /control/faults`` sets; what it leaves out is healthy.
+    """Body of ``POST /control/faults``; omitted faults are cleared.
 
     Parameters
     ----------
     crash
-        End all streams by a reset and refuse connections' requests so.
+        Reset the connection of every stream and every new request.
     stall
-        Streams stay open and send nothing more.
+        Keep streams open without sending events.
     slow
-        Factor on all times.
+        Factor for all times.
     cut
-        Share of streams that end early without their terminal event.
+        Share of streams that end without their terminal event.
     cross
-        Share of pieces that go out under another exchange's id.
+        Share of events that carry the id of another exchange.
     fail_swaps
-        How many of the next swaps fail.
+        Number of swaps to fail, from the next one on.
     silent_versions
-        Leave the weight version out of the stream.
+        Omit the weight version from the stream.
     """
 
     crash: bool = False
@@ -81,7 +81,7 @@
 
 
 class Request(msgspec.Struct, kw_only=True):
-    """What is asked for; `max_tokens` includes the resumed tokens."""
+    """Body of a completion; `max_tokens` includes the resumed tokens."""
 
     request_id: str
     prompt: str
--- a/standins/engine/_orders.py
+++ b/standins/engine/_orders.py
@@ -1,4 +1,4 @@
-"""How an engine carries out orders."""
+"""Execution of the orders that an engine receives."""
 
 import gevent
 from geventhttpclient import HTTPClient
@@ -7,13 +7,13 @@
 from guavagate.ports.engine import EngineOrder
 from standins.engine._engine import Engine
 
-Answer = tuple[int, str]
+Result = tuple[int, str]
 
-_DONE: Answer = (200, '')
+_DONE: Result = (200, '')
 
 
-def execute_order(engine: Engine, order: EngineOrder) -> Answer:
-    """Carry out an order; return an HTTP status and an error code."""
+def execute_order(engine: Engine, order: EngineOrder) -> Result:
+    """Execute an order; return an HTTP status and an error code."""
     if engine.options.checks_fences and order.fence < engine.fence:
         return 409, 'stale_fence'
     engine.fence = max(engine.fence, order.fence)
@@ -23,8 +23,8 @@
     return action(engine, order)
 
 
-def _prefetch(engine: Engine, order: EngineOrder) -> Answer:
-    """Fetch a version in the background; the report shows it when there."""
+def _prefetch(engine: Engine, order: EngineOrder) -> Result:
+    """Fetch a version in the background; reports list it once complete."""
     version = order.version
     if version is None:
         return 400, 'no_version'
@@ -34,7 +34,7 @@
 
 
 def _fetch(engine: Engine, version: WeightVersion) -> None:
-    """Fetch from the weight store, as often as its rate limit asks for."""
+    """Fetch from the weight store; retry when it rejects or fails."""
     address = engine.options.weight_store
     path = f'/v1/weights/{engine.options.run}/{version}'
     while address and not _fetch_once(address, path):
@@ -43,7 +43,7 @@
 
 
 def _fetch_once(address: str, path: str) -> bool:
-    """Fetch a version; tell whether all of it came."""
+    """Fetch a version once; return whether it arrived completely."""
     host, _, port = address.rpartition(':')
     client = HTTPClient(host, int(port))
     try:
@@ -56,8 +56,8 @@
     return answer.status_code == 200
 
 
-def _swap(engine: Engine, order: EngineOrder) -> Answer:
-    """Swap the weights; streams wait, then go on by the new version."""
+def _swap(engine: Engine, order: EngineOrder) -> Result:
+    """Swap the weights; streams pause, then continue on the new version."""
     version = order.version
     if version is None:
         return 400, 'no_version'
@@ -76,20 +76,20 @@
     return _DONE
 
 
-def _load_adapter(engine: Engine, order: EngineOrder) -> Answer:
+def _load_adapter(engine: Engine, order: EngineOrder) -> Result:
     """Load an adapter."""
     engine.adapters.add(order.name)
     return _DONE
 
 
-def _unload_adapter(engine: Engine, order: EngineOrder) -> Answer:
+def _unload_adapter(engine: Engine, order: EngineOrder) -> Result:
     """Unload an adapter."""
     engine.adapters.discard(order.name)
     return _DONE
 
 
-def _set_role(engine: Engine, order: EngineOrder) -> Answer:
-    """Change the role between prefill, decode and both."""
+def _set_role(engine: Engine, order: EngineOrder) -> Result:
+    """Set the role: prefill, decode or both."""
     engine.role = order.name
     return _DONE
 
--- a/standins/engine/_trace.py
+++ b/standins/engine/_trace.py
@@ -1,4 +1,4 @@
-"""What an engine records of one exchange."""
+"""History of one exchange at an engine."""
 
 from typing import Any
 
@@ -12,33 +12,33 @@
 from standins.text import parse_tag
 
 
-def read_sample(exchange: str) -> str:
-    """Return the sample that an exchange is for, or nothing.
+def parse_sample_id(exchange: str) -> str:
+    """Return the sample id of an exchange; empty for a caller's request.
 
     guavagate names a sample's exchanges ``run/sample#attempt``.
     """
-    subject, mark, _ = exchange.partition('#')
-    return subject.partition('/')[2] if mark else ''
+    subject, separator, _ = exchange.partition('#')
+    return subject.partition('/')[2] if separator else ''
 
 
 class Trace:
-    """Records an exchange's start, its text by version, and its answer.
+    """Records the start, the text per version and the answer of an exchange.
 
     Parameters
     ----------
     recorder
-        Where it goes.
+        Destination of the events.
     who
-        The engine.
+        Id of the engine.
     request
-        What is run.
+        The request of the exchange.
     """
 
     def __init__(self, recorder: Recorder, who: str, request: Request) -> None:
         self._recorder = recorder
         self._who = who
         self._request = request
-        self._name = parse_tag(request.prompt)
+        self._tag = parse_tag(request.prompt)
         self._text = ''
         self._answer = request.resume_text
         self._version = 0
@@ -46,18 +46,18 @@
             RanAtUpstream(
                 at=now(),
                 who=who,
-                request=self._name,
+                request=self._tag,
                 body=request.prompt,
                 exchange=request.request_id,
             )
         )
 
-    def add(self, event: dict[str, Any]) -> None:
-        """Note an event before it is sent."""
+    def record_event(self, event: dict[str, Any]) -> None:
+        """Record an event before it is sent."""
         choice = event['choices'][0]
         version = event.get('weight_version', 0)
         if version != self._version:
-            self.close()
+            self.flush()
         self._version = version
         self._text += choice['text']
         self._answer += choice['text']
@@ -66,14 +66,14 @@
                 AnsweredByUpstream(
                     at=now(),
                     who=self._who,
-                    request=self._name,
+                    request=self._tag,
                     answer=self._answer,
                     exchange=self._request.request_id,
                 )
             )
 
-    def close(self) -> None:
-        """Record the text that one version made."""
+    def flush(self) -> None:
+        """Record the pending text, which one version generated."""
         if not self._text:
             return
         self._recorder.record(
@@ -83,8 +83,8 @@
                 exchange=self._request.request_id,
                 version=self._version,
                 text=self._text,
-                sample=read_sample(self._request.request_id),
-                request=self._name,
+                sample=parse_sample_id(self._request.request_id),
+                request=self._tag,
             )
         )
         self._text = ''
--- a/standins/object_api/__init__.py
+++ b/standins/object_api/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's object API and list of instances, as a stand-in."""
+"""Stand-in for the platform's object API and instance list."""
 
 from standins.object_api._app import ObjectApiOptions, make_app
 from standins.object_api._store import Store
--- a/standins/object_api/_app.py
+++ b/standins/object_api/_app.py
@@ -1,4 +1,4 @@
-"""The object API's routes."""
+"""HTTP routes of the object API stand-in."""
 
 import base64
 import random
@@ -18,7 +18,7 @@
     write_error,
     write_json,
 )
-from standins.object_api._faults import Faults, Instances, loses
+from standins.object_api._faults import Faults, Instances, loses_response
 from standins.object_api._store import (
     MAX_VALUE,
     RETAINED_CHANGES,
@@ -31,7 +31,7 @@
 class ObjectApiOptions(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """How the stand-in behaves; rates are calls a second, 0 for no limit."""
+    """Options of the stand-in; rates in calls per second, 0 for no limit."""
 
     reads: float = 2000
     writes: float = 400
@@ -41,38 +41,41 @@
 
 
 class _State:
-    """All that the routes share."""
+    """State that the routes share."""
 
     def __init__(self, options: ObjectApiOptions) -> None:
         self.options = options
         self.store = Store(options.kept_changes)
-        self.old: Store | None = None
+        self.snapshot: Store | None = None
         self.instances = Instances()
         self.faults = Faults()
-        self.draw = random.Random(options.seed)
+        self.rng = random.Random(options.seed)
         self.buckets = {
             'read': TokenBucket(options.reads),
             'write': TokenBucket(options.writes),
         }
         self.calls = {'read': 0, 'write': 0, 'watch': 0, 'limited': 0}
 
-    def bring_faults(self, faults: Faults) -> None:
-        """Take faults over; stale reads answer from a copy made now."""
+    def apply_faults(self, faults: Faults) -> None:
+        """Apply faults; stale reads answer from a snapshot taken now."""
         self.faults = faults
-        self.old = None
+        self.snapshot = None
         if faults.stale_reads:
-            self.old = Store()
-            self.old.revision = self.store.revision
-            self.old.objects = dict(self.store.objects)
+            self.snapshot = Store()
+            self.snapshot.revision = self.store.revision
+            self.snapshot.objects = dict(self.store.objects)
 
     def admit(self, req: falcon.Request, resp: falcon.Response) -> bool:
-        """Apply outage, slowness, credential and rate limit."""
+        """Apply delay, outage, credential check and rate limit to a call."""
         gevent.sleep(self.faults.slow_ms / 1000)
         if self.faults.outage:
             write_error(resp, 503, 'outage')
             return False
-        wanted = self.options.credential
-        if wanted and req.get_header('Authorization') != f'Bearer {wanted}':
+        credential = self.options.credential
+        if (
+            credential
+            and req.get_header('Authorization') != f'Bearer {credential}'
+        ):
             write_error(resp, 401, 'unauthorized')
             return False
         kind = 'read' if req.method == 'GET' else 'write'
@@ -86,18 +89,18 @@
 
 
 def make_app(options: ObjectApiOptions | None = None) -> falcon.App:
-    """Return the stand-in as a WSGI application."""
+    """Create the WSGI application of the stand-in."""
     state = _State(options or ObjectApiOptions())
     app = falcon.App()
     app.req_options.strip_url_path_trailing_slash = False
-    _route_objects(app, state)
-    _route_instances(app, state)
-    _route_control(app, state)
+    _add_object_routes(app, state)
+    _add_instance_routes(app, state)
+    _add_control_routes(app, state)
     return app
 
 
-def _route_objects(app: falcon.App, state: _State) -> None:
-    """Add the objects and watches."""
+def _add_object_routes(app: falcon.App, state: _State) -> None:
+    """Add the routes for objects and watches."""
     route(app, '/v1/objects', get=partial(_list, state))
     route(
         app,
@@ -110,19 +113,19 @@
 
 
 def _list(state: _State, req: falcon.Request, resp: falcon.Response) -> None:
-    """Answer with all objects under a prefix."""
+    """Respond with all objects under a prefix."""
     if state.admit(req, resp):
-        store = state.old or state.store
-        write_json(resp, _show_list(store, req.get_param('prefix') or ''))
+        store = state.snapshot or state.store
+        write_json(resp, _make_listing(store, req.get_param('prefix') or ''))
 
 
 def _get(
     state: _State, req: falcon.Request, resp: falcon.Response, path: str
 ) -> None:
-    """Answer with one object."""
+    """Respond with one object."""
     if not state.admit(req, resp):
         return
-    found = (state.old or state.store).objects.get(path)
+    found = (state.snapshot or state.store).objects.get(path)
     if found is None:
         write_error(resp, 404, 'not_found')
         return
@@ -156,20 +159,20 @@
     resp: falcon.Response,
     change: Callable[[int | None], int],
 ) -> None:
-    """Carry out a write; its answer may get lost."""
+    """Apply a write; its response may be lost."""
     header = req.get_header('X-Expected-Version')
     try:
         version = change(None if header is None else int(header))
     except Conflict as conflict:
         write_json(resp, {'version': conflict.current}, 409)
         return
-    if loses(state.faults, state.draw):
+    if loses_response(state.faults, state.rng):
         reset_connection(req)
     write_json(resp, {'version': version})
 
 
-def _show_list(store: Store, prefix: str) -> dict[str, Any]:
-    """Return the objects under a prefix."""
+def _make_listing(store: Store, prefix: str) -> dict[str, Any]:
+    """Return the JSON body that lists the objects under a prefix."""
     return {
         'revision': store.revision,
         'objects': [
@@ -185,14 +188,14 @@
 
 
 def _watch(state: _State, req: falcon.Request, resp: falcon.Response) -> None:
-    """Wait for changes; an outage or stale reads show none."""
+    """Wait for changes; outages and stale reads hide them."""
     if not state.admit(req, resp):
         return
     prefix = req.get_param('prefix') or ''
     since = req.get_param_as_int('since') or 0
     timeout = req.get_param_as_float('timeout') or 0
     try:
-        changes = (state.old or state.store).watch(prefix, since, timeout)
+        changes = (state.snapshot or state.store).watch(prefix, since, timeout)
     except Compacted:
         write_error(resp, 410, 'compacted')
         return
@@ -211,8 +214,8 @@
     write_json(resp, {'revision': newest, 'changes': shown})
 
 
-def _route_instances(app: falcon.App, state: _State) -> None:
-    """Add the platform's list of instances."""
+def _add_instance_routes(app: falcon.App, state: _State) -> None:
+    """Add the routes for the list of instances."""
 
     def show(req: falcon.Request, resp: falcon.Response) -> None:
         if state.admit(req, resp):
@@ -231,11 +234,11 @@
     route(app, '/v1/instances/{name}', put=put, delete=delete)
 
 
-def _route_control(app: falcon.App, state: _State) -> None:
-    """Add the control of faults, and the calls counted."""
+def _add_control_routes(app: falcon.App, state: _State) -> None:
+    """Add the routes that set faults and show call counts."""
 
     def set_faults(req: falcon.Request, resp: falcon.Response) -> None:
-        state.bring_faults(read_json(req, Faults))
+        state.apply_faults(read_json(req, Faults))
         write_json(resp, {})
 
     def show_calls(req: falcon.Request, resp: falcon.Response) -> None:
--- a/standins/object_api/_faults.py
+++ b/standins/object_api/_faults.py
@@ -1,4 +1,4 @@
-"""The object API's faults and limits."""
+"""Faults of the object API and its list of instances."""
 
 import random
 import time
@@ -8,7 +8,7 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """What ``POST /control/faults`` sets; what it leaves out is healthy."""
+    """Body of ``POST /control/faults``; omitted faults are cleared."""
 
     outage: bool = False
     slow_ms: float = 0
@@ -20,42 +20,36 @@
 
 
 class Instances:
-    """The platform's list of instances, which lags.
-
-    Parameters
-    ----------
-    faults
-        Hidden and invented entries, and the lag.
-    """
+    """The platform's list of instances, which lags behind changes."""
 
     def __init__(self) -> None:
-        self._live: dict[str, dict[str, Any]] = {}
-        self._past: list[tuple[float, list[dict[str, Any]]]] = []
+        self._entries: dict[str, dict[str, Any]] = {}
+        self._snapshots: list[tuple[float, list[dict[str, Any]]]] = []
 
     def put(self, instance: str, entry: dict[str, Any]) -> None:
-        """Enter an instance, or change its state."""
-        self._live[instance] = {'state': 'live', **entry, 'id': instance}
-        self._keep()
+        """Add an instance or replace its entry."""
+        self._entries[instance] = {'state': 'live', **entry, 'id': instance}
+        self._store_snapshot()
 
     def delete(self, instance: str) -> None:
-        """Take an instance off the list."""
-        self._live.pop(instance, None)
-        self._keep()
+        """Remove an instance from the list."""
+        self._entries.pop(instance, None)
+        self._store_snapshot()
 
     def show(self, faults: Faults) -> list[dict[str, Any]]:
-        """Return the list as it was before the lag, with its errors."""
+        """Return the list as of `list_lag_s` ago, with injected errors."""
         until = time.monotonic() - faults.list_lag_s
-        seen = [entries for at, entries in self._past if at <= until]
-        entries = seen[-1] if seen else []
+        published = [entries for at, entries in self._snapshots if at <= until]
+        entries = published[-1] if published else []
         shown = [entry for entry in entries if entry['id'] not in faults.hide]
         return shown + faults.ghosts
 
-    def _keep(self) -> None:
-        """Keep the list as it is now."""
-        self._past.append((time.monotonic(), list(self._live.values())))
-        self._past = self._past[-100:]
+    def _store_snapshot(self) -> None:
+        """Store the current list as the newest snapshot."""
+        self._snapshots.append((time.monotonic(), list(self._entries.values())))
+        self._snapshots = self._snapshots[-100:]
 
 
-def loses(faults: Faults, draw: random.Random) -> bool:
-    """Tell whether this answer is lost on its way."""
-    return draw.random() < faults.lose_answers
+def loses_response(faults: Faults, rng: random.Random) -> bool:
+    """Return whether to drop the response of this write."""
+    return rng.random() < faults.lose_answers
--- a/standins/object_api/_store.py
+++ b/standins/object_api/_store.py
@@ -1,4 +1,4 @@
-"""The stand-in's objects, with versions, changes and waiting watches."""
+"""Store of versioned objects with a change log and watches."""
 
 from collections import deque
 from typing import Final
@@ -13,12 +13,12 @@
 
 
 class Conflict(Exception):
-    """A conditional update met another version.
+    """The object isn't at the expected version.
 
     Parameters
     ----------
     current
-        The object's version; 0 when there is none.
+        Current version of the object; 0 when it doesn't exist.
     """
 
     def __init__(self, current: int) -> None:
@@ -27,22 +27,22 @@
 
 
 class Compacted(Exception):
-    """Changes from that revision on are no longer kept."""
+    """The changes since the given revision are no longer retained."""
 
 
 class Store:
-    """Objects under paths; each change raises one revision for all.
+    """Objects by path; all share one revision, which each change raises.
 
     Parameters
     ----------
-    kept
-        How many changes a watch can go back.
+    retained
+        Number of changes that watches can read back.
     """
 
-    def __init__(self, kept: int = RETAINED_CHANGES) -> None:
+    def __init__(self, retained: int = RETAINED_CHANGES) -> None:
         self.revision = 0
         self.objects: dict[str, tuple[bytes, int]] = {}
-        self._changes: deque[Change] = deque(maxlen=kept)
+        self._changes: deque[Change] = deque(maxlen=retained)
         self._compacted = 0
         self._changed = Event()
 
@@ -51,20 +51,20 @@
         self._check(path, expected)
         self.revision += 1
         self.objects[path] = (value, self.revision)
-        self._note(path, value)
+        self._append_change(path, value)
         return self.revision
 
     def delete(self, path: str, expected: int | None) -> int:
-        """Delete an object, if it is there."""
+        """Delete an object if it exists and return the revision."""
         self._check(path, expected)
         if path in self.objects:
             self.revision += 1
             self.objects.pop(path)
-            self._note(path, None)
+            self._append_change(path, None)
         return self.revision
 
     def changes_since(self, prefix: str, since: int) -> list[Change]:
-        """Return what changed under a prefix after a revision."""
+        """Return the changes under a prefix after revision `since`."""
         if since < self._compacted:
             raise Compacted
         return [
@@ -74,20 +74,20 @@
         ]
 
     def watch(self, prefix: str, since: int, timeout: float) -> list[Change]:
-        """Wait until something changes under a prefix."""
+        """Wait for changes under a prefix; return none on timeout."""
         with gevent.Timeout(timeout, exception=False):
             while not self.changes_since(prefix, since):
                 self._changed.wait()
         return self.changes_since(prefix, since)
 
     def _check(self, path: str, expected: int | None) -> None:
-        """Raise when the object is not at the version expected."""
+        """Raise `Conflict` if the object isn't at the expected version."""
         current = self.objects.get(path, (b'', 0))[1]
         if expected is not None and current != expected:
             raise Conflict(current)
 
-    def _note(self, path: str, value: bytes | None) -> None:
-        """Keep a change and wake the watches."""
+    def _append_change(self, path: str, value: bytes | None) -> None:
+        """Append a change to the log and wake the watches."""
         if len(self._changes) == self._changes.maxlen:
             self._compacted = self._changes[0][0]
         self._changes.append((self.revision, path, value))
--- a/standins/trainer/__init__.py
+++ b/standins/trainer/__init__.py
@@ -1,4 +1,4 @@
-"""A trainer as a stand-in: submits steps, pulls samples, publishes."""
+"""Stand-in for a trainer: submits steps, pulls batches, publishes versions."""
 
 from standins.trainer._trainer import Trainer, TrainerOptions, run
 
--- a/standins/trainer/_api.py
+++ b/standins/trainer/_api.py
@@ -1,4 +1,4 @@
-"""The trainers' interface as a trainer uses it."""
+"""Client of the trainer API."""
 
 from typing import Any, Final
 
@@ -10,11 +10,11 @@
 from standins import _http
 from standins._balancer import Balancer
 
-_PAUSE: Final = 0.2
+_RETRY_SECONDS: Final = 0.2
 
 
 class Sample(msgspec.Struct, frozen=True, kw_only=True):
-    """One sample as it is delivered; `versions` are ``(version, tokens)``."""
+    """One delivered sample; `versions` are ``(version, tokens)`` pairs."""
 
     sample_id: str
     group_id: str
@@ -24,7 +24,7 @@
 
 
 class Batch(msgspec.Struct, frozen=True, kw_only=True):
-    """An answer to a pull; no cursor means that nothing was handed out yet."""
+    """Response to a pull; `cursor` is None until a batch was delivered."""
 
     cursor: str | None
     samples: list[Sample]
@@ -33,17 +33,17 @@
 
 
 class RunApi:
-    """Calls any instance, and the next one when a call fails.
+    """Calls a ready instance, and another one after a failure.
 
-    All three calls may be repeated: a step and a version by their names, a
-    pull by its cursor.
+    All three calls are idempotent: the API identifies a step and a version by
+    name and a pull by its cursor.
 
     Parameters
     ----------
     balancer
-        Chooses the instance.
+        Chooses the instance for each call.
     timeout
-        Seconds for one call.
+        Time limit of one call in seconds.
     """
 
     def __init__(
@@ -56,41 +56,43 @@
         self.refusals = 0
 
     def publish(self, version: int, stopped: Event) -> bool:
-        """Publish a version; tell whether that was confirmed."""
+        """Publish a version; return whether an instance confirmed it."""
         body = {'version': version}
-        return self._insist('versions', body, stopped) is not None
+        return self._call_until_success('versions', body, stopped) is not None
 
     def submit(self, step: dict[str, Any], stopped: Event) -> bool:
-        """Submit a step; tell whether that was confirmed."""
-        return self._insist('steps', step, stopped) is not None
+        """Submit a step; return whether an instance confirmed it."""
+        return self._call_until_success('steps', step, stopped) is not None
 
     def pull(self, body: dict[str, Any]) -> Batch | None:
-        """Pull once; nothing when no whole answer came."""
+        """Pull once; return None if no complete response came."""
         answer = self._call('batches', body)
         if answer is None:
-            gevent.sleep(_PAUSE)
+            gevent.sleep(_RETRY_SECONDS)
             return None
         return msgspec.json.decode(answer.body, type=Batch)
 
-    def _insist(
-        self, what: str, body: dict[str, Any], stopped: Event
+    def _call_until_success(
+        self, resource: str, body: dict[str, Any], stopped: Event
     ) -> _http.Response | None:
         """Repeat a call until it succeeds or the trainer is stopped."""
         while not stopped.is_set():
-            answer = self._call(what, body)
+            answer = self._call(resource, body)
             if answer is not None:
                 return answer
-            stopped.wait(_PAUSE)
+            stopped.wait(_RETRY_SECONDS)
         return None
 
-    def _call(self, what: str, body: dict[str, Any]) -> _http.Response | None:
-        """Call once."""
+    def _call(
+        self, resource: str, body: dict[str, Any]
+    ) -> _http.Response | None:
+        """Call once; return None if the call fails or is refused."""
         address = self._balancer.choose()
         try:
             answer = _http.send_request(
                 address,
                 'POST',
-                f'{self._path}/{what}',
+                f'{self._path}/{resource}',
                 body,
                 headers=self._headers,
                 timeout=self._timeout,
--- a/standins/trainer/_trainer.py
+++ b/standins/trainer/_trainer.py
@@ -1,4 +1,4 @@
-"""Runs step after step and records what was pulled."""
+"""Runs one step after another and records the pulled batches."""
 
 import random
 import time
@@ -27,17 +27,17 @@
 class TrainerOptions(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """How a trainer behaves; times in seconds.
+    """Options of a trainer; times in seconds.
 
     Parameters
     ----------
     train_s
-        Time that it trains on one batch.
+        Duration of the training on one batch.
     lose_answers
-        Share of the pulls whose answer is taken for lost: the same cursor is
-        presented again, at another instance.
+        Share of the pulls whose response is discarded as if it was lost; the
+        trainer presents the same cursor again, at another instance.
     limit_s
-        How long it goes on pulling its last step once told to stop.
+        Time limit for pulling the last step after the stop.
     """
 
     run: str
@@ -60,12 +60,12 @@
 
 
 class Trainer:
-    """One trainer's state.
+    """State of one trainer.
 
     Parameters
     ----------
     options
-        How it behaves.
+        Steps, timing and faults of the trainer.
     """
 
     def __init__(self, options: TrainerOptions) -> None:
@@ -77,12 +77,12 @@
         )
         self._cursor: str | None = None
         self._newest = 0
-        self._draw = random.Random(options.seed)
+        self._rng = random.Random(options.seed)
 
     def run(self, stopped: Event) -> None:
-        """Run steps until told to stop, and see the last one through."""
+        """Run steps until `stopped` is set, then finish the last one."""
         self._publish(1, stopped)
-        publisher = gevent.spawn(self._publish_on, stopped)
+        publisher = gevent.spawn(self._publish_periodically, stopped)
         number = 0
         while not stopped.is_set():
             number += 1
@@ -90,8 +90,8 @@
         publisher.join()
         self._balancer.close()
 
-    def _publish_on(self, stopped: Event) -> None:
-        """Publish a version every so often."""
+    def _publish_periodically(self, stopped: Event) -> None:
+        """Publish a new version every `publish_every_s`."""
         while not stopped.wait(self._options.publish_every_s):
             self._publish(self._newest + 1, stopped)
 
@@ -113,7 +113,7 @@
     def _run_step(self, step: str, stopped: Event) -> None:
         """Submit a step and pull until it is complete."""
         options = self._options
-        if not self._api.submit(self._describe(step), stopped):
+        if not self._api.submit(self._make_step(step), stopped):
             return
         self._record(
             SubmittedStep(
@@ -125,21 +125,21 @@
                 samples_per_group=options.samples,
             )
         )
-        until: float | None = None
+        deadline: float | None = None
         while not self._pull(step):
-            if until is None and stopped.is_set():
-                until = time.monotonic() + options.limit_s
-            if until is not None and time.monotonic() > until:
+            if deadline is None and stopped.is_set():
+                deadline = time.monotonic() + options.limit_s
+            if deadline is not None and time.monotonic() > deadline:
                 return
         self._record(
             StepDone(at=now(), who=options.run, run=options.run, step=step)
         )
 
     def _pull(self, step: str) -> bool:
-        """Pull one batch and take it in; tell whether the step is complete.
+        """Pull one batch and train on it; return whether the step is complete.
 
-        The cursor moves only with a whole answer: a lost one is asked for
-        again, at another instance, under the same cursor.
+        The cursor advances only with a complete response. After a lost one,
+        the trainer pulls again with the same cursor at another instance.
         """
         presented, newest = self._cursor, self._newest
         batch = self._api.pull(
@@ -153,17 +153,17 @@
         if batch is None:
             return False
         if batch.samples:
-            self._note_batch(step, presented, newest, batch)
-            if self._draw.random() < self._options.lose_answers:
+            self._record_batch(step, presented, newest, batch)
+            if self._rng.random() < self._options.lose_answers:
                 return False
-            self._take(step, batch)
+            self._train(step, batch)
         self._cursor = batch.cursor
         return batch.complete
 
-    def _note_batch(
+    def _record_batch(
         self, step: str, presented: str | None, newest: int, batch: Batch
     ) -> None:
-        """Record a batch as it came."""
+        """Record a pulled batch."""
         run = self._options.run
         self._record(
             PulledBatch(
@@ -174,12 +174,12 @@
                 cursor=presented or '',
                 follows=batch.cursor or '',
                 newest=newest,
-                samples=tuple(map(_record_sample, batch.samples)),
+                samples=tuple(map(_make_pulled_sample, batch.samples)),
             )
         )
 
-    def _take(self, step: str, batch: Batch) -> None:
-        """Take a batch in and train on it."""
+    def _train(self, step: str, batch: Batch) -> None:
+        """Acknowledge a batch in the history and train on it."""
         run = self._options.run
         self._record(
             Acked(
@@ -188,8 +188,8 @@
         )
         gevent.sleep(self._options.train_s)
 
-    def _describe(self, step: str) -> dict[str, object]:
-        """Return a step as it is submitted."""
+    def _make_step(self, step: str) -> dict[str, object]:
+        """Return the body that submits a step."""
         options = self._options
         return {
             'step_id': step,
@@ -209,12 +209,12 @@
         }
 
     def _record(self, event: HistoryEvent) -> None:
-        """Record one event."""
+        """Write an event to the history."""
         self._recorder.record(event)
 
 
-def _record_sample(sample: Sample) -> PulledSample:
-    """Return a sample as the history keeps it."""
+def _make_pulled_sample(sample: Sample) -> PulledSample:
+    """Convert a sample to its history record."""
     return PulledSample(
         sample=sample.sample_id,
         versions=tuple(version for version, _ in sample.versions),
@@ -223,5 +223,5 @@
 
 
 def run(options: TrainerOptions, stopped: Event) -> None:
-    """Run a trainer until told to stop."""
+    """Run a trainer until `stopped` is set."""
     Trainer(options).run(stopped)
