--- a/standins/cost.py
+++ b/standins/cost.py
@@ -1,8 +1,8 @@
-"""Measures what one request and one streamed event cost an instance.
+"""Measures the cost of a request and of a streamed event at an instance.
 
-The same requests are sent to bare engines, through a bare relay of the same
-libraries, and through instances, at the same rate. Processor time is that of
-the relay's or the instances' processes, less what they use at rest.
+The same requests go to the engines directly, through a minimal relay with the
+same libraries, and through instances, at the same rate. CPU time is that of the
+processes of the relay or the instances, minus their CPU time when idle.
 """
 
 import json
@@ -34,17 +34,17 @@
     make_token,
 )
 
-SHORT: Final = 4
-LONG: Final = 64
+SHORT_TOKENS: Final = 4
+LONG_TOKENS: Final = 64
 _TEAM: Final = TeamId('measure')
 _CALLER: Final = CallerId('loader')
 _MODEL: Final = DeploymentId('model')
-_MICROSECONDS: Final = 1_000_000
-_TIMEOUT: Final = 20.0
+_MICROSECONDS_PER_SECOND: Final = 1_000_000
+_TIMEOUT_SECONDS: Final = 20.0
 
 
 class Load(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a load goes and how it looks."""
+    """Destination, rate and shape of a load."""
 
     addresses: tuple[str, ...]
     token: str = ''
@@ -55,21 +55,21 @@
 
 
 class Latencies:
-    """Latencies of one load, in microseconds.
+    """Latencies of one load in microseconds.
 
-    `first` runs to the first event, `whole` to the last.
+    `first` is the time until the first event, `whole` until the last.
     """
 
     def __init__(self) -> None:
-        self.first = HdrHistogram(1, 60 * _MICROSECONDS, 3)
-        self.whole = HdrHistogram(1, 60 * _MICROSECONDS, 3)
+        self.first = HdrHistogram(1, 60 * _MICROSECONDS_PER_SECOND, 3)
+        self.whole = HdrHistogram(1, 60 * _MICROSECONDS_PER_SECOND, 3)
         self.failed = 0
 
 
 def run_load(load: Load) -> Latencies:
-    """Send a load at its rate, whatever the answers do, and time it."""
+    """Send a load at its rate without waiting for answers; return latencies."""
     latencies = Latencies()
-    draw = random.Random(load.seed)
+    rng = random.Random(load.seed)
     tasks = Group()
     start = time.monotonic()
     due, number = start, 0
@@ -78,13 +78,13 @@
         address = load.addresses[number % len(load.addresses)]
         tasks.spawn(_send, load, address, number, latencies)
         number += 1
-        due += draw.expovariate(load.rate)
+        due += rng.expovariate(load.rate)
     tasks.join()
     return latencies
 
 
-def _send(load: Load, address: str, number: int, seen: Latencies) -> None:
-    """Send one streamed request and time its first and last event."""
+def _send(load: Load, address: str, number: int, latencies: Latencies) -> None:
+    """Send one streamed request; record the times of first and last event."""
     start = time.monotonic()
     first: float = 0
     body = {
@@ -103,43 +103,45 @@
             '/v1/completions',
             body=msgspec.json.encode(body),
             headers={'Authorization': f'Bearer {load.token}'},
-            timeout=_TIMEOUT,
+            timeout=_TIMEOUT_SECONDS,
         )
         while line := _http.CONNECTIONS.read_until(
-            b'\n\n', address, answer, _TIMEOUT
+            b'\n\n', address, answer, _TIMEOUT_SECONDS
         ):
             first = first or time.monotonic() - start
             if line.startswith(b'data: [DONE]'):
                 break
         else:
-            seen.failed += 1
+            latencies.failed += 1
             return
     except UpstreamError:
-        seen.failed += 1
+        latencies.failed += 1
         return
-    seen.first.record_value(int(first * _MICROSECONDS))
-    seen.whole.record_value(int((time.monotonic() - start) * _MICROSECONDS))
+    latencies.first.record_value(int(first * _MICROSECONDS_PER_SECOND))
+    latencies.whole.record_value(
+        int((time.monotonic() - start) * _MICROSECONDS_PER_SECOND)
+    )
 
 
 class _Meter:
-    """Processor time of processes.
+    """Total CPU time of some processes.
 
     Parameters
     ----------
     pids
-        Which ones.
+        Ids of the processes.
     """
 
     def __init__(self, pids: list[int]) -> None:
         self._processes = [psutil.Process(pid) for pid in pids]
 
     def read(self) -> float:
-        """Return the seconds used so far by all of them."""
+        """Return the CPU seconds that the processes used so far."""
         times = [process.cpu_times() for process in self._processes]
-        return sum(one.user + one.system for one in times)
+        return sum(each.user + each.system for each in times)
 
-    def rest(self, seconds: float) -> float:
-        """Return the share of a core that they use at rest."""
+    def measure_idle(self, seconds: float) -> float:
+        """Return the share of a core that the processes use when idle."""
         gevent.sleep(1)
         before = self.read()
         gevent.sleep(seconds)
@@ -147,7 +149,7 @@
 
 
 def measure(instances: int, rate: float, seconds: float) -> dict[str, Any]:
-    """Return the figures of one run."""
+    """Run the measurement on a new fleet and return its figures."""
     folder = Path(tempfile.mkdtemp(prefix='guavagate-cost-'))
     fleet = Fleet(_make_plan(), folder, 1)
     try:
@@ -158,7 +160,7 @@
 
 
 def _measure_fleet(fleet: Fleet, rate: float, seconds: float) -> dict[str, Any]:
-    """Load the engines, then the instances, and compare."""
+    """Load the engines, the relay and the instances; return the figures."""
     engines = tuple(
         process.addresses['http']
         for process in fleet.processes
@@ -169,66 +171,80 @@
     entries = tuple(one.addresses['http'] for one in fleet.instances)
     token = make_token(_TEAM, _CALLER)
     figures: dict[str, Any] = {'requests_per_second': rate}
-    bare = {}
-    for tokens in (SHORT, LONG):
-        bare[tokens] = run_load(_load(engines, '', rate, seconds, tokens))
+    direct_latencies = {}
+    for tokens in (SHORT_TOKENS, LONG_TOKENS):
+        direct_latencies[tokens] = run_load(
+            _make_load(engines, '', rate, seconds, tokens)
+        )
     for name, addresses, pids in (
         ('relay', (relay.addresses['http'],), [relay.pid]),
         ('guavagate', entries, [one.pid for one in fleet.instances]),
     ):
-        load = partial(_load, addresses, token, rate, seconds)
-        figures[name] = _measure_one(load, bare, _Meter(pids))
+        load = partial(_make_load, addresses, token, rate, seconds)
+        figures[name] = _measure_processes(load, direct_latencies, _Meter(pids))
     return figures
 
 
-def _measure_one(
-    load: Callable[[int], Load], bare: dict[int, Latencies], meter: '_Meter'
+def _measure_processes(
+    load: Callable[[int], Load],
+    direct_latencies: dict[int, Latencies],
+    meter: '_Meter',
 ) -> dict[str, Any]:
-    """Load some processes and compare them with the bare engines."""
-    run_load(load(SHORT))
-    idle = meter.rest(load(SHORT).seconds)
+    """Load processes and compare their latencies with direct requests."""
+    run_load(load(SHORT_TOKENS))
+    idle = meter.measure_idle(load(SHORT_TOKENS).seconds)
     figures: dict[str, Any] = {'idle_share_of_a_core': idle}
     costs = {}
-    for tokens in (SHORT, LONG):
+    for tokens in (SHORT_TOKENS, LONG_TOKENS):
         before, start = meter.read(), time.monotonic()
-        through = run_load(load(tokens))
+        latencies = run_load(load(tokens))
         used = meter.read() - before - idle * (time.monotonic() - start)
-        costs[tokens] = used / max(through.whole.get_total_count(), 1)
-        figures[f'{tokens}_tokens'] = _compare(bare[tokens], through)
-    slope = (costs[LONG] - costs[SHORT]) / (LONG - SHORT)
-    figures['cpu_us_per_event'] = slope * _MICROSECONDS
-    figures['cpu_ms_per_request'] = (costs[SHORT] - slope * SHORT) * 1000
+        costs[tokens] = used / max(latencies.whole.get_total_count(), 1)
+        figures[f'{tokens}_tokens'] = _compare(
+            direct_latencies[tokens], latencies
+        )
+    slope = (costs[LONG_TOKENS] - costs[SHORT_TOKENS]) / (
+        LONG_TOKENS - SHORT_TOKENS
+    )
+    figures['cpu_us_per_event'] = slope * _MICROSECONDS_PER_SECOND
+    figures['cpu_ms_per_request'] = (
+        costs[SHORT_TOKENS] - slope * SHORT_TOKENS
+    ) * 1000
     return figures
 
 
-def _compare(bare: Latencies, through: Latencies) -> dict[str, Any]:
-    """Return the latencies side by side, in milliseconds."""
+def _compare(
+    direct_latencies: Latencies, latencies: Latencies
+) -> dict[str, Any]:
+    """Return both latencies and their difference in milliseconds."""
     row: dict[str, Any] = {
-        'answered': through.whole.get_total_count(),
-        'failed': through.failed,
+        'answered': latencies.whole.get_total_count(),
+        'failed': latencies.failed,
     }
     for name in ('first', 'whole'):
         for quantile in (50, 99):
-            direct = _quantile(getattr(bare, name), quantile)
-            reached = _quantile(getattr(through, name), quantile)
-            row[f'{name}_p{quantile}_ms'] = [direct, reached]
-            row[f'added_{name}_p{quantile}_ms'] = reached - direct
+            direct = _read_quantile_ms(
+                getattr(direct_latencies, name), quantile
+            )
+            indirect = _read_quantile_ms(getattr(latencies, name), quantile)
+            row[f'{name}_p{quantile}_ms'] = [direct, indirect]
+            row[f'added_{name}_p{quantile}_ms'] = indirect - direct
     return row
 
 
-def _quantile(histogram: HdrHistogram, quantile: float) -> float:
+def _read_quantile_ms(histogram: HdrHistogram, quantile: float) -> float:
     """Return a quantile in milliseconds."""
     return histogram.get_value_at_percentile(quantile) / 1000
 
 
-def _load(
+def _make_load(
     addresses: tuple[str, ...],
     token: str,
     rate: float,
     seconds: float,
     tokens: int,
 ) -> Load:
-    """Return a load."""
+    """Create a load, seeded by its token count."""
     return Load(
         addresses=addresses,
         token=token,
@@ -240,7 +256,7 @@
 
 
 def _make_plan() -> FleetPlan:
-    """Return a fleet of fast engines that are never full."""
+    """Return the plan of a fleet whose engines are fast and never full."""
     return FleetPlan(
         region=RegionId('measure'),
         availability_zones=(ZoneId('a'), ZoneId('b'), ZoneId('c')),
@@ -256,24 +272,33 @@
 
 
 @click.command()
-@click.option('--instances', default=1, show_default=True, help='how many')
-@click.option('--rate', default=50.0, show_default=True, help='per instance')
-@click.option('--seconds', default=10.0, show_default=True, help='each load')
+@click.option(
+    '--instances', default=1, show_default=True, help='number of instances'
+)
+@click.option(
+    '--rate',
+    default=50.0,
+    show_default=True,
+    help='requests per second and instance',
+)
+@click.option(
+    '--seconds', default=10.0, show_default=True, help='duration of each load'
+)
 @click.option('--json', 'as_json', is_flag=True, help='print JSON')
 def main(instances: int, rate: float, seconds: float, *, as_json: bool) -> None:
-    """Measure processor time and added latency of instances."""
+    """Measure CPU time and added latency of instances."""
     figures = measure(instances, rate, seconds)
     if as_json:
         click.echo(json.dumps(figures, indent=2))
         return
-    _show(figures, '')
+    _print_figures(figures, '')
 
 
-def _show(figures: dict[str, Any], prefix: str) -> None:
-    """Print figures, one a line."""
+def _print_figures(figures: dict[str, Any], prefix: str) -> None:
+    """Print one figure per line."""
     for name, figure in figures.items():
         if isinstance(figure, dict):
-            _show(figure, f'{prefix}{name} ')
+            _print_figures(figure, f'{prefix}{name} ')
         else:
             click.echo(f'{prefix + name:<48} {figure}')
 
--- a/standins/history.py
+++ b/standins/history.py
@@ -1,4 +1,4 @@
-"""The record of what a stand-in sent, ran and received."""
+"""History of the events that a stand-in sends, runs and receives."""
 
 import os
 import time
@@ -10,19 +10,19 @@
 
 
 def now() -> float:
-    """Return seconds on the machine's clock, the same in all processes."""
+    """Return monotonic seconds; all processes of the machine share them."""
     return time.monotonic()
 
 
 class Recorder:
-    """Writes events as JSON lines, one file per process and name.
+    """Writes events as JSON lines to one file per name and process.
 
     Parameters
     ----------
     folder
-        Where the file goes; nothing is written without one.
+        Directory of the file; nothing is written when it is empty.
     name
-        Whose record it is.
+        Name of the stand-in; the start of the file name.
     """
 
     def __init__(self, folder: str, name: str) -> None:
@@ -33,6 +33,6 @@
             self._file = path.open('ab', buffering=0)
 
     def record(self, event: Event) -> None:
-        """Write one event in a single call, so that a kill cuts none."""
+        """Write one event in a single call, so a kill truncates none."""
         if self._file is not None:
             self._file.write(b'%b\n' % msgspec.json.encode(event))
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -1,8 +1,8 @@
-"""An upstream of a plain service as a stand-in.
+"""Stand-in for an upstream of a plain service.
 
-The last part of the path names the request. Each run is recorded, and repeats
-are not dropped by their idempotency key: that a request which may not be
-repeated runs once is what the system in front of it promises.
+The last part of the path names the request. The upstream records each run and
+doesn't deduplicate requests by their idempotency key: the instances in front of
+it must ensure that a request which isn't idempotent runs at most once.
 """
 
 import random
@@ -29,7 +29,7 @@
 class PlainOptions(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """How the upstream behaves; `work_s` is in seconds."""
+    """Options of the upstream; `work_s` is the seconds per request."""
 
     id: str = 'booking-1'
     slots: int = 16
@@ -39,20 +39,20 @@
 
 
 class PlainFaults(msgspec.Struct, forbid_unknown_fields=True):
-    """What ``POST /control/faults`` sets; what it leaves out is healthy.
+    """Body of ``POST /control/faults``; omitted faults are cleared.
 
     Parameters
     ----------
     slow_s
-        Seconds added to each run.
+        Seconds added to each request.
     crash_after_run
-        Share of the runs whose answer is lost by a reset.
+        Share of the requests that run but whose connection is then reset.
     reset
-        Share of the requests reset before they run.
+        Share of the requests whose connection is reset before they run.
     crossed
-        Share of the answers that name another exchange.
+        Share of the answers that carry the id of another exchange.
     leaving
-        Refuse, and say so in the report.
+        Refuse requests and report the upstream as leaving.
     """
 
     slow_s: float = 0
@@ -64,58 +64,58 @@
 
 
 class _State:
-    """All that the routes share."""
+    """State that the routes share."""
 
     def __init__(self, options: PlainOptions) -> None:
         self.options = options
         self.faults = PlainFaults()
-        self.draw = random.Random(options.seed)
+        self.rng = random.Random(options.seed)
         self.recorder = Recorder(options.history, f'plain-{options.id}')
         self.slots = BoundedSemaphore(options.slots)
         self.running = 0
 
-    def draws(self, share: float) -> bool:
-        """Tell whether a fault of this share happens now."""
-        return self.draw.random() < share
+    def should_inject(self, share: float) -> bool:
+        """Return at random whether a fault with this share occurs."""
+        return self.rng.random() < share
 
 
 def make_app(options: PlainOptions | None = None) -> falcon.App:
-    """Return the stand-in as a WSGI application."""
+    """Create the WSGI application of the stand-in."""
     state = _State(options or PlainOptions())
     app = falcon.App()
     route(app, '/report', get=partial(_report, state))
     route(app, '/control/faults', post=partial(_set_faults, state))
-    app.add_sink(partial(_run, state), '/')
+    app.add_sink(partial(_handle, state), '/')
     return app
 
 
 def make_answer(request: str, method: str, path: str, body: bytes) -> str:
-    """Return the answer that a request gets, wherever it runs."""
+    """Return the answer to a request, which is the same at every upstream."""
     return f'{request} {method} {path} {body.decode(errors="replace")}'
 
 
-def _run(state: _State, req: falcon.Request, resp: falcon.Response) -> None:
-    """Run one request, whatever its method and path."""
+def _handle(state: _State, req: falcon.Request, resp: falcon.Response) -> None:
+    """Accept or refuse one request of any method and path."""
     body = req.bounded_stream.read()
     if state.faults.leaving or state.faults.overloaded:
         code = 'leaving' if state.faults.leaving else 'overloaded'
         write_error(resp, 503, code)
         return
-    if state.draws(state.faults.reset):
+    if state.should_inject(state.faults.reset):
         reset_connection(req)
         return
     state.running += 1
     try:
         with state.slots:
-            _work(state, req, resp, body)
+            _execute(state, req, resp, body)
     finally:
         state.running -= 1
 
 
-def _work(
+def _execute(
     state: _State, req: falcon.Request, resp: falcon.Response, body: bytes
 ) -> None:
-    """Do the work and answer; the answer may get lost or crossed."""
+    """Execute a request; its answer may be lost or carry a wrong id."""
     exchange = req.get_header(HEADER_EXCHANGE) or ''
     request = req.path.rpartition('/')[2]
     who = state.options.id
@@ -139,17 +139,17 @@
             exchange=exchange,
         )
     )
-    if state.draws(state.faults.crash_after_run):
+    if state.should_inject(state.faults.crash_after_run):
         reset_connection(req)
         return
-    crossed = state.draws(state.faults.crossed)
+    crossed = state.should_inject(state.faults.crossed)
     resp.set_header(HEADER_EXCHANGE, 'another' if crossed else exchange)
     resp.content_type = 'text/plain'
     resp.data = answer.encode()
 
 
 def _report(state: _State, req: falcon.Request, resp: falcon.Response) -> None:
-    """Tell the load."""
+    """Respond with the current load."""
     slots = state.options.slots
     write_json(
         resp,
@@ -165,6 +165,6 @@
 def _set_faults(
     state: _State, req: falcon.Request, resp: falcon.Response
 ) -> None:
-    """Take faults over."""
+    """Replace the faults."""
     state.faults = read_json(req, PlainFaults)
     write_json(resp, {})
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,6 +1,6 @@
-"""A bare relay: the same libraries as an instance, and no decision.
+"""Minimal relay with the libraries of an instance but no decisions.
 
-It is what the cost of an instance is compared with, in the same run and on
+It is the baseline for the cost of an instance, measured in the same run and on
 the same machine.
 """
 
@@ -22,33 +22,33 @@
 class RelayOptions(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Which engine it relays to."""
+    """Options of the relay; `engine` is the address to forward to."""
 
     engine: str = ''
 
 
 class _Request(msgspec.Struct):
-    """The part of a request that is passed on."""
+    """The fields of a request that are forwarded."""
 
     prompt: str
     max_tokens: int
 
 
 def make_app(options: RelayOptions) -> falcon.App:
-    """Return the relay as a WSGI application."""
+    """Create the WSGI application of the relay."""
     engine = HttpModelEngine(SystemClock())
     count = iter(range(1_000_000_000))
 
     def complete(req: falcon.Request, resp: falcon.Response) -> None:
-        wanted: _Request = read_json(req, _Request)
+        request: _Request = read_json(req, _Request)
         resp.content_type = 'text/event-stream'
         resp.stream = _stream(
             engine,
             options.engine,
             Generation(
                 exchange=RequestId(f'relay-{next(count)}'),
-                prompt=wanted.prompt,
-                max_tokens=wanted.max_tokens,
+                prompt=request.prompt,
+                max_tokens=request.max_tokens,
             ),
         )
 
@@ -58,9 +58,9 @@
 
 
 def _stream(
-    engine: HttpModelEngine, address: str, wanted: Generation
+    engine: HttpModelEngine, address: str, generation: Generation
 ) -> Iterator[bytes]:
-    """Yield an engine's pieces as events."""
-    for piece in engine.generate(address, wanted, _TIMEOUT):
+    """Yield the pieces of a generation as server-sent events."""
+    for piece in engine.generate(address, generation, _TIMEOUT):
         yield b'data: %b\n\n' % msgspec.json.encode(piece)
     yield b'data: [DONE]\n\n'
--- a/standins/replacement.py
+++ b/standins/replacement.py
@@ -1,4 +1,4 @@
-"""Replaces a whole fleet under load and counts what was cut."""
+"""Replaces every instance of a fleet under load and counts cut exchanges."""
 
 import json
 import sys
@@ -12,8 +12,9 @@
 from standins.demo._demo import Demo, Schedule
 from standins.fleet import Fleet, FleetPlan, load_plan
 
-# A start and a stop of each instance; the next one begins when both are done.
-SECONDS_EACH = 8.0
+# Covers the start of the successor and the stop of the old instance; the next
+# replacement begins once both are done.
+SECONDS_PER_INSTANCE = 8.0
 
 
 @click.command()
@@ -24,21 +25,26 @@
     show_default=True,
     help='fleet file',
 )
-@click.option('--instances', default=7, show_default=True, help='how many')
-@click.option('--seed', default=1, show_default=True, help='of stand-ins')
+@click.option(
+    '--instances', default=7, show_default=True, help='number of instances'
+)
+@click.option(
+    '--seed', default=1, show_default=True, help='seed of the stand-ins'
+)
 @click.option('--json', 'as_json', is_flag=True, help='print JSON')
 def main(settings: Path, instances: int, seed: int, *, as_json: bool) -> None:
     """Replace every instance, one after the other, under load.
 
-    Each gets a successor first and is then stopped as planned. Callers give
-    up nothing by themselves, so each exchange that breaks off was cut. Exit 1
-    when one was, or a promise is broken.
+    A successor of each instance starts first, then the instance stops
+    gracefully. Callers never abandon a request, so every exchange that breaks
+    off was cut by the replacement. Exits with 1 if an exchange was cut or a
+    guarantee is violated.
     """
     folder = Path(tempfile.mkdtemp(prefix='guavagate-replacement-'))
-    fleet = Fleet(make_patient(load_plan(settings)), folder, seed)
+    fleet = Fleet(disable_impatience(load_plan(settings)), folder, seed)
     try:
-        demo = Demo(fleet, SECONDS_EACH * instances)
-        summary = demo.run(instances, list_acts(instances))
+        demo = Demo(fleet, SECONDS_PER_INSTANCE * instances)
+        summary = demo.run(instances, make_schedule(instances))
     finally:
         fleet.stop()
     events = read_history(*fleet.history.glob('*.jsonl'))
@@ -57,13 +63,13 @@
     if as_json:
         click.echo(json.dumps(figures))
     else:
-        shown = ' '.join(f'{name}={count}' for name, count in figures.items())
-        click.echo(f'replacement: {shown}')
+        text = ' '.join(f'{name}={count}' for name, count in figures.items())
+        click.echo(f'replacement: {text}')
     sys.exit(1 if cut or not summary.has_passed() else 0)
 
 
-def make_patient(plan: FleetPlan) -> FleetPlan:
-    """Return a plan whose callers break off nothing by themselves."""
+def disable_impatience(plan: FleetPlan) -> FleetPlan:
+    """Return a plan whose callers never abandon a request."""
     teams = tuple(
         msgspec.structs.replace(
             team,
@@ -77,10 +83,10 @@
     return msgspec.structs.replace(plan, teams=teams)
 
 
-def list_acts(instances: int) -> Schedule:
-    """Return a start and a stop for each instance, as shares of the time."""
-    acts = []
+def make_schedule(instances: int) -> Schedule:
+    """Return the times of each start and stop as shares of the duration."""
+    actions = []
     for number in range(instances):
-        acts.append(((number + 0.05) / instances, 'start'))
-        acts.append(((number + 0.25) / instances, 'stop'))
-    return acts
+        actions.append(((number + 0.05) / instances, 'start'))
+        actions.append(((number + 0.25) / instances, 'stop'))
+    return actions
--- a/standins/scoring.py
+++ b/standins/scoring.py
@@ -1,4 +1,4 @@
-"""A scoring service as a stand-in."""
+"""Stand-in for a scoring service."""
 
 import falcon
 import gevent
@@ -20,21 +20,21 @@
 class ScoringOptions(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """How the service behaves; `score_s` is in seconds."""
+    """Options of the service; `score_s` is the seconds per score."""
 
     id: str = 'scoring-1'
     score_s: float = 0.005
 
 
 class ScoringFaults(msgspec.Struct, forbid_unknown_fields=True):
-    """What ``POST /control/faults`` sets; what it leaves out is healthy.
+    """Body of ``POST /control/faults``; omitted faults are cleared.
 
     Parameters
     ----------
     crash
-        Reset each connection without an answer.
+        Reset each connection without a response.
     crossed
-        Answer for another sample.
+        Respond with the id of another sample.
     """
 
     crash: bool = False
@@ -44,17 +44,17 @@
 
 
 def score_text(text: str) -> float:
-    """Return a score between 0 and 1 that depends on the text alone."""
+    """Return a score between 0 and 1 that depends only on the text."""
     return (xxhash.xxh64_intdigest(text.encode()) % 1000) / 1000
 
 
 def make_app(options: ScoringOptions | None = None) -> falcon.App:
-    """Return the stand-in as a WSGI application."""
+    """Create the WSGI application of the stand-in."""
     settings = options or ScoringOptions()
     faults = [ScoringFaults()]
 
     def score(req: falcon.Request, resp: falcon.Response) -> None:
-        wanted: ScoreRequest = read_json(req, ScoreRequest)
+        request: ScoreRequest = read_json(req, ScoreRequest)
         fault = faults[0]
         if fault.overloaded:
             write_error(resp, 503, 'overloaded')
@@ -62,8 +62,10 @@
         gevent.sleep(settings.score_s + fault.slow_s)
         if fault.crash:
             reset_connection(req)
-        named = 'another' if fault.crossed else wanted.sample_id
-        write_json(resp, {'sample_id': named, 'score': score_text(wanted.text)})
+        sample_id = 'another' if fault.crossed else request.sample_id
+        write_json(
+            resp, {'sample_id': sample_id, 'score': score_text(request.text)}
+        )
 
     def set_faults(req: falcon.Request, resp: falcon.Response) -> None:
         faults[0] = read_json(req, ScoringFaults)
--- a/standins/settings_propagation.py
+++ b/standins/settings_propagation.py
@@ -1,8 +1,8 @@
-"""Measures how soon settings are in force on real instances.
+"""Measures how fast settings changes reach all instances of a real fleet.
 
-Changes go through one instance after another, while one is killed and another
-stopped by SIGSTOP and woken again. When a revision came into force on each
-instance is read from its own decisions, by the machine's one clock.
+Changes go through random instances while one instance is killed and another is
+suspended by SIGSTOP and later resumed. Each instance's decisions state when it
+applied a revision; all of them read the same machine's clock.
 """
 
 import json
@@ -23,27 +23,29 @@
 
 _TEAM: Final = TeamId('measure')
 _PATH: Final = f'/v1/operators/settings/{_TEAM}'
-_SETTLE: Final = 3.0
-_TIMEOUT: Final = 20.0
+_SETTLE_SECONDS: Final = 3.0
+_TIMEOUT_SECONDS: Final = 20.0
 _HEADERS: Final = {'Authorization': f'Bearer {make_token(_TEAM, "operator")}'}
 
-# By instance: the wall-clock time at which it had each revision in force.
-Times = dict[str, dict[int, float]]
+# By instance name and revision: wall-clock time of applying the revision.
+ApplyTimes = dict[str, dict[int, float]]
 
 
 class Change:
-    """One accepted change, and the instances that ran meanwhile."""
+    """An accepted change and the instances that ran at that time."""
 
-    def __init__(self, revision: int, asked: float, running: list[str]) -> None:
+    def __init__(
+        self, revision: int, requested_at: float, running: list[str]
+    ) -> None:
         self.revision = revision
-        self.asked = asked
-        self.accepted = time.time()
+        self.requested_at = requested_at
+        self.accepted_at = time.time()
         self.running = running
 
-    def find_delay(self, times: Times) -> float:
-        """Return the seconds until the last running instance had it.
+    def find_delay(self, times: ApplyTimes) -> float:
+        """Return the seconds until the last running instance applied it.
 
-        An instance that went on to a later revision at once counts by that.
+        An instance that skipped to a later revision counts with that one.
         """
         return (
             max(
@@ -57,64 +59,70 @@
                 )
                 for name in self.running
             )
-            - self.asked
+            - self.requested_at
         )
 
 
-def make_changes(
+def submit_changes(
     fleet: Fleet, count: int, pause: float, seed: int
 ) -> list[Change]:
-    """Make changes; kill one instance and stop another on the way."""
-    dice = random.Random(seed)
+    """Make changes; meanwhile kill one instance and suspend another."""
+    rng = random.Random(seed)
     changes: list[Change] = []
-    text = _ask(fleet.instances[0], 'GET', _PATH)['toml']
-    asleep: Process | None = None
+    text = _request(fleet.instances[0], 'GET', _PATH)['toml']
+    suspended: Process | None = None
     for number in range(count):
         if number == count // 5:
             fleet.kill(fleet.instances[-1])
         if number == 2 * count // 5:
-            asleep = fleet.instances[-1]
-            asleep.send(signal.SIGSTOP)
-        if asleep is not None and number == 3 * count // 5:
-            asleep.send(signal.SIGCONT)
-            asleep = None
-        running = [one for one in fleet.instances if one is not asleep]
-        through = dice.choice(running)
-        changes.append(_change(through, text, number, running))
-        gevent.sleep(dice.uniform(0, 2 * pause))
+            suspended = fleet.instances[-1]
+            suspended.send(signal.SIGSTOP)
+        if suspended is not None and number == 3 * count // 5:
+            suspended.send(signal.SIGCONT)
+            suspended = None
+        running = [
+            instance
+            for instance in fleet.instances
+            if instance is not suspended
+        ]
+        target = rng.choice(running)
+        changes.append(_submit_change(target, text, number, running))
+        gevent.sleep(rng.uniform(0, 2 * pause))
     return changes
 
 
-def _change(
-    through: Process, text: str, number: int, running: list[Process]
+def _submit_change(
+    target: Process, text: str, number: int, running: list[Process]
 ) -> Change:
-    asked = time.time()
+    requested_at = time.time()
     body = {
         'toml': text.replace('weight = 1.0', f'weight = {number + 2}.0', 1),
         'base': number + 1,
         'why': 'measured',
         'change_id': f'measure-{number}',
     }
-    accepted = _ask(through, 'PUT', _PATH, body)
-    revision = accepted['change']['revision']
-    return Change(revision, asked, [one.name for one in running])
+    response = _request(target, 'PUT', _PATH, body)
+    revision = response['change']['revision']
+    return Change(
+        revision, requested_at, [instance.name for instance in running]
+    )
 
 
-def read_times(instances: list[Process], changes: list[Change]) -> Times:
-    """Return when each running instance had each revision in force."""
-    times: Times = {}
+def read_times(instances: list[Process], changes: list[Change]) -> ApplyTimes:
+    """Read from the decisions when each instance applied each revision."""
+    times: ApplyTimes = {}
     for change in changes:
         path = f'/v1/operators/explain/settings/{_TEAM}/{change.revision}'
-        for decision in _ask(instances[0], 'GET', path)['decisions']:
-            of_instance = times.setdefault(decision['instance'], {})
-            of_instance[change.revision] = decision['at']
+        for decision in _request(instances[0], 'GET', path)['decisions']:
+            by_revision = times.setdefault(decision['instance'], {})
+            by_revision[change.revision] = decision['at']
     return times
 
 
 def measure(
     instances: int, count: int, pause: float, seed: int
 ) -> dict[str, Any]:
-    """Return the delays, in seconds, and what was late or went back."""
+    """Run the measurement; return delays in seconds and regressions."""
     plan = FleetPlan(
         region=RegionId('region'),
         availability_zones=(ZoneId('a'), ZoneId('b'), ZoneId('c')),
@@ -125,21 +133,21 @@
     fleet = Fleet(plan, folder, seed)
     try:
         fleet.start(instances)
-        gevent.sleep(_SETTLE)
-        changes = make_changes(fleet, count, pause, seed)
-        gevent.sleep(_SETTLE)
+        gevent.sleep(_SETTLE_SECONDS)
+        changes = submit_changes(fleet, count, pause, seed)
+        gevent.sleep(_SETTLE_SECONDS)
         times = read_times(fleet.instances, changes)
     finally:
         fleet.stop()
-    return _sum_up(instances, changes, times)
+    return _summarize(instances, changes, times)
 
 
-def _sum_up(
-    instances: int, changes: list[Change], times: Times
+def _summarize(
+    instances: int, changes: list[Change], times: ApplyTimes
 ) -> dict[str, Any]:
     alive = set(times)
     for change in changes:
-        # What the killed one had in its memory is gone with it.
+        # The decisions of the killed instance were only in its memory.
         change.running = [name for name in change.running if name in alive]
     delays = sorted(change.find_delay(times) for change in changes)
     return {
@@ -149,31 +157,33 @@
         'p99': delays[int(len(delays) * 0.99) - 1],
         'longest': delays[-1],
         'accepted_median': sorted(
-            change.accepted - change.asked for change in changes
+            change.accepted_at - change.requested_at for change in changes
         )[len(changes) // 2],
-        'went_back': sum(_goes_back(one) for one in times.values()),
+        'went_back': sum(
+            _has_regressed(by_revision) for by_revision in times.values()
+        ),
     }
 
 
-def _goes_back(of_instance: dict[int, float]) -> bool:
-    """Tell whether an instance had a lower revision after a higher one."""
-    ordered = sorted(of_instance, key=of_instance.__getitem__)
-    return ordered != sorted(of_instance)
+def _has_regressed(by_revision: dict[int, float]) -> bool:
+    """Return whether an instance applied an older revision after a newer."""
+    ordered = sorted(by_revision, key=by_revision.__getitem__)
+    return ordered != sorted(by_revision)
 
 
-def _ask(process: Process, method: str, path: str, body: Any = None) -> Any:
+def _request(process: Process, method: str, path: str, body: Any = None) -> Any:
     answer = _http.send_request(
         process.addresses['http'],
         method,
         path,
         body,
         headers=_HEADERS,
-        timeout=_TIMEOUT,
+        timeout=_TIMEOUT_SECONDS,
     )
     if answer.status != 200:
         raise UpstreamError(
             f'{process.name} answered {answer.status}: {answer.body!r}',
-            'see its log',
+            'see the log of the instance',
         )
     return answer.decode()
 
@@ -181,13 +191,18 @@
 @click.command()
 @click.option('--instances', default=9, show_default=True)
 @click.option('--changes', default=200, show_default=True)
-@click.option('--pause', default=0.2, show_default=True, help='mean, seconds')
+@click.option(
+    '--pause',
+    default=0.2,
+    show_default=True,
+    help='mean seconds between changes',
+)
 @click.option('--seed', default=1, show_default=True)
 @click.option('--json', 'as_json', is_flag=True)
 def main(
     instances: int, changes: int, pause: float, seed: int, *, as_json: bool
 ) -> None:
-    """Measure settings in force on real processes."""
+    """Measure the propagation of settings changes over real processes."""
     figures = measure(instances, changes, pause, seed)
     if as_json:
         click.echo(json.dumps(figures, indent=2))
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -1,4 +1,4 @@
-"""The rate-limited weight store as a stand-in."""
+"""Stand-in for the rate-limited weight store."""
 
 from functools import partial
 
@@ -14,16 +14,16 @@
 class WeightStoreOptions(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """How the store behaves.
+    """Options of the store.
 
     Parameters
     ----------
     rate
-        Fetches a second over all engines.
+        Fetches per second, summed over all engines.
     fetch_s
-        Seconds that one fetch takes.
+        Duration of one fetch in seconds.
     size
-        Bytes that one version is said to have; few are sent.
+        Reported size of a version in bytes; a fetch sends only a few.
     """
 
     rate: float = 6
@@ -32,7 +32,7 @@
 
 
 class WeightStoreFaults(msgspec.Struct, forbid_unknown_fields=True):
-    """What ``POST /control/faults`` sets; what it leaves out is healthy."""
+    """Body of ``POST /control/faults``; omitted faults are cleared."""
 
     outage: bool = False
     slow_s: float = 0
@@ -40,15 +40,15 @@
 
 
 class _State:
-    """All that the routes share."""
+    """State that the routes share."""
 
     def __init__(self, options: WeightStoreOptions) -> None:
         self.options = options
         self.faults = WeightStoreFaults()
         self.bucket = TokenBucket(options.rate)
 
-    def refuse(self, resp: falcon.Response, version: int) -> bool:
-        """Answer with a fault, if one is set."""
+    def inject_fault(self, resp: falcon.Response, version: int) -> bool:
+        """Respond with an injected fault; return whether there is one."""
         if self.faults.outage:
             write_error(resp, 503, 'outage')
         elif version in self.faults.missing:
@@ -59,12 +59,12 @@
 
 
 def make_app(options: WeightStoreOptions | None = None) -> falcon.App:
-    """Return the stand-in as a WSGI application."""
+    """Create the WSGI application of the stand-in."""
     state = _State(options or WeightStoreOptions())
     path = '/v1/weights/{run}/{version:int}'
     app = falcon.App()
     route(app, path, get=partial(_fetch, state))
-    route(app, f'{path}/entry', get=partial(_show, state))
+    route(app, f'{path}/entry', get=partial(_show_entry, state))
     route(app, '/control/faults', post=partial(_set_faults, state))
     return app
 
@@ -76,8 +76,8 @@
     run: str,
     version: int,
 ) -> None:
-    """Give a version out, unless the rate limit is reached."""
-    if state.refuse(resp, version):
+    """Send a version unless the rate limit is reached."""
+    if state.inject_fault(resp, version):
         return
     if not state.bucket.take():
         write_error(resp, 429, 'rate_limited')
@@ -87,21 +87,21 @@
     resp.data = f'{run} {version}'.encode()
 
 
-def _show(
+def _show_entry(
     state: _State,
     req: falcon.Request,
     resp: falcon.Response,
     run: str,
     version: int,
 ) -> None:
-    """Tell what is known of a version."""
-    if not state.refuse(resp, version):
+    """Respond with the entry of a version."""
+    if not state.inject_fault(resp, version):
         write_json(resp, WeightEntry(state.options.size, state.options.rate))
 
 
 def _set_faults(
     state: _State, req: falcon.Request, resp: falcon.Response
 ) -> None:
-    """Take faults over."""
+    """Replace the faults."""
     state.faults = read_json(req, WeightStoreFaults)
     write_json(resp, {})
