--- a/guavagate/cli/_settings.py
+++ b/guavagate/cli/_settings.py
@@ -14,7 +14,7 @@
 from guavagate.cli._context import get_client
 from guavagate.cli._errors import ExitCode
 from guavagate.cli._output import as_json, print_json, print_table
-from guavagate.cli._wait import wait_everywhere
+from guavagate.cli._wait import wait_until_in_force
 from guavagate.models import Revision, TeamId
 from guavagate.operators import (
     DiffBody,
@@ -161,7 +161,7 @@
     accepted = _put(client, team, text, Revision(base), why, change_id)
     _print_accepted(accepted)
     if wait:
-        wait_everywhere(client, team, accepted.change.revision, wait)
+        wait_until_in_force(client, team, accepted.change.revision, wait)
 
 
 @settings.command()
@@ -219,7 +219,7 @@
     """
     client = get_client()
     if wait:
-        wait_everywhere(client, TeamId(team), None, wait)
+        wait_until_in_force(client, TeamId(team), None, wait)
     body = client.get(f'/settings/{team}/status', StatusBody)
     if as_json:
         print_json(body)
--- a/guavagate/cli/_wait.py
+++ b/guavagate/cli/_wait.py
@@ -12,7 +12,7 @@
 _CLOCK: Final = SystemClock()
 
 
-def wait_everywhere(
+def wait_until_in_force(
     client: Client, team: TeamId, revision: Revision | None, limit: float
 ) -> None:
     """Wait until all instances have one revision, at least the given one.
--- a/guavagate/measure/outcomes/_steps.py
+++ b/guavagate/measure/outcomes/_steps.py
@@ -223,7 +223,7 @@
         address = self._address
         self._call(
             lambda client: client.finish(
-                address.lineage, address.run, step, sample
+                address.deployment_key, address.run, step, sample
             )
         )
 
--- a/guavagate/membership/_members.py
+++ b/guavagate/membership/_members.py
@@ -19,7 +19,7 @@
     restore_peer,
 )
 from guavagate.membership._probes import Send
-from guavagate.membership._static import describe
+from guavagate.membership._static import make_peer_settings
 from guavagate.models import InstanceId
 from guavagate.settings import InstanceSettings, PeerSettings
 from guavagate.util.traffic import Traffic
@@ -56,7 +56,10 @@
         self._credential = credential
         boot = int(clock.wall() * 1000)
         self._detector = Detector(
-            describe(settings), boot, clock.now(), secrets.randbits(64)
+            make_peer_settings(settings),
+            boot,
+            clock.now(),
+            secrets.randbits(64),
         )
         self._peers = {peer.id: peer.peer_address for peer in settings.peers}
         self._detector.joiner.add_candidates(self._peers)
--- a/guavagate/membership/_static.py
+++ b/guavagate/membership/_static.py
@@ -6,7 +6,7 @@
 from guavagate.settings import InstanceSettings, PeerSettings
 
 
-def describe(settings: InstanceSettings) -> PeerSettings:
+def make_peer_settings(settings: InstanceSettings) -> PeerSettings:
     """Return an instance's settings as its peers see them."""
     return PeerSettings(
         id=settings.id,
@@ -22,7 +22,7 @@
 
     def __init__(self, settings: InstanceSettings) -> None:
         known = {peer.id: peer for peer in settings.peers}
-        known[settings.id] = describe(settings)
+        known[settings.id] = make_peer_settings(settings)
         self._known = dict(sorted(known.items()))
 
     def alive(self) -> list[PeerSettings]:
--- a/guavagate/partitions/_hosting.py
+++ b/guavagate/partitions/_hosting.py
@@ -71,7 +71,7 @@
     store: ObjectStore
     list_alive: Callable[[], list[PeerSettings]]
     safeguards: Safeguards
-    decide: Callable[[str, str, str, str, dict[str, str] | None], None]
+    record_decision: Callable[[str, str, str, str, dict[str, str] | None], None]
     rng: random.Random
     make_id: Callable[[], str] = make_id
 
@@ -266,7 +266,7 @@
         write(
             _LOGGER, events.TAKEN_OVER, partition=partition, epoch=primary.epoch
         )
-        self.context.decide(
+        self.context.record_decision(
             f'partition/{partition}', 'holder', self.context.me, reason, None
         )
         self._activated.set()
--- a/guavagate/partitions/_stored.py
+++ b/guavagate/partitions/_stored.py
@@ -79,7 +79,7 @@
             store=runtime.store,
             list_alive=runtime.members.alive,
             safeguards=safeguards or Safeguards(),
-            decide=runtime.decisions.record,
+            record_decision=runtime.decisions.record,
             rng=source,
             make_id=make_id if rng is None else lambda: _draw_id(source),
         )
--- a/guavagate/runs/_client.py
+++ b/guavagate/runs/_client.py
@@ -42,18 +42,18 @@
     run: RunId
 
     @property
-    def lineage(self) -> DeploymentId:
-        """Return the deployment's id, made unique across teams."""
+    def deployment_key(self) -> DeploymentId:
+        """Return TEAM/DEPLOYMENT, which is unique across teams."""
         return DeploymentId(f'{self.team}/{self.deployment}')
 
 
-def partition_key(lineage: DeploymentId) -> str:
+def partition_key(deployment_key: DeploymentId) -> str:
     """Return the key that determines the partition of a deployment's runs.
 
     All runs of a deployment share one partition, so that the staleness check
     always compares with the newest published version.
     """
-    return f'runs/{lineage}'
+    return f'runs/{deployment_key}'
 
 
 class RunsClient:
@@ -69,7 +69,7 @@
         outcome = self._submit(
             PublishVersion(
                 at=self._wall_time(),
-                deployment=address.lineage,
+                deployment=address.deployment_key,
                 run=address.run,
                 version=version,
             ),
@@ -96,7 +96,7 @@
         outcome = self._submit(
             SubmitStep(
                 at=self._wall_time(),
-                deployment=address.lineage,
+                deployment=address.deployment_key,
                 run=address.run,
                 step_id=step_id,
                 digest=digest,
@@ -110,7 +110,7 @@
 
     def finish(
         self,
-        lineage: DeploymentId,
+        deployment_key: DeploymentId,
         run: RunId,
         step_id: str,
         sample: FinishedSample,
@@ -119,7 +119,7 @@
         return self._submit(
             FinishSample(
                 at=self._wall_time(),
-                deployment=lineage,
+                deployment=deployment_key,
                 run=run,
                 step_id=step_id,
                 sample=sample,
@@ -141,7 +141,7 @@
             batch = self._submit(
                 PullBatch(
                     at=self._wall_time(),
-                    deployment=address.lineage,
+                    deployment=address.deployment_key,
                     run=address.run,
                     cursor=cursor,
                     max_samples=max_samples,
@@ -161,7 +161,7 @@
         return self._submit(
             KeepCursor(
                 at=self._wall_time(),
-                deployment=address.lineage,
+                deployment=address.deployment_key,
                 run=address.run,
                 consumer=consumer,
                 cursor=cursor,
--- a/guavagate/runs/_driver.py
+++ b/guavagate/runs/_driver.py
@@ -89,9 +89,9 @@
         """Assign samples until the instance stops."""
         self._runtime.clock.spawn(self._run)
 
-    def mean_sample_seconds(self, lineage: DeploymentId) -> float | None:
+    def mean_sample_seconds(self, deployment_key: DeploymentId) -> float | None:
         """Return the mean duration of a sample, if one has been measured."""
-        return self._mean_seconds.get(lineage)
+        return self._mean_seconds.get(deployment_key)
 
     def tick(self) -> None:
         """Reassign lost samples and assign pending ones to free slots."""
@@ -101,21 +101,25 @@
             self._next_cleanup_at = now + CLEANUP_INTERVAL_SECONDS
             self._remove_settled()
         for _, state in self._hosted():
-            for lineage in list(state.lineages):
-                deployment = find_deployment(self._runtime, lineage)
+            for deployment_key in list(state.lineages):
+                deployment = find_deployment(self._runtime, deployment_key)
                 if (
                     deployment is not None
-                    and state.find_newest_version(lineage) is not None
+                    and state.find_newest_version(deployment_key) is not None
                 ):
-                    self._assign_pending(lineage, deployment, state)
+                    self._assign_pending(deployment_key, deployment, state)
 
     def _remove_settled(self) -> None:
         """Remove assignments whose samples are not pending on this primary."""
         pending: set[_SampleKey] = set()
         for _, state in self._hosted():
-            for lineage in state.lineages:
-                for run, samples in state.list_pending_by_run(lineage).items():
-                    pending.update((lineage, run, name) for name in samples)
+            for deployment_key in state.lineages:
+                for run, samples in state.list_pending_by_run(
+                    deployment_key
+                ).items():
+                    pending.update(
+                        (deployment_key, run, name) for name in samples
+                    )
         for key in [key for key in self._assignments if key not in pending]:
             self._assignments.pop(key)
 
@@ -129,12 +133,12 @@
 
     def _assign_pending(
         self,
-        lineage: DeploymentId,
+        deployment_key: DeploymentId,
         deployment: DeploymentSettings,
         state: RunsState,
     ) -> None:
-        by_run = state.list_pending_by_run(lineage)
-        counts = self._count_assigned(lineage)
+        by_run = state.list_pending_by_run(deployment_key)
+        counts = self._count_assigned(deployment_key)
         slots = sum(sampler.slots for sampler in deployment.samplers)
         free = int(slots * SAMPLES_PER_SLOT) - sum(counts.values())
         if free <= 0 or all(
@@ -143,7 +147,7 @@
         ):
             return
         queues = {
-            run: self._iterate_unassigned(lineage, run, samples)
+            run: self._iterate_unassigned(deployment_key, run, samples)
             for run, samples in by_run.items()
         }
         weights = {run.id: run.weight for run in deployment.runs}
@@ -156,18 +160,20 @@
             counts[run] = counts.get(run, 0) + 1
             free -= 1
             self._assign_sample(
-                lineage, state, run, sample, weights.get(run, 1)
+                deployment_key, state, run, sample, weights.get(run, 1)
             )
 
     def _iterate_unassigned(
         self,
-        lineage: DeploymentId,
+        deployment_key: DeploymentId,
         run: RunId,
         samples: dict[SampleId, PendingSample],
     ) -> Iterator[PendingSample]:
         now = self._runtime.clock.now()
         for sample in list(samples.values()):
-            assignment = self._assignments.get((lineage, run, sample.sample_id))
+            assignment = self._assignments.get(
+                (deployment_key, run, sample.sample_id)
+            )
             if assignment is None or (
                 not assignment.worker and assignment.not_before <= now
             ):
@@ -175,13 +181,13 @@
 
     def _assign_sample(
         self,
-        lineage: DeploymentId,
+        deployment_key: DeploymentId,
         state: RunsState,
         run: RunId,
         sample: PendingSample,
         weight: float,
     ) -> None:
-        key = (lineage, run, sample.sample_id)
+        key = (deployment_key, run, sample.sample_id)
         previous = self._assignments.get(key)
         attempt = previous.attempt + 1 if previous else 0
         worker = self._choose_worker(f'{run}/{sample.sample_id}', attempt)
@@ -192,7 +198,7 @@
             attempt=attempt,
             assigned_at=self._runtime.clock.now(),
         )
-        team, _, deployment = lineage.partition('/')
+        team, _, deployment = deployment_key.partition('/')
         write(
             _LOGGER,
             SAMPLE_ASSIGNED,
@@ -214,7 +220,7 @@
                 attempt=attempt,
                 group=sample.group,
                 oldest=find_oldest_fresh_version(
-                    state, lineage, sample.max_staleness
+                    state, deployment_key, sample.max_staleness
                 ),
                 weight=weight,
             ),
@@ -238,10 +244,10 @@
         ranked = rank(subject, candidates)
         return ranked[attempt % len(ranked)] if ranked else None
 
-    def _count_assigned(self, lineage: DeploymentId) -> dict[RunId, int]:
+    def _count_assigned(self, deployment_key: DeploymentId) -> dict[RunId, int]:
         counts: dict[RunId, int] = {}
-        for (assigned_lineage, run, _), assignment in self._assignments.items():
-            if assigned_lineage == lineage and assignment.worker:
+        for (key, run, _), assignment in self._assignments.items():
+            if key == deployment_key and assignment.worker:
                 counts[run] = counts.get(run, 0) + 1
         return counts
 
@@ -303,10 +309,10 @@
 
 
 def find_deployment(
-    runtime: Runtime, lineage: DeploymentId
+    runtime: Runtime, deployment_key: DeploymentId
 ) -> DeploymentSettings | None:
-    """Return the current settings of a deployment, given its unique id."""
-    team_id, _, name = lineage.partition('/')
+    """Return the current settings of the deployment TEAM/DEPLOYMENT."""
+    team_id, _, name = deployment_key.partition('/')
     team = runtime.teams.get(TeamId(team_id))
     for deployment in team.deployments if team else ():
         if deployment.id == name:
@@ -315,10 +321,10 @@
 
 
 def find_oldest_fresh_version(
-    state: RunsState, lineage: DeploymentId, max_staleness: int
+    state: RunsState, deployment_key: DeploymentId, max_staleness: int
 ) -> WeightVersion | None:
     """Return the oldest version within a staleness bound."""
-    published = state.lineages[lineage].published
+    published = state.lineages[deployment_key].published
     if not published:
         return None
     return published[max(len(published) - 1 - max_staleness, 0)]
--- a/guavagate/runs/_worker.py
+++ b/guavagate/runs/_worker.py
@@ -147,11 +147,11 @@
         )
 
     def _generate_and_record(self, request: GenerateSample) -> Verdict:
-        lineage = DeploymentId(f'{request.team}/{request.deployment}')
-        deployment = find_deployment(self._runtime, lineage)
+        deployment_key = DeploymentId(f'{request.team}/{request.deployment}')
+        deployment = find_deployment(self._runtime, deployment_key)
         if deployment is None:
             raise GuavagateError(
-                f'deployment {lineage} is not declared here',
+                f'deployment {deployment_key} is not declared here',
                 'declare it with `guavagate settings apply`',
             )
         work = self._make_work(request)
@@ -170,16 +170,18 @@
             versions=tuple(progress.versions),
             score=self._score_with_retries(deployment, request, progress.text),
         )
-        return self._record(request, lineage, sample, tuple(progress.samplers))
+        return self._record(
+            request, deployment_key, sample, tuple(progress.samplers)
+        )
 
     def _record(
         self,
         request: GenerateSample,
-        lineage: DeploymentId,
+        deployment_key: DeploymentId,
         sample: FinishedSample,
         samplers: tuple[UpstreamId, ...],
     ) -> Verdict:
-        verdict = self._record_with_retries(request, lineage, sample)
+        verdict = self._record_with_retries(request, deployment_key, sample)
         write(
             _LOGGER,
             SAMPLE_RECORDED,
@@ -194,7 +196,7 @@
     def _record_with_retries(
         self,
         request: GenerateSample,
-        lineage: DeploymentId,
+        deployment_key: DeploymentId,
         sample: FinishedSample,
     ) -> Verdict:
         """Record a sample, retrying while the store is unavailable.
@@ -207,7 +209,7 @@
         while True:
             try:
                 return self._runs.finish(
-                    lineage, request.run, request.step_id, sample
+                    deployment_key, request.run, request.step_id, sample
                 )
             except RefusalError:
                 if clock.now() >= deadline:
--- a/guavagate/weights/_rollout.py
+++ b/guavagate/weights/_rollout.py
@@ -100,15 +100,15 @@
         """Reconcile each deployment once."""
         seen: set[DeploymentId] = set()
         for epoch, state in self._hosted():
-            for deployment_id in list(state.lineages):
-                seen.add(deployment_id)
-                self._reconcile(deployment_id, epoch, state)
-        for deployment_id in [
-            deployment_id
-            for deployment_id in self._rollouts
-            if deployment_id not in seen
+            for deployment_key in list(state.lineages):
+                seen.add(deployment_key)
+                self._reconcile(deployment_key, epoch, state)
+        for deployment_key in [
+            deployment_key
+            for deployment_key in self._rollouts
+            if deployment_key not in seen
         ]:
-            self._rollouts.pop(deployment_id)
+            self._rollouts.pop(deployment_key)
 
     def _run(self) -> None:
         while True:
@@ -118,26 +118,26 @@
             self.tick()
 
     def _reconcile(
-        self, deployment_id: DeploymentId, epoch: Epoch, state: RunsState
+        self, deployment_key: DeploymentId, epoch: Epoch, state: RunsState
     ) -> None:
-        deployment = find_deployment(self._runtime, deployment_id)
+        deployment = find_deployment(self._runtime, deployment_key)
         if (
             deployment is None
-            or state.find_newest_version(deployment_id) is None
+            or state.find_newest_version(deployment_key) is None
         ):
             return
         now = self._runtime.clock.now()
-        rollout = self._rollouts.get(deployment_id)
+        rollout = self._rollouts.get(deployment_key)
         if rollout is None or rollout.epoch != epoch:
             rollout = DeploymentRollout(epoch=epoch, since=now, refilled_at=now)
-            self._rollouts[deployment_id] = rollout
-        if rollout.target != state.find_newest_version(deployment_id):
-            rollout.target = state.find_newest_version(deployment_id)
+            self._rollouts[deployment_key] = rollout
+        if rollout.target != state.find_newest_version(deployment_key):
+            rollout.target = state.find_newest_version(deployment_key)
             rollout.read_next.clear()
             rollout.fetching.clear()
         self._read_due_reports(rollout, deployment, now)
         if self._may_order(rollout, deployment):
-            self._send_orders(deployment_id, rollout, deployment, state)
+            self._send_orders(deployment_key, rollout, deployment, state)
 
     def _read_due_reports(
         self,
@@ -192,7 +192,7 @@
 
     def _send_orders(
         self,
-        deployment_id: DeploymentId,
+        deployment_key: DeploymentId,
         rollout: DeploymentRollout,
         deployment: DeploymentSettings,
         state: RunsState,
@@ -200,13 +200,13 @@
         addresses = {
             sampler.id: sampler.address for sampler in deployment.samplers
         }
-        inputs = self._make_inputs(deployment_id, rollout, deployment, state)
+        inputs = self._make_inputs(deployment_key, rollout, deployment, state)
         samplers = rollout.describe_samplers(
             deployment, self._runtime.clock.now()
         )
         orders = plan_orders(inputs, samplers)
         if not orders or not self._confirm_epoch(
-            deployment_id, rollout, orders[0]
+            deployment_key, rollout, orders[0]
         ):
             return
         for order in orders:
@@ -216,7 +216,7 @@
             rollout.read_next.pop(order.sampler, None)
             self._runtime.clock.spawn(
                 self._execute_order,
-                deployment_id,
+                deployment_key,
                 rollout,
                 addresses[order.sampler],
                 order,
@@ -224,7 +224,7 @@
 
     def _make_inputs(
         self,
-        deployment_id: DeploymentId,
+        deployment_key: DeploymentId,
         rollout: DeploymentRollout,
         deployment: DeploymentSettings,
         state: RunsState,
@@ -236,13 +236,13 @@
             max(rate, 1),
         )
         rollout.refilled_at = now
-        lineage = state.lineages[deployment_id]
+        lineage = state.lineages[deployment_key]
         return RolloutInputs(
             published=tuple(lineage.published),
             max_staleness=deployment.max_staleness,
             staleness_weight=deployment.weights.staleness,
             idle_weight=deployment.weights.idle,
-            sample_seconds=self._sample_seconds(deployment_id)
+            sample_seconds=self._sample_seconds(deployment_key)
             or DEFAULT_SAMPLE_SECONDS,
             step_seconds=lineage.publish_seconds or DEFAULT_STEP_SECONDS,
             prefetches=int(rollout.allowance),
@@ -250,7 +250,7 @@
 
     def _confirm_epoch(
         self,
-        deployment_id: DeploymentId,
+        deployment_key: DeploymentId,
         rollout: DeploymentRollout,
         order: WeightOrder,
     ) -> bool:
@@ -258,19 +258,22 @@
         requested_at = self._boot_clock()
         command = ConfirmOrder(
             at=self._runtime.clock.wall(),
-            deployment=deployment_id,
+            deployment=deployment_key,
             run=RunId(''),
             version=order.version,
         )
         try:
             outcome = self._runtime.partitions.submit_here(
-                partition_key(deployment_id), rollout.epoch, command, RunOutcome
+                partition_key(deployment_key),
+                rollout.epoch,
+                command,
+                RunOutcome,
             )
         except PartitionError as error:
             write(
                 _LOGGER,
                 ORDER_WITHHELD,
-                deployment=deployment_id,
+                deployment=deployment_key,
                 error=str(error),
             )
             return False
@@ -281,13 +284,13 @@
 
     def _execute_order(
         self,
-        deployment_id: DeploymentId,
+        deployment_key: DeploymentId,
         rollout: DeploymentRollout,
         address: str,
         order: WeightOrder,
     ) -> None:
         try:
-            self._send_order(deployment_id, rollout, address, order)
+            self._send_order(deployment_key, rollout, address, order)
         except UpstreamError as error:
             write(
                 _LOGGER,
@@ -303,14 +306,14 @@
 
     def _send_order(
         self,
-        deployment_id: DeploymentId,
+        deployment_key: DeploymentId,
         rollout: DeploymentRollout,
         address: str,
         order: WeightOrder,
     ) -> None:
         age = self._boot_clock() - rollout.confirmed_at
         if age > CONFIRMATION_VALID_SECONDS:
-            write(_LOGGER, ORDER_WITHHELD, deployment=deployment_id, age=age)
+            write(_LOGGER, ORDER_WITHHELD, deployment=deployment_key, age=age)
             return
         write(
             _LOGGER,
@@ -321,7 +324,7 @@
             fence=rollout.epoch,
         )
         self._runtime.decisions.record(
-            f'{deployment_id}/{order.version}',
+            f'{deployment_key}/{order.version}',
             order.kind.value,
             order.sampler,
             order.reason,
--- a/tests/weights/test_rollout.py
+++ b/tests/weights/test_rollout.py
@@ -21,7 +21,7 @@
 from guavagate.settings import parse_team_settings
 from guavagate.weights import WeightRollout
 
-_LINEAGE = DeploymentId('trust/coach-models')
+_DEPLOYMENT = DeploymentId('trust/coach-models')
 _SAMPLERS = '\n'.join(
     f'[[deployments.samplers]]\nid = "s{n}"\naddress = "s{n}:1"\n'
     'availability_zone = "jhb-east"'
@@ -105,7 +105,7 @@
             runtime,
             self.engines,  # type: ignore[arg-type]
             lambda: [(self.epoch, self.state)],
-            lambda lineage: 1,
+            lambda deployment_key: 1,
             self.clock.now,
         )
         self.publish(1)
@@ -116,7 +116,7 @@
         self.state.apply(
             PublishVersion(
                 at=self.clock.wall(),
-                deployment=_LINEAGE,
+                deployment=_DEPLOYMENT,
                 run=RunId('r'),
                 version=WeightVersion(version),
             )
