--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -214,7 +214,7 @@
         load_settings(path)
 
 
-class _FakeCaller:
+class _FakeClient:
     """Fake store connection with prepared answers."""
 
     def __init__(self, *answers: Answer) -> None:
@@ -229,11 +229,11 @@
 
 def _make_store(
     *answers: tuple[int, bytes],
-) -> tuple[PlatformStore, _FakeCaller]:
-    caller = _FakeCaller(
+) -> tuple[PlatformStore, _FakeClient]:
+    client = _FakeClient(
         *(Answer(status=status, body=body) for status, body in answers)
     )
-    return PlatformStore(caller), caller  # type: ignore[arg-type]
+    return PlatformStore(client), client  # type: ignore[arg-type]
 
 
 _OBJECT = b'{"metadata":{"name":"n","revision":5},"spec":{"a":1},"status":null}'
@@ -241,14 +241,14 @@
 
 def test_a_list_is_read_to_its_last_page() -> None:
     """The revision is the first page's; the watch starts there."""
-    store, caller = _make_store(
+    store, client = _make_store(
         (200, b'{"items":[%s],"has-more":true,"store-revision":9}' % _OBJECT),
         (200, b'{"items":[],"has-more":false,"store-revision":12}'),
     )
     objects, revision = store.list_under('k')
     assert [each.path for each in objects] == ['k/n']
     assert revision == 9
-    assert caller.calls[1].path == '/objects/k?after=n'
+    assert client.calls[1].path == '/objects/k?after=n'
 
 
 def test_a_conflict_contains_the_current_object() -> None:
