--- a/standins/_roles.py
+++ b/standins/_roles.py
@@ -58,13 +58,13 @@
 @click.argument(
     'role', type=click.Choice(sorted((*SERVER_ROLES, *CLIENT_ROLES)))
 )
-@click.option('--listen', default='', help='127.0.0.1:PORT, 0 for any')
+@click.option('--listen', default='', help='127.0.0.1:PORT, port 0 for any')
 @click.argument('options', nargs=-1, metavar='[OPTION=VALUE …]')
 def main(role: str, listen: str, options: tuple[str, ...]) -> None:
     """Run one stand-in until SIGINT or SIGTERM.
 
-    A role that listens prints its address first; callers and trainers do not
-    listen, and finish what is outstanding before they end.
+    Server roles print their address first. Callers and trainers don't listen;
+    they complete their open requests before they exit.
     """
     pairs = dict(option.partition('=')[::2] for option in options)
     stopped = Event()
@@ -78,7 +78,7 @@
     kind, make_app = SERVER_ROLES[role]
     host, _, port = listen.rpartition(':')
     if host != '127.0.0.1':
-        raise click.BadParameter('--listen takes 127.0.0.1:PORT only')
+        raise click.BadParameter('--listen must be 127.0.0.1:PORT')
     server = serve(make_app(read_options(role, kind, pairs)), int(port))
     click.echo(server.address)
     stopped.wait()
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -16,7 +16,7 @@
 from guavagate.ports.engine import Generation
 from standins._web import read_json, route
 
-_TIMEOUT: Final = 20.0
+_TIMEOUT_SECONDS: Final = 20.0
 
 
 class RelayOptions(
@@ -61,6 +61,6 @@
     engine: HttpModelEngine, address: str, generation: Generation
 ) -> Iterator[bytes]:
     """Yield the pieces of a generation as server-sent events."""
-    for piece in engine.generate(address, generation, _TIMEOUT):
+    for piece in engine.generate(address, generation, _TIMEOUT_SECONDS):
         yield b'data: %b\n\n' % msgspec.json.encode(piece)
     yield b'data: [DONE]\n\n'
