--- a/guavagate/decisions/_attempts.py
+++ b/guavagate/decisions/_attempts.py
@@ -92,7 +92,7 @@
         if Safeguard.HEADROOM not in self._enabled:
             return False
         work = attempts.work
-        free = sum(state.free_for(work) for state in fitting)
+        free = sum(state.count_free(work) for state in fitting)
         slots = self._fleet.count_slots(work)
         return self.shares.exceeds_share(attempts.requester, work, free, slots)
 
@@ -139,7 +139,7 @@
         if matched:
             running.cached_prefixes = matched
             key = work.prefix_keys[matched - 1]
-            running.cached_prefix_at = state.prefixes.last_seen(key)
+            running.cached_prefix_at = state.prefixes.get_last_use(key)
         state.start(running)
         state.prefixes.store(work.prefix_keys, now)
         self.shares.start(attempts.requester)
--- a/guavagate/decisions/_fleet.py
+++ b/guavagate/decisions/_fleet.py
@@ -69,7 +69,7 @@
             return [
                 state
                 for state in self.samplers.values()
-                if state.free_for(work) > 0
+                if state.count_free(work) > 0
                 and not state.find_block_reason(work)
             ]
         # Leaving samplers have no usable slots.
@@ -113,7 +113,7 @@
         self.slots = sum(state.usable for state in states)
         self._rollout_slots = sum(state.usable_rollout for state in states)
 
-    def add_answer(
+    def record_answer(
         self,
         running: RunningWork,
         state: SamplerState,
--- a/guavagate/decisions/_sampler.py
+++ b/guavagate/decisions/_sampler.py
@@ -47,7 +47,7 @@
         'cached_prefix_at',
         'cached_prefixes',
         'cost',
-        'expected',
+        'expected_seconds',
         'start',
         'streams_at_start',
         'token_interval',
@@ -55,12 +55,12 @@
     )
 
     def __init__(
-        self, work: Work, cost: float, start: float, expected: float
+        self, work: Work, cost: float, start: float, expected_seconds: float
     ) -> None:
         self.work = work
         self.cost = cost
         self.start = start
-        self.expected = expected
+        self.expected_seconds = expected_seconds
         self.cached_prefixes = 0
         self.cached_prefix_at = start
         self.streams_at_start = 0
@@ -96,7 +96,7 @@
         """Return how many more runs of any kind may start."""
         return max(self.usable, self.usable_rollout) - self.occupied
 
-    def free_for(self, work: Work) -> int:
+    def count_free(self, work: Work) -> int:
         """Return how many more runs of this work's kind may start."""
         if work.kind is Kind.ROLLOUT:
             return self.usable_rollout - self.occupied
--- a/guavagate/decisions/_speculation.py
+++ b/guavagate/decisions/_speculation.py
@@ -81,7 +81,10 @@
         and running.token_interval > ejection.SLOW_STREAM_FACTOR * usual
     ):
         return True
-    return now - running.start > retries.HEDGE_AFTER_FACTOR * running.expected
+    return (
+        now - running.start
+        > retries.HEDGE_AFTER_FACTOR * running.expected_seconds
+    )
 
 
 def _try_start(
@@ -141,7 +144,7 @@
     return Placement(
         work=work,
         sampler=state.id,
-        expected_seconds=running.expected,
+        expected_seconds=running.expected_seconds,
         expected_token_interval=fleet.token_interval,
         decision=decision,
         duplicate=True,
--- a/guavagate/decisions/pool.py
+++ b/guavagate/decisions/pool.py
@@ -225,7 +225,9 @@
             return []
         state = self._fleet.samplers.get(sampler)
         if state is not None:
-            self._fleet.add_answer(running, state, now, tokens, cached_tokens)
+            self._fleet.record_answer(
+                running, state, now, tokens, cached_tokens
+            )
         self._table.record_success()
         return self._table.close(work_id, now)
 
@@ -389,7 +391,7 @@
         return Placement(
             work=work,
             sampler=state.id,
-            expected_seconds=running.expected,
+            expected_seconds=running.expected_seconds,
             expected_token_interval=self._fleet.token_interval,
             decision=decision,
         )
--- a/guavagate/decisions/pools.py
+++ b/guavagate/decisions/pools.py
@@ -45,7 +45,7 @@
     ----------
     load
         Running and queued work per slot.
-    seen
+    reported_at
         When the load was reported, in seconds of the clock.
     """
 
@@ -53,7 +53,7 @@
     zone: ZoneId = ZoneId('')
     slots: int = 1
     load: float = 0
-    seen: float = 0
+    reported_at: float = 0
     refused_until: float = 0
 
 
@@ -96,7 +96,7 @@
 
 def decay_load(pool: PoolView, now: float) -> float:
     """Return the pool's load, reduced by the age of the report."""
-    left = 1 - (now - pool.seen) / LOAD_MEMORY_SECONDS
+    left = 1 - (now - pool.reported_at) / LOAD_MEMORY_SECONDS
     if left <= 0:
         return 0
     return pool.load * min(left, 1)
--- a/guavagate/decisions/prefixes.py
+++ b/guavagate/decisions/prefixes.py
@@ -51,7 +51,7 @@
         while len(self._last_used) > MAX_PREFIXES:
             self._last_used.popitem(last=False)
 
-    def last_seen(self, key: int) -> float:
+    def get_last_use(self, key: int) -> float:
         """Return when a key was last stored or used."""
         return self._last_used.get(key, float('-inf'))
 
--- a/guavagate/forwarding/_rewards.py
+++ b/guavagate/forwarding/_rewards.py
@@ -76,7 +76,7 @@
     def _count_free_slots(self, upstream: Upstream) -> int:
         load = self._upstreams.load(upstream.id)
         slots = upstream.slots or DEFAULT_SLOTS
-        return limit_background(slots, load.foreground_slots) - load.in_flight
+        return limit_background(slots, load.caller_slots) - load.in_flight
 
 
 class RewardForwarder:
--- a/guavagate/permits/_choice.py
+++ b/guavagate/permits/_choice.py
@@ -46,7 +46,7 @@
         view = self._views.get(pool)
         if view is not None:
             view.load = load
-            view.seen = self._runtime.clock.now()
+            view.reported_at = self._runtime.clock.now()
 
     def choose(
         self,
--- a/guavagate/permits/_queue_owner.py
+++ b/guavagate/permits/_queue_owner.py
@@ -44,7 +44,7 @@
 from guavagate.permits._speculation import (
     SpeculativeRuns,
     describe_refusal,
-    record,
+    record_decision,
 )
 from guavagate.runtime import Runtime
 
@@ -247,7 +247,7 @@
             return
         for placement in owned.pool.place(now):
             self._grant(owned, placement, now)
-            record(self._runtime, placement.decision)
+            record_decision(self._runtime, placement.decision)
 
     def _offer(
         self, owned: OwnedPool, sender: InstanceId, request: AskPermit
@@ -261,7 +261,7 @@
         if work.id in owned.queued:
             return None
         offered = owned.pool.offer(work, now)
-        record(self._runtime, offered.decision)
+        record_decision(self._runtime, offered.decision)
         if isinstance(offered, Refused):
             return describe_refusal(offered)
         owned.queued[work.id] = QueuedWork(
--- a/guavagate/permits/_speculation.py
+++ b/guavagate/permits/_speculation.py
@@ -15,7 +15,7 @@
 from guavagate.runtime import Runtime
 
 
-def record(runtime: Runtime, decision: Decision) -> None:
+def record_decision(runtime: Runtime, decision: Decision) -> None:
     """Record a pool's decision in the log and for ``explain``."""
     runtime.decisions.record(
         decision.subject,
@@ -55,7 +55,7 @@
             if grant is None:
                 owned.pool.cancel(placement.work.id, now)
                 continue
-            record(self._runtime, placement.decision)
+            record_decision(self._runtime, placement.decision)
             permit = owned.make_permit(placement.work.id, placement.sampler)
             if grant.entry != self._runtime.settings.id:
                 self._runtime.bus.send(grant.entry, RunCopy(permit=permit))
--- a/guavagate/routing/_choice.py
+++ b/guavagate/routing/_choice.py
@@ -45,7 +45,7 @@
 class Load(msgspec.Struct):
     """One instance's view of an upstream's load; times in seconds.
 
-    `foreground_slots` is the smoothed number of slots that other requests use,
+    `caller_slots` is the smoothed number of slots that other requests use,
     `timeouts` the number of consecutive requests that received nothing within
     the time that their callers allowed.
     """
@@ -53,7 +53,7 @@
     in_flight: int = 0
     reported_busy: int = 0
     reported_at: float = -1e9
-    foreground_slots: float = 0
+    caller_slots: float = 0
     failures: float = 0
     timeouts: int = 0
     latency: float = 0
--- a/guavagate/routing/_upstreams.py
+++ b/guavagate/routing/_upstreams.py
@@ -174,8 +174,8 @@
         load = self.load(upstream)
         load.reported_busy = busy
         load.reported_at = self._clock.now()
-        load.foreground_slots = average_caller_slots(
-            load.foreground_slots, busy, load.in_flight
+        load.caller_slots = average_caller_slots(
+            load.caller_slots, busy, load.in_flight
         )
 
     def record_success(self, upstream: UpstreamId, seconds: float) -> None:
--- a/tests/decisions/test_safeguards.py
+++ b/tests/decisions/test_safeguards.py
@@ -142,7 +142,7 @@
         index.store((9,), 10)
         assert index.apply(0, [('stored', 0)], 11) is False
         assert index.apply(40, [('stored', 9)], 12) is True
-        index.record_eviction(index.last_seen(2))
+        index.record_eviction(index.get_last_use(2))
         assert len(index) == left
 
 
