--- a/guavagate/decisions/_attempts.py
+++ b/guavagate/decisions/_attempts.py
@@ -1,4 +1,4 @@
-"""Where each work item has run and runs, and whether it may run again."""
+"""Tracks the attempts at each work item; decides whether to retry it."""
 
 from typing import Final
 
--- a/guavagate/decisions/_fleet.py
+++ b/guavagate/decisions/_fleet.py
@@ -1,4 +1,4 @@
-"""What a queue owner learns about all samplers of a pool together."""
+"""Tracks a pool's samplers, their median token interval and their slots."""
 
 import statistics
 from collections.abc import Iterable
@@ -41,10 +41,10 @@
 
     def update_samplers(self, infos: Iterable[SamplerInfo], now: float) -> None:
         """Apply the declared samplers; remove those no longer declared."""
-        wanted = {info.id: info for info in infos}
-        for sampler in set(self.samplers) - set(wanted):
+        declared = {info.id: info for info in infos}
+        for sampler in set(self.samplers) - set(declared):
             self.samplers.pop(sampler)
-        for info in wanted.values():
+        for info in declared.values():
             state = self.samplers.get(info.id)
             if state is None:
                 state = SamplerState(
@@ -138,7 +138,7 @@
 
     def _eject(self, states: list[SamplerState], now: float) -> None:
         median_interval = self.median_interval or 0
-        out = sum(now < state.health.ejected_until for state in states)
+        ejected = sum(now < state.health.ejected_until for state in states)
         for state in states:
             if now < state.health.ejected_until:
                 continue
@@ -148,9 +148,9 @@
                 >= ejection.EJECT_BELOW
             ):
                 continue
-            if ejection.may_eject(out, len(states)):
+            if ejection.may_eject(ejected, len(states)):
                 state.health.eject(now)
-                out += 1
+                ejected += 1
 
     def _check_oldest(
         self, state: SamplerState, median_interval: float, now: float
--- a/guavagate/decisions/_sampler.py
+++ b/guavagate/decisions/_sampler.py
@@ -1,4 +1,4 @@
-"""What a queue owner knows about one sampler."""
+"""Tracks one sampler of a pool at its queue owner."""
 
 import collections
 from typing import Final
@@ -155,8 +155,8 @@
     def apply_report(self, report: SamplerReport) -> None:
         """Apply a report, and count the runs in it that others started.
 
-        The report shows the past, so the own runs of that moment are subtracted
-        from its count.
+        The report shows the past, so the runs that were known here at that
+        moment are subtracted from its count.
         """
         self.version = report.version or self.version
         if report.adapters is not None:
--- a/guavagate/decisions/_work.py
+++ b/guavagate/decisions/_work.py
@@ -63,7 +63,10 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why work was refused; only an attempt that failed may have run."""
+    """Why work was refused.
+
+    Refused work has not run, unless an attempt at it failed after its start.
+    """
 
     TOO_LATE = 'deadline_unreachable'
     EXPIRED = 'deadline_passed_in_queue'
@@ -133,7 +136,7 @@
 
 
 class Refused(msgspec.Struct, frozen=True, kw_only=True):
-    """Work that was refused and has not run; `retry_after` is in seconds."""
+    """Work that was refused; `retry_after` is in seconds."""
 
     work_id: RequestId
     reason: RefusalReason
--- a/guavagate/decisions/admission.py
+++ b/guavagate/decisions/admission.py
@@ -2,9 +2,9 @@
 
 Load pattern: twice as much work as the samplers can answer in time.
 
-Without it: every request waits until it is nearly or already late, the samplers
-spend their time on answers that no caller uses any more, and answers in time
-fall towards none although all samplers are busy.
+Without admission control: every request waits until it is nearly or already
+late, the samplers spend their time on answers that no caller uses any more, and
+answers in time fall towards none although all samplers are busy.
 
 Expected times come from measured seconds per token. Estimated lengths are wrong
 by a factor of two either way, which is handled in two ways. The errors of the
--- a/guavagate/decisions/ejection.py
+++ b/guavagate/decisions/ejection.py
@@ -1,11 +1,11 @@
-"""Weights for slow or failing samplers.
+"""Reduces the work of slow or failing samplers, or ejects them.
 
 Load pattern: one of six samplers becomes ten times as slow, or half of them
 refuse everything for thirty seconds.
 
-Without it: a slow sampler occupies its slots ten times as long and receives a
-share of all requests; a failing one frees its slot at once after each failure,
-so least-connections sends it nearly everything.
+Without ejection: a slow sampler occupies its slots ten times as long and
+receives a share of all requests; a failing one frees its slot at once after
+each failure, so least-connections sends it nearly everything.
 
 A sampler's share of interactive work falls with its token interval relative to
 the pool's median and with its failures; its share of rollout work only with its
--- a/guavagate/decisions/fairness.py
+++ b/guavagate/decisions/fairness.py
@@ -3,8 +3,8 @@
 Load pattern: one caller sends twenty times its share, or a trainer submits
 2,048 samples at once, while others send a little.
 
-Without it: everyone waits behind the largest sender, whose queue determines all
-other callers' p99.
+Without fair queues: everyone waits behind the largest sender, whose queue
+determines all other callers' p99.
 
 Start-time fair queueing: each flow has a start tag that grows by cost divided
 by weight as it is served, and the lowest tag is next, so a caller with too many
@@ -33,7 +33,12 @@
 
 
 class FlowItem:
-    """One queued work item."""
+    """One queued work item.
+
+    `key` orders the items of a flow, the lowest first. From `urgent_from` on an
+    item precedes the fair shares, and after `latest_start` it is not expected
+    to meet its deadline.
+    """
 
     __slots__ = (
         'cost',
@@ -58,7 +63,11 @@
 
 
 class Flow:
-    """A node of the tree: all queued work of a kind, team or caller."""
+    """A node of the tree: all queued work of a kind, team or caller.
+
+    `sequence` is the number of its valid entry in the parent's `child_heap`;
+    entries with another number are outdated and skipped.
+    """
 
     __slots__ = (
         'active_weight',
--- a/guavagate/decisions/limits.py
+++ b/guavagate/decisions/limits.py
@@ -3,8 +3,8 @@
 Load pattern: engines admit everything they receive, and the configured number
 of slots is wrong, or right only for short prompts.
 
-Without it: an engine with more streams than fit in its memory swaps them in and
-out; all streams slow down together and none finishes.
+Without a learned limit: an engine with more streams than fit in its memory
+swaps them in and out; all streams slow down together and none finishes.
 
 While a sampler is full, one stream more or fewer is tried from time to time.
 The change is kept if it gave more tokens a second than the old number did both
@@ -133,7 +133,11 @@
 
 
 class _Trial:
-    """A trial of another number of streams, measured against the old one."""
+    """A trial of another number of streams, measured against the old one.
+
+    `base` is the throughput with the old number before the trial, and `rate`
+    that with the tried number, both in tokens per second.
+    """
 
     __slots__ = ('base', 'old', 'rate', 'tried')
 
--- a/guavagate/decisions/order.py
+++ b/guavagate/decisions/order.py
@@ -2,8 +2,8 @@
 
 Load pattern: a caller sends many short requests and sometimes a long job.
 
-Without it: in order of arrival, a short request waits for the long jobs ahead
-of it, many times its own length.
+In order of arrival, a short request waits for the long jobs ahead of it, many
+times its own length.
 
 An order is a function from work, arrival and expected seconds to a key that
 doesn't change while the work waits; the lowest key is next. See
--- a/guavagate/decisions/placement.py
+++ b/guavagate/decisions/placement.py
@@ -3,9 +3,9 @@
 Load pattern: a third of all requests share one prompt prefix; others share
 smaller ones; samplers join and leave.
 
-Without it: with least connections every sampler reads every prompt; plain
-hashing keeps prefixes together, but puts the whole load of the hot one on a
-single sampler and moves nearly all prefixes when a sampler leaves.
+Simpler choices fail: with least connections every sampler reads every prompt;
+plain hashing keeps prefixes together, but puts the whole load of the hot one on
+a single sampler and moves nearly all prefixes when a sampler leaves.
 
 Work goes to the sampler that has cached the longest part of its prompt, among
 those whose load is within `LOAD_BOUND` of the mean. If none has cached any of
--- a/guavagate/decisions/pool.py
+++ b/guavagate/decisions/pool.py
@@ -33,7 +33,7 @@
 from guavagate.decisions.order import LENGTH_ERROR, order_by_arrival
 from guavagate.models import RequestId, SamplerId
 
-# How many queued works that can't be placed one call of `place` skips. Bounds
+# How many work items that can't be placed one call of `place` skips. Bounds
 # the time of a call when many wait for a version that no sampler has yet.
 LOOKAHEAD: Final = 16
 
@@ -199,8 +199,7 @@
         """Record the token interval of a slow stream, in seconds per token.
 
         Entries report streams slower than `ejection.SLOW_STREAM_FACTOR` times
-        the expected interval. The end of the answer would show it ten times as
-        late.
+        the expected interval; the answer's end would show it ten times as late.
         """
         state = self._fleet.samplers.get(sampler)
         if state is None or work_id not in state.running:
@@ -244,11 +243,11 @@
         Parameters
         ----------
         started
-            Whether it may have run there; if so, a refusal is not ``not run``.
+            Whether it may have run there, which a refusal must not deny.
 
         Returns
         -------
-        Nothing when another run of it goes on or the work is unknown.
+        None if another run of it goes on or the work is unknown.
         """
         running = self._table.stop(work_id, sampler, now)
         state = self._fleet.samplers.get(sampler)
@@ -281,9 +280,8 @@
         """Start and return speculative runs of slow work.
 
         A candidate without a free slot is remembered: later calls of `place`
-        start it in the first free slot, since a sample that delays an older
-        step precedes a newer step's. Only this method returns the runs, `place`
-        doesn't.
+        start it first, as a sample of an older step precedes those of a newer
+        one. Only this method returns the runs.
         """
         self._fleet.refresh(now)
         self._candidates = _speculation.find_candidates(
--- a/guavagate/decisions/prefixes.py
+++ b/guavagate/decisions/prefixes.py
@@ -3,7 +3,7 @@
 Load pattern: one system prompt is used by a third of all requests, and groups
 of samples share a prompt.
 
-Without it: every sampler reads every prompt again.
+Without the index: every sampler reads every prompt again.
 
 Cache events arrive late and with gaps. A gap must not corrupt the index. Each
 answer reports its number of cached tokens, which is authoritative: a prefix
@@ -52,7 +52,7 @@
             self._last_used.popitem(last=False)
 
     def get_last_use(self, key: int) -> float:
-        """Return when a key was last stored or used."""
+        """Return when a prefix was last stored or used here."""
         return self._last_used.get(key, float('-inf'))
 
     def record_eviction(self, seen: float) -> None:
--- a/guavagate/decisions/reserve.py
+++ b/guavagate/decisions/reserve.py
@@ -3,9 +3,9 @@
 Load pattern: long jobs, or a trainer's samples, beside short requests. While no
 short request is queued for a moment, long ones fill every slot.
 
-Without it: no order helps, since running work isn't interrupted. Long jobs
-occupy all slots until they end, and short requests that arrive meanwhile wait
-for many times their own length.
+Without reserved slots: no order helps, since running work isn't interrupted.
+Long jobs occupy all slots until they end, and short requests that arrive
+meanwhile wait for many times their own length.
 
 Some slots, sized by the recent demand of short work, are reserved for it.
 """
@@ -44,7 +44,7 @@
             self._mean_log_cost = log
         self._mean_log_cost += _SMOOTHING * (log - self._mean_log_cost)
         if not self.is_long(work, cost):
-            self._demand = self._decayed_demand(now) + cost
+            self._demand = self._decay_demand(now) + cost
             self._last_arrival_at = now
 
     def is_long(self, work: Work, cost: float) -> bool:
@@ -59,10 +59,10 @@
         self, slots: int, token_interval: float, now: float
     ) -> float:
         """Return the number of slots reserved for short work."""
-        used = self._decayed_demand(now) / DEMAND_DECAY_SECONDS * token_interval
+        used = self._decay_demand(now) / DEMAND_DECAY_SECONDS * token_interval
         return min(DEMAND_MARGIN * used, MAX_SHARE * slots)
 
-    def _decayed_demand(self, now: float) -> float:
+    def _decay_demand(self, now: float) -> float:
         return self._demand * math.exp(
             -(now - self._last_arrival_at) / DEMAND_DECAY_SECONDS
         )
--- a/guavagate/decisions/retries.py
+++ b/guavagate/decisions/retries.py
@@ -2,8 +2,8 @@
 
 Load pattern: half of the upstreams fail for thirty seconds.
 
-Without it: three attempts for each request triple the load on the healthy half
-at the worst moment. It fails too, and stays down after the cause is gone,
+Without a budget: three attempts for each request triple the load on the healthy
+half at the worst moment. It fails too, and stays down after the cause is gone,
 because the retries keep it overloaded.
 
 Non-idempotent work is never retried once it may have started.
--- a/guavagate/decisions/shares.py
+++ b/guavagate/decisions/shares.py
@@ -3,9 +3,9 @@
 Load pattern: a caller at twenty times its share, or a trainer with a whole step
 queued, takes every slot as soon as it is free.
 
-Without it: fair queues order only the waiting work. A light caller's request
-still waits for a slot, and then streams in a full batch, although its own share
-of the slots is unused.
+Without headroom: fair queues order only the waiting work. A light caller's
+request still waits for a slot, and then streams in a full batch, although its
+own share of the slots is unused.
 
 A requester that runs far more than its share of the active weights may not take
 the last `HEADROOM` of the slots. Those slots stay free for the next request of
@@ -52,7 +52,7 @@
         _, previous = self._last_arrivals.pop(requester, (0, 0))
         self._weights += weight - previous
         self._last_arrivals[requester] = (now, weight)
-        self._forget(now)
+        self._discard_inactive(now)
 
     def start(self, requester: Requester) -> None:
         """Count a run that starts."""
@@ -75,7 +75,7 @@
         share = get_weight(work) / max(self._weights, 1e-9)
         return self._running.get(requester, 0) >= OVER_SHARE * share * slots
 
-    def _forget(self, now: float) -> None:
+    def _discard_inactive(self, now: float) -> None:
         arrivals = self._last_arrivals
         while arrivals:
             requester = next(iter(arrivals))
--- a/guavagate/decisions/tail.py
+++ b/guavagate/decisions/tail.py
@@ -3,8 +3,8 @@
 Load pattern: 2,048 samples of which a few run ten times as long, on samplers of
 which one is slow at that time.
 
-Without it: the step waits for its slowest sample while nearly all slots are
-idle.
+Without these measures: the step waits for its slowest sample while nearly all
+slots are idle.
 
 Three measures: the sample with the longest expected time starts first
 (`order.order_rollout`). When nothing is queued, idle slots start speculative
--- a/guavagate/duties/_reporter.py
+++ b/guavagate/duties/_reporter.py
@@ -90,7 +90,7 @@
         self._length = length
         self._is_reporter = is_reporter
         self._totals = UsageTotals()
-        self._next: int | None = None
+        self._next_window: int | None = None
         self._first_window = 0
         self._unreported: dict[int, TeamCounts] = {}
         self._attempts: dict[int, int] = {}
@@ -125,26 +125,26 @@
                 _LOGGER.debug('another instance reports usage')
 
     def _step_down(self) -> None:
-        if self._next is not None:
-            self._next = None
+        if self._next_window is not None:
+            self._next_window = None
             self._unreported.clear()
             self._lease.release()
 
     def _check(self) -> None:
         closed_until = self._cluster_clock.now() - CLOSE_DELAY_SECONDS
         end = int(closed_until // self._length)
-        if self._next is None:
-            self._next = end - CATCH_UP_WINDOWS
+        if self._next_window is None:
+            self._next_window = end - CATCH_UP_WINDOWS
             write(
                 _LOGGER,
                 events.REPORTER_STARTED,
                 reporter=self._me,
-                first=self._next,
+                first=self._next_window,
             )
-        while self._next < end:
-            self._close_window(self._next)
-            self._delete_window(self._next - RETAINED_WINDOWS)
-            self._next += 1
+        while self._next_window < end:
+            self._close_window(self._next_window)
+            self._delete_window(self._next_window - RETAINED_WINDOWS)
+            self._next_window += 1
         self._totals.discard_before(end - RETAINED_WINDOWS)
         for window in sorted(self._unreported):
             self._report(window)
--- a/guavagate/duties/_scaler.py
+++ b/guavagate/duties/_scaler.py
@@ -32,10 +32,11 @@
 # Peaks count for this long, which covers some steps, so that upstreams do not
 # come and go when a trainer stops or is slow once.
 PEAK_SECONDS: Final = 30.0
-# How long regular upstreams replace spot ones in a zone that had none.
+# How long regular upstreams replace spot ones in a zone where an order for spot
+# ones failed.
 SPOT_UNAVAILABLE_SECONDS: Final = 20.0
-# An order counts as lost when its upstreams are later than their boot time by
-# this.
+# An order counts as lost if its upstreams are still missing this long after
+# their boot time.
 OVERDUE_SECONDS: Final = 2.0
 
 CountOpen = Callable[[], dict[str, int]]
@@ -162,8 +163,9 @@
 
         Registrations arrive one by one while an instance starts, and some
         upstreams are away at any moment: with the current number as baseline,
-        the platform would remove the others. After the first order for a zone,
-        the number may include regular upstreams that replace spot ones.
+        the platform would remove the others. After the first order for a zone
+        the baseline stays, as the number may then include regular upstreams
+        that replace spot ones.
         """
         if (zone, CapacityType.REGULAR) not in self._ordered:
             self._baseline[zone] = max(self._baseline.get(zone, 0), regular)
--- a/guavagate/feeds/_feed.py
+++ b/guavagate/feeds/_feed.py
@@ -47,8 +47,8 @@
 RELAY_WAIT_SECONDS: Final = 0.9
 # How long a relay waits after a change, so that the changes that often follow
 # come in one answer. Registrations, the objects that may lapse, change often
-# while samplers load, and a short delay does no harm: an upstream that leaves
-# allows two seconds.
+# while samplers load, and a short delay does no harm: instances have two
+# seconds to stop using an upstream that leaves.
 RELAY_PAUSE_SECONDS: Final = 0.1
 LAPSING_PAUSE_SECONDS: Final = 0.4
 # An instance that watches for itself alone stops when it receives data from a
@@ -95,7 +95,7 @@
         rank. An instance that works on jobs may not: when it is cut off from
         the store and the first relay, it would open a link to each instance
         and send it all objects just when its own results have to go through a
-        peer, and these would be listed seconds late. The next standby takes
+        peer, and these would be committed seconds late. The next standby takes
         over instead.
 
     Attributes
--- a/guavagate/feeds/_follower.py
+++ b/guavagate/feeds/_follower.py
@@ -46,7 +46,7 @@
 
     Parameters
     ----------
-    loaded
+    on_loaded
         Called after a snapshot was applied; must not block.
 
     Attributes
@@ -61,14 +61,14 @@
         bus: Bus,
         table: FeedTable,
         proof: Proof,
-        loaded: Callable[[], None],
+        on_loaded: Callable[[], None],
         boot_clock: Callable[[], float],
     ) -> None:
         self._clock = clock
         self._bus = bus
         self._table = table
         self._proof = proof
-        self._on_loaded = loaded
+        self._on_loaded = on_loaded
         self._boot_clock = boot_clock
         self._relays: dict[InstanceId, _Relay] = {}
         self.last_message_at = clock.now()
--- a/guavagate/feeds/_proof.py
+++ b/guavagate/feeds/_proof.py
@@ -38,7 +38,7 @@
     def invalidate(self) -> None:
         """Treat the local data as infinitely old until `restore`.
 
-        When the newest configuration can not be decoded here, an older one
+        When the newest configuration cannot be decoded here, an older one
         stays in force.
         """
         self._invalid = True
--- a/guavagate/jobs/_active.py
+++ b/guavagate/jobs/_active.py
@@ -17,14 +17,7 @@
 from guavagate.jobs._cadence import Cadence
 from guavagate.jobs._committer import Committer
 from guavagate.jobs._messages import LookupStatus
-from guavagate.jobs._models import (
-    ItemId,
-    Job,
-    JobId,
-    Page,
-    Result,
-    make_page,
-)
+from guavagate.jobs._models import ItemId, Job, JobId, Page, Result, make_page
 from guavagate.jobs._partial_texts import PartialTexts
 from guavagate.jobs._result_log import WRITE_TIMEOUT_SECONDS, ResultLog
 from guavagate.jobs._schedule import count_demands
@@ -40,7 +33,7 @@
 RETRY_INTERVAL_SECONDS: Final = 0.1
 PAGE_BYTES: Final = 900_000
 # Readers of an uncertain job wait at least this long for its reconciliation,
-# about fifty usual answers of the store; then they read the store themselves.
+# fifty times the store's usual response time; then they read the store.
 RECONCILE_SECONDS: Final = 0.3
 _ANY_TEAM: Final = TeamId('')
 
@@ -284,7 +277,7 @@
 
         Known results never change, so only readers of a position without a
         result wait for it. If the store is unavailable, they get what is
-        committed here in the meantime, or the answer to read the store.
+        committed here meanwhile, or are told to read the store themselves.
         """
         if active.reconcile_task is None or active.reconcile_task.dead:
             active.reconcile_task = self._clock.spawn(self._reconcile, active)
--- a/guavagate/jobs/_dispatch.py
+++ b/guavagate/jobs/_dispatch.py
@@ -74,7 +74,7 @@
         self._lengths = LengthEstimator()
         self._deferred: set[tuple[JobId, GroupId]] = set()
         self._scanned_at = clock.now()
-        self._reading_since = clock.now()
+        self._resumed_at = clock.now()
 
     def record_text(self, work: JobWork, progress: ItemProgress) -> None:
         """Record a complete text, to estimate the lengths of others."""
@@ -118,9 +118,9 @@
         if now - self._scanned_at < SCAN_INTERVAL_SECONDS:
             return
         if now - self._scanned_at > OVERDUE_SCAN_SECONDS:
-            self._reading_since = now
+            self._resumed_at = now
         self._scanned_at = now
-        if now - self._reading_since < OVERDUE_SCAN_SECONDS:
+        if now - self._resumed_at < OVERDUE_SCAN_SECONDS:
             return
         interval = self._find_median_interval()
         for name, runs in find_unresponsive(
--- a/guavagate/jobs/_forecast.py
+++ b/guavagate/jobs/_forecast.py
@@ -183,21 +183,21 @@
     Removing the most expensive group whenever one doesn't fit maximizes the
     number of groups in time (the Moore-Hodgson algorithm).
     """
-    kept: list[GroupPlan] = []
+    in_time: list[GroupPlan] = []
     load = running
     for plan in wanted:
-        kept.append(plan)
+        in_time.append(plan)
         load += plan.slot_seconds
         if plan.late:
             continue
         tail = plan.longest_seconds * _compute_tail_ratio(
             backlog, plan.work.job.objective
         )
-        while plan in kept and now + load / slots + tail > plan.due:
-            out = max(kept, key=_rank_for_deferral)
-            kept.remove(out)
-            out.deferred = True
-            load -= out.slot_seconds
+        while plan in in_time and now + load / slots + tail > plan.due:
+            dropped = max(in_time, key=_rank_for_deferral)
+            in_time.remove(dropped)
+            dropped.deferred = True
+            load -= dropped.slot_seconds
 
 
 def _rank_for_deferral(plan: GroupPlan) -> tuple[bool, float]:
--- a/guavagate/jobs/_owner.py
+++ b/guavagate/jobs/_owner.py
@@ -48,7 +48,7 @@
 # Changes wake the owner; this interval finds items that may be retried.
 DISPATCH_INTERVAL_SECONDS: Final = 0.1
 # The owner runs ten times a second. Other members consider an instance dead
-# after more than a second, so a shorter freeze caused no other owner.
+# after more than a second, so a shorter freeze makes no other instance owner.
 MIN_FREEZE_SECONDS: Final = 0.8
 # Listing and reading the jobs usually takes a tenth of this. If the store is
 # slow, an owner begins with the jobs it has.
--- a/guavagate/jobs/_snapshots.py
+++ b/guavagate/jobs/_snapshots.py
@@ -30,7 +30,8 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# More than the texts of all slots of a large fleet; a larger file is not ours.
+# More than the texts of all slots of a large fleet; a larger file is not a
+# snapshot.
 MAX_FILE_BYTES: Final = 16_000_000
 
 RunBlocking = Callable[[Callable[[], None]], object]
@@ -132,7 +133,10 @@
             self._loaded.setdefault(text.job, []).append(text)
 
     def _write(self, path: pathlib.Path, content: bytes) -> None:
-        """Replace the file atomically; a power loss leaves one version."""
+        """Replace the file atomically.
+
+        A power loss leaves either the old or the new version.
+        """
         temporary = path.with_suffix('.new')
         try:
             with temporary.open('wb') as file:
--- a/guavagate/permits/_client.py
+++ b/guavagate/permits/_client.py
@@ -91,8 +91,8 @@
         Raises
         ------
         RefusalError
-            The queue owner refused, or none answered in time; the work has
-            not run.
+            The queue owner refused, or none answered in time. Apart from a
+            failed attempt, the work has not run.
         """
         try:
             return self._acquire(pool, work, failed)
@@ -284,7 +284,7 @@
     def find_missing(
         self, pool: str, work_ids: Iterable[RequestId]
     ) -> tuple[RequestId, ...]:
-        """Return those of some permits that are not in use here."""
+        """Return the given work whose permits are not in use here."""
         permits = self._permits.get(pool, {})
         return tuple(one for one in work_ids if one not in permits)
 
--- a/guavagate/permits/_messages.py
+++ b/guavagate/permits/_messages.py
@@ -64,7 +64,7 @@
 
 
 class PermitRefusal(msgspec.Struct, frozen=True, kw_only=True):
-    """Says why the work gets no permit; it has not run."""
+    """Says why the work gets no permit; only a failed attempt may have run."""
 
     reason: str
     text: str
--- a/guavagate/rollouts/_assign.py
+++ b/guavagate/rollouts/_assign.py
@@ -21,7 +21,7 @@
 # Quotas that are off by this many samplers are kept, because moving a sampler
 # costs a load.
 QUOTA_TOLERANCE: Final = 1
-# The odd sampler moves only to a trainer whose workload is larger by this
+# An extra sampler moves only to a trainer whose workload is larger by this
 # factor.
 MOVE_WORKLOAD_RATIO: Final = 1.3
 
@@ -83,7 +83,7 @@
     counts: Mapping[str, int],
     workloads: Mapping[str, float],
 ) -> list[str]:
-    """Return the models in the order in which they get odd samplers.
+    """Return the models in the order in which they get extra samplers.
 
     A model that already has an extra sampler keeps it, because moving it costs
     a load, unless another trainer's workload is so much larger that its steps
--- a/guavagate/rollouts/_coordinator.py
+++ b/guavagate/rollouts/_coordinator.py
@@ -41,10 +41,11 @@
 # A load takes about this long, so an earlier report shows nothing new.
 FIRST_REPORT_SECONDS: Final = 0.95
 REPORT_INTERVAL_SECONDS: Final = 0.3
-# A sampler may execute an order without a response as late as this.
+# An order that got no response may still be executed until this time.
 ORDER_TIMEOUT_SECONDS: Final = 3.0
 RETRY_SECONDS: Final = 0.5
-# A sampler that is permanently lost stays registered for a few seconds.
+# Limits the backoff. A longer one would save little: a sampler that is
+# permanently lost stays registered for only a few seconds.
 MAX_DOUBLINGS: Final = 3
 
 
@@ -234,7 +235,7 @@
     def _execute_order(
         self, upstream: Upstream, model: str, version: WeightVersion
     ) -> None:
-        began = self._clock.now()
+        started_at = self._clock.now()
         state = self._states.get(upstream.id)
         try:
             if self._send(upstream, model, version):
@@ -251,10 +252,10 @@
             )
             self._handle_failed_order(upstream)
         finally:
-            self._end_order(upstream, state, began)
+            self._end_order(upstream, state, started_at)
 
     def _end_order(
-        self, upstream: Upstream, state: SamplerState, began: float
+        self, upstream: Upstream, state: SamplerState, started_at: float
     ) -> None:
         # If the sampler has restarted in the meantime, this is the state of its
         # previous incarnation; the new one may be loading by a later order.
@@ -264,7 +265,7 @@
             events.VERSION_LOADED,
             sampler=upstream.id,
             versions=state.versions,
-            seconds=round(self._clock.now() - began, 2),
+            seconds=round(self._clock.now() - started_at, 2),
         )
         self._states.notify()
         self._wake.set()
--- a/guavagate/rollouts/_lease.py
+++ b/guavagate/rollouts/_lease.py
@@ -3,7 +3,7 @@
 The job owner of a service loads versions into its samplers and scales them
 under one lease; the instance that reports usage holds another one.
 
-Samplers may not check fencing tokens, so two holders must never send orders
+Samplers may ignore fencing tokens, so two holders must never send orders
 within one lease time of each other. A holder renews the lease with a
 conditional write right before it sends orders, and may then send them for
 `VALID_SECONDS`. A successor takes the lease over with the next generation,
@@ -125,9 +125,9 @@
         StoreUnavailableError
             The store does not respond; no order may be sent.
         """
-        began = self._now()
+        started_at = self._now()
         with self._lock:
-            if self.may_order() and self._renewed_at > began:
+            if self.may_order() and self._renewed_at > started_at:
                 return  # Another task has renewed it in the meantime.
             if self._revision is None:
                 self._acquire()
@@ -135,7 +135,7 @@
                 self._renew(self._revision)
 
     def _renew(self, revision: Revision) -> None:
-        began = self._now()
+        started_at = self._now()
         # The content differs at each renewal: a write without a change would
         # keep the revision, and a later holder's write would go unnoticed.
         self._nonce = secrets.token_hex(8)
@@ -149,8 +149,8 @@
             self._revision = self._put(record, revision)
         except StoreConflictError as conflict:
             self._revision = self._reconcile(conflict.current, record)
-        self._valid_until = began + VALID_SECONDS
-        self._renewed_at = began
+        self._valid_until = started_at + VALID_SECONDS
+        self._renewed_at = started_at
 
     def release(self) -> None:
         """Stop using the lease; its record stays for the next generation."""
@@ -172,7 +172,7 @@
         arrival: no later renewal allowed an order, or its nonce would be
         stored. If another instance took the lease over while this one was
         waiting, and then sent no order, the wait need not start again: it was
-        for the holder before both.
+        for the last orders of the holder before both.
         """
         full = self._lease_seconds + VALID_SECONDS + ORDER_TRANSIT_SECONDS
         if previous is None:
@@ -194,7 +194,7 @@
         return full
 
     def _acquire(self) -> None:
-        began = self._now()
+        started_at = self._now()
         current = self._store.get(self._path)
         previous = None if current is None else _decode(current)
         generation = 1 if previous is None else previous.generation + 1
@@ -213,7 +213,7 @@
         self._first_order_at = self._now() + wait
         # During the wait the record states that nothing was ordered. This stays
         # true, because orders need the renewal that follows the wait.
-        self._valid_until = float(0) if wait else began + VALID_SECONDS
+        self._valid_until = float(0) if wait else started_at + VALID_SECONDS
         # Announced after the write: the previous holder may have sent orders
         # until then, and the next holder counts from here.
         self._announce(record)
@@ -276,7 +276,7 @@
     """Return a record; an unreadable one counts as another holder's.
 
     Its generation is unknown, but each generation took at least one write, so
-    it can not exceed the store's revision.
+    it cannot exceed the store's revision.
     """
     try:
         return msgspec.json.decode(stored.value, type=LeaseRecord)
--- a/guavagate/rollouts/_plan.py
+++ b/guavagate/rollouts/_plan.py
@@ -5,7 +5,7 @@
 items for a second, and with two samplers per model, loading both at once delays
 the whole step by that time. Therefore a sampler that can serve the open jobs
 continues to start items, and loads when no item of its model waits; one that
-can not serve them loads at once. Between two steps, a sampler loads if it will
+cannot serve them loads at once. Between two steps, a sampler loads if it will
 finish before the next step is due; otherwise it waits for that step, starts its
 items, and loads while they run.
 """
--- a/guavagate/routing/_choice.py
+++ b/guavagate/routing/_choice.py
@@ -15,8 +15,9 @@
 
 from guavagate.ports.upstreams import Upstream
 
-# A report describes the load at the time of a response. Up to a third of the
-# usual gap between two responses, it is more helpful than misleading.
+# A report describes the load at the time of a response. When it is older than
+# this, a third of the usual gap between two responses, it misleads more than it
+# helps.
 REPORT_MAX_AGE_SECONDS: Final = 0.5
 # Costs are added to the used fraction of an upstream's slots. Queueing may take
 # longer than the round trip to another zone, so a free slot in another zone
@@ -45,9 +46,9 @@
 class Load(msgspec.Struct):
     """One instance's view of an upstream's load; times in seconds.
 
-    `caller_slots` is the smoothed number of slots that other requests use,
-    `timeouts` the number of consecutive requests that received nothing within
-    the time that their callers allowed.
+    `caller_slots` is the smoothed number of slots that are in use beyond this
+    instance's requests, `timeouts` the number of consecutive requests that
+    received nothing within the time that their callers allowed.
     """
 
     in_flight: int = 0
--- a/guavagate/routing/_routes.py
+++ b/guavagate/routing/_routes.py
@@ -21,7 +21,7 @@
 
 
 class RouteTable:
-    """Holds the newest configuration; never returns to an older one."""
+    """Stores the newest configuration; never returns to an older one."""
 
     def __init__(self) -> None:
         self.configuration: Configuration | None = None
--- a/guavagate/routing/_upstreams.py
+++ b/guavagate/routing/_upstreams.py
@@ -102,9 +102,10 @@
 
         Its load, failures and connections belong to its previous incarnation. A
         registration of the previous incarnation may arrive late, so only a
-        higher incarnation counts as a restart. Where the upstream's clock was
-        set back, its reports reveal the restart: they are requested, and can
-        not be that old.
+        higher incarnation counts as a restart. If the upstream's clock was
+        set back, a restart lowers the incarnation and is not detected here. The
+        reports that the coordinator requests detect it: unlike a registration,
+        a requested report is never from before the request.
         """
         before = self._incarnations.get(upstream.id, 0)
         self._incarnations[upstream.id] = max(before, upstream.incarnation)
--- a/standins/_safeguard_jobs.py
+++ b/standins/_safeguard_jobs.py
@@ -30,7 +30,7 @@
     Safeguard(
         'a group that can not complete in time is deferred',
         'guavagate/jobs/_forecast.py',
-        '            out.deferred = True\n',
+        '            dropped.deferred = True\n',
         '',
         'tests/jobs/test_forecast.py',
     ),
--- a/standins/_safeguard_rows.py
+++ b/standins/_safeguard_rows.py
@@ -47,8 +47,9 @@
     Safeguard(
         'orders need a recent renewal',
         'guavagate/rollouts/_lease.py',
-        'self._valid_until = began + VALID_SECONDS\n        self._renewed_at',
-        'self._valid_until = began + 60\n        self._renewed_at',
+        'self._valid_until = started_at + VALID_SECONDS\n'
+        '        self._renewed_at',
+        'self._valid_until = started_at + 60\n        self._renewed_at',
         'tests/rollouts/test_lease.py',
     ),
     Safeguard(
--- a/tests/feeds/test_feed.py
+++ b/tests/feeds/test_feed.py
@@ -143,7 +143,7 @@
     """The first standby owns jobs and receives nothing from the relay.
 
     As a relay it would open links to all others and send them all objects,
-    which delays the listing of its own results. It watches the store for itself
+    which delays the commits of its own results. It watches the store for itself
     alone, and the next standby relays.
     """
     fleet = Fleet([f'n{number}' for number in range(20)])
--- a/tests/feeds/test_feed_proof.py
+++ b/tests/feeds/test_feed_proof.py
@@ -23,14 +23,14 @@
 
 
 def test_the_proof_stays_young_without_changes(proving: Fleet) -> None:
-    """Nothing changes for a minute, and keys are honoured all the time."""
+    """Nothing changes for a minute, and keys are accepted all the time."""
     for _ in range(200):
         proving.clock.advance(0.31)
         assert max(proving.list_ages(proving.names)) < 2.7
 
 
 def test_the_relay_is_lost_and_the_proof_stays_young(proving: Fleet) -> None:
-    """A standby reads a proof within the time in which keys are honoured."""
+    """A standby reads a proof within the time in which keys are accepted."""
     for relay in proving.order_relays()[:2]:
         proving.world.kill(relay)
     rest = proving.list_followers()[1:]
@@ -85,7 +85,7 @@
     """The store drops its history, and its watches miss changes for a while.
 
     They end without an event, as if nothing had changed. If that counted as a
-    proof, a key that was revoked meanwhile would be honoured.
+    proof, a key that was revoked meanwhile would be accepted.
     """
 
     def watch_nothing(
--- a/tests/rollouts/test_plan.py
+++ b/tests/rollouts/test_plan.py
@@ -171,7 +171,7 @@
     assert counts == [2, 2, 2]
 
 
-def test_the_odd_sampler_goes_to_the_largest_workload() -> None:
+def test_the_extra_sampler_goes_to_the_largest_workload() -> None:
     """Three trainers share five samplers; one submits half as much.
 
     If the small one had two samplers, a large one would have a single sampler
