--- a/guavagate/duties/_targets.py
+++ b/guavagate/duties/_targets.py
@@ -81,9 +81,10 @@
 def _spread_over_zones(
     available: Mapping[ZoneId, int], extra: int
 ) -> dict[ZoneId, int]:
-    """Return shares that provide `extra` without any one zone, if possible.
+    """Return the number of additional upstreams by zone.
 
-    The cheapest zones come first in `available`.
+    The zones that are left after the loss of any one of them still have `extra`
+    upstreams, unless a zone has no room for its share.
     """
     others = max(len(available) - 1, 1)
     share = math.ceil(extra / others)
--- a/guavagate/jobs/_lengths.py
+++ b/guavagate/jobs/_lengths.py
@@ -53,7 +53,10 @@
         return self.total_events / self.total_tokens
 
     def record(self, events: int, tokens: int) -> None:
-        """Add a completed text; drop the oldest one if the history is full."""
+        """Add a completed text; drop the oldest one if the history is full.
+
+        `tokens` is the trainer's estimate, 0 if it sent none.
+        """
         if len(self.events) == MAX_TEXTS:
             oldest_tokens = self.tokens.popleft()
             oldest_events = self.events.popleft()
--- a/guavagate/jobs/_replicas.py
+++ b/guavagate/jobs/_replicas.py
@@ -193,7 +193,11 @@
     def _make_part(
         self, job: JobId, progress: ItemProgress, sent: dict[_Key, _SentText]
     ) -> TextPart | None:
-        """Return the part of a text that a peer lacks, all if it restarted."""
+        """Return the part of a text that a peer lacks, if any.
+
+        A text that has restarted is sent from its first event, under a new
+        number.
+        """
         known = sent.get((job, progress.item.id))
         text = progress.text
         if known is None or known.text is not text:
--- a/guavagate/permits/_client.py
+++ b/guavagate/permits/_client.py
@@ -105,6 +105,10 @@
     def _acquire(
         self, pool: str, work: Work, failed: FailedAttempt | None
     ) -> Permit:
+        """Repeat the request until a queue owner grants or refuses it.
+
+        A failed attempt is reported until the first reply of a queue owner.
+        """
         while True:
             remaining = work.deadline - self.now()
             if remaining <= 0:
--- a/guavagate/permits/_directory.py
+++ b/guavagate/permits/_directory.py
@@ -54,7 +54,7 @@
     team: TeamId,
     deployment: DeploymentSettings,
 ) -> list[PoolSpec]:
-    """Return the pools of a deployment's samplers."""
+    """Return the pools of a deployment: few, and of about equal size."""
     members = [
         PoolMember(
             id=UpstreamId(sampler.id),
--- a/guavagate/rollouts/_coordinator.py
+++ b/guavagate/rollouts/_coordinator.py
@@ -257,6 +257,7 @@
     def _end_order(
         self, upstream: Upstream, state: SamplerState, started_at: float
     ) -> None:
+        """Allow other orders to the sampler, also after a failed one."""
         # If the sampler has restarted in the meantime, this is the state of its
         # previous incarnation; the new one may be loading by a later order.
         state.loading = False
