--- a/guavagate/cli/_client.py
+++ b/guavagate/cli/_client.py
@@ -43,7 +43,9 @@
 
     def get(self, path: str, kind: type[_Body], **params: Any) -> _Body:
         """Return a typed answer; parameters that are None are omitted."""
-        present = {name: one for name, one in params.items() if one is not None}
+        present = {
+            name: value for name, value in params.items() if value is not None
+        }
         query = f'?{urlencode(present)}' if present else ''
         return self._call('GET', f'{path}{query}', b'', kind)
 
--- a/guavagate/cli/_fleet.py
+++ b/guavagate/cli/_fleet.py
@@ -41,20 +41,20 @@
         ('INSTANCE', 'ZONE', 'STATE', 'ACTIVE', 'HOMES', 'PRIMARY/BACKUP'),
         [
             (
-                one.instance,
-                one.availability_zone,
-                one.state,
-                one.active_requests,
-                len(one.homes),
-                _count_roles(one.partitions),
+                instance.instance,
+                instance.availability_zone,
+                instance.state,
+                instance.active_requests,
+                len(instance.homes),
+                _count_roles(instance.partitions),
             )
-            for one in body.instances
+            for instance in body.instances
         ],
         'No instance answered.',
     )
-    for one in body.instances:
-        for note in (*one.waits_for, *one.repairs):
-            click.echo(f'{one.instance}: {note}')
+    for instance in body.instances:
+        for note in (*instance.waits_for, *instance.repairs):
+            click.echo(f'{instance.instance}: {note}')
 
 
 @click.command()
@@ -70,14 +70,14 @@
         ('TEAM', 'DEPLOYMENT', 'SERVING', 'RUNNING', 'QUEUED', 'VERSIONS'),
         [
             (
-                one.team,
-                one.deployment,
-                f'{one.serving}/{one.samplers}',
-                f'{one.running}/{one.slots}',
-                one.queued,
-                ','.join(str(version) for version in one.versions),
+                deployment.team,
+                deployment.deployment,
+                f'{deployment.serving}/{deployment.samplers}',
+                f'{deployment.running}/{deployment.slots}',
+                deployment.queued,
+                ','.join(str(version) for version in deployment.versions),
             )
-            for one in body.deployments
+            for deployment in body.deployments
         ],
         'No deployment is declared.',
     )
@@ -96,14 +96,14 @@
         ('DEPLOYMENT', 'SAMPLER', 'STATE', 'RUNNING', 'VERSION', 'HOME'),
         [
             (
-                f'{one.team}/{one.deployment}',
-                one.sampler,
-                one.state.value,
-                f'{one.running}/{one.slots}',
-                _format_version(one.version),
-                one.home,
+                f'{sampler.team}/{sampler.deployment}',
+                sampler.sampler,
+                sampler.state.value,
+                f'{sampler.running}/{sampler.slots}',
+                _format_version(sampler.version),
+                sampler.home,
             )
-            for one in body.samplers
+            for sampler in body.samplers
         ],
         'No sampler has a home; see `guavagate instances`.',
     )
@@ -122,15 +122,15 @@
         ('TEAM', 'RUN', 'VERSION', 'STEPS', 'STEP', 'DONE', 'STALE'),
         [
             (
-                one.team,
-                one.run,
-                _format_version(one.version),
-                one.steps,
-                one.step,
-                f'{one.finished}/{one.wanted}',
-                one.stale,
+                run.team,
+                run.run,
+                _format_version(run.version),
+                run.steps,
+                run.step,
+                f'{run.finished}/{run.wanted}',
+                run.stale,
             )
-            for one in body.runs
+            for run in body.runs
         ],
         'No run has been started.',
     )
@@ -249,7 +249,7 @@
 
 
 def _count_roles(partitions: tuple[PartitionReport, ...]) -> str:
-    primaries = sum(one.role == 'primary' for one in partitions)
+    primaries = sum(each.role == 'primary' for each in partitions)
     return f'{primaries}/{len(partitions) - primaries}'
 
 
--- a/guavagate/cli/_output.py
+++ b/guavagate/cli/_output.py
@@ -22,13 +22,15 @@
 def print_table(
     heads: Sequence[str], rows: Sequence[Sequence[object]], empty: str
 ) -> None:
-    """Print aligned columns, or the `empty` text without rows."""
+    """Print aligned columns, or the text `empty` if there are no rows."""
     if not rows:
         click.echo(empty)
         return
     cells = [[str(cell) for cell in row] for row in rows]
     lines = [list(heads), *cells]
-    widths = [max(len(line[at]) for line in lines) for at in range(len(heads))]
+    widths = [
+        max(len(line[column]) for line in lines) for column in range(len(heads))
+    ]
     for line in lines:
         padded = [
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
--- a/guavagate/cli/_report.py
+++ b/guavagate/cli/_report.py
@@ -134,9 +134,9 @@
         ]
     sums, counts = points[labels, 'sum'], points[labels, 'count']
     return [
-        (sums[at].at, (sums[at].value - sums[at - 1].value) / added)
-        for at in range(1, min(len(sums), len(counts)))
-        if (added := counts[at].value - counts[at - 1].value) > 0
+        (sums[index].at, (sums[index].value - sums[index - 1].value) / added)
+        for index in range(1, min(len(sums), len(counts)))
+        if (added := counts[index].value - counts[index - 1].value) > 0
     ]
 
 
--- a/guavagate/explain/logs.py
+++ b/guavagate/explain/logs.py
@@ -1,7 +1,8 @@
 """Traces a request or job through the logs of several instances.
 
-A line is JSON, with or without a prefix from a log collector. Lines that can't
-be decoded are skipped with a debug message.
+A line is JSON. A log collector may have put a prefix before it, whose last word
+names the line's source. Lines that can't be decoded are skipped with a debug
+message.
 """
 
 import logging
--- a/guavagate/explain/steps.py
+++ b/guavagate/explain/steps.py
@@ -16,7 +16,7 @@
 from guavagate.events import jobs
 from guavagate.explain.logs import LogLine
 
-# Characters of a waterfall, which shows the time of one objective.
+# Width of a waterfall in characters; it shows the time of one objective.
 WATERFALL_WIDTH: Final = 60
 # Seconds, for logs without the job's objective.
 DEFAULT_OBJECTIVE: Final = 10.0
@@ -146,18 +146,20 @@
 def _render_item(step: Step, item: StepItem) -> list[str]:
     phases = measure_phases(step, item)
     ended = step.began + sum(phases.values())
-    word = 'late' if step.is_late(item) else 'waited for'
+    status = 'late' if step.is_late(item) else 'waited for'
     if item.listed is None:
-        word = 'never listed'
+        status = 'never listed'
     times = ' '.join(
         f'{phase.name.lower()}={seconds:.2f}'
         for phase, seconds in phases.items()
     )
     longest = max(phases, key=lambda phase: phases[phase], default=None)
-    most = '' if longest is None else f', most for the {longest.name.lower()}'
+    longest_note = (
+        '' if longest is None else f', most for the {longest.name.lower()}'
+    )
     lines = [
         f'  {ended - step.began:6.2f} s |{draw_waterfall(step, phases)}|'
-        f' group {item.group} item {item.item} {word}{most}',
+        f' group {item.group} item {item.item} {status}{longest_note}',
         f'           {times}; {item.runs} run(s) on'
         f' {" ".join(item.samplers) or "no sampler"}',
     ]
--- a/guavagate/ledger/__init__.py
+++ b/guavagate/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""The request ledger runs each keyed request at most once on all entries."""
+"""The request ledger runs a keyed request at most once across all entries."""
 
 from guavagate.ledger._keys import digest_body
 from guavagate.ledger._ledger import KeyedRequest, Ledger
--- a/guavagate/ledger/_messages.py
+++ b/guavagate/ledger/_messages.py
@@ -25,7 +25,8 @@
         Maximum size of one partition's records; beyond it, new keys are
         refused.
     answer_bytes
-        Largest stored body; of a larger answer only the fact is stored.
+        Largest stored body; for a larger answer, only the fact that the request
+        was answered is stored.
     """
 
     window: float = WINDOW_SECONDS
@@ -84,7 +85,7 @@
 
 
 class Finish(Command, frozen=True, kw_only=True):
-    """The run ended with this answer; none if it is too large to store."""
+    """The run ended; `answer` is None if it is too large to store."""
 
     scope: str
     digest: str
--- a/guavagate/ledger/_state.py
+++ b/guavagate/ledger/_state.py
@@ -112,6 +112,7 @@
             return self._begin_new(command)
         if record.state is RecordState.ABORTED:
             if record.attempt == command.attempt:
+                # This `Begin` arrived after its attempt's `Abort`.
                 return BeginOutcome(state=BeginState.ABANDONED)
             return self._grant(command)
         differs = record.digest != command.digest
@@ -238,7 +239,11 @@
         return answer
 
     def _put(self, scope: str, record: _Record) -> None:
-        """Replace a record and update the byte count."""
+        """Replace a record and update the byte count.
+
+        A record with a new time moves to the end, because `_advance_time`
+        expires records from the front.
+        """
         old = self._records.get(scope)
         if old is not None:
             self._bytes -= _count_bytes(scope, old)
--- a/guavagate/links/_envelope.py
+++ b/guavagate/links/_envelope.py
@@ -12,7 +12,8 @@
 
 WIRE_VERSION: Final = 1
 # Limit of the queue per connection and of zmq's own queue. For a peer that
-# accepts no messages, sending fails after about two thousand of them.
+# accepts no messages, sending fails after about two thousand of them, instead
+# of overloading the peer later.
 QUEUE_LIMIT: Final = 1000
 MAX_FRAME_BYTES: Final = 64_000_000
 
--- a/guavagate/links/_handled_requests.py
+++ b/guavagate/links/_handled_requests.py
@@ -33,26 +33,26 @@
     """Stores handled requests by the sender's boot and request number."""
 
     def __init__(self) -> None:
-        self._entries: OrderedDict[Key, HandledRequest] = OrderedDict()
+        self._requests: OrderedDict[Key, HandledRequest] = OrderedDict()
         self._bytes = 0
         self._dropped_until = float('-inf')
 
     def find(self, key: Key) -> HandledRequest | None:
         """Return the request if it was handled recently."""
-        return self._entries.get(key)
+        return self._requests.get(key)
 
     def add(self, key: Key, identity: bytes, now: float) -> HandledRequest:
         """Store a request that is about to be handled."""
         self._expire(now)
-        entry = HandledRequest(identity, now)
-        self._entries[key] = entry
-        return entry
+        request = HandledRequest(identity, now)
+        self._requests[key] = request
+        return request
 
-    def record_reply(self, entry: HandledRequest, reply: bytes) -> None:
+    def record_reply(self, request: HandledRequest, reply: bytes) -> None:
         """Mark a request as answered, and store its reply if it is small."""
-        entry.done = True
+        request.done = True
         if len(reply) <= MAX_REPLY_BYTES:
-            entry.reply = reply
+            request.reply = reply
             self._bytes += len(reply)
 
     def may_have_dropped(self, sent_at: float) -> bool:
@@ -60,19 +60,20 @@
         return sent_at <= self._dropped_until
 
     def _expire(self, now: float) -> None:
-        while self._entries:
-            key = next(iter(self._entries))
-            oldest = self._entries[key]
+        while self._requests:
+            key = next(iter(self._requests))
+            oldest = self._requests[key]
             if (
                 oldest.accepted_at > now - RETENTION_SECONDS
                 and not self._is_full()
             ):
                 return
-            self._entries.pop(key)
+            self._requests.pop(key)
             self._bytes -= len(oldest.reply or b'')
             self._dropped_until = max(self._dropped_until, oldest.accepted_at)
 
     def _is_full(self) -> bool:
         return (
-            len(self._entries) >= MAX_REQUESTS or self._bytes >= MAX_TOTAL_BYTES
+            len(self._requests) >= MAX_REQUESTS
+            or self._bytes >= MAX_TOTAL_BYTES
         )
--- a/guavagate/links/_link.py
+++ b/guavagate/links/_link.py
@@ -96,14 +96,14 @@
     ) -> msgspec.Raw:
         """Send a request and return the body of its reply."""
         envelope = self._wrap(Act.REQUEST, number, kind, body)
-        entry = _PendingRequest(AsyncResult(), envelope, self._clock.now())
-        entry.ticket = self._put(envelope)
-        self._pending[number] = entry
+        pending = _PendingRequest(AsyncResult(), envelope, self._clock.now())
+        pending.ticket = self._put(envelope)
+        self._pending[number] = pending
         try:
             with self._clock.timeout(
-                timeout, lambda: self._fail_on_timeout(entry)
+                timeout, lambda: self._make_timeout_error(pending)
             ):
-                return entry.result.get()
+                return pending.result.get()
         finally:
             self._pending.pop(number, None)
 
@@ -200,18 +200,18 @@
             self._replace(source)
             return
         self._slow = False
-        entry = self._pending.get(envelope.id)
-        if entry is None:  # A heartbeat, or a reply after the timeout.
+        pending = self._pending.get(envelope.id)
+        if pending is None:  # A heartbeat, or a reply after the timeout.
             return
         self._pending.pop(envelope.id)
         if envelope.act == Act.REPLY:
-            entry.result.set(envelope.body)
+            pending.result.set(envelope.body)
             return
         error: Exception = decode_error(envelope.body)
-        if envelope.act == Act.REFUSED and entry.resent:
+        if envelope.act == Act.REFUSED and pending.resent:
             # The peer may have handled the first message.
             error = self._make_uncertain_error('refused a repeated message')
-        entry.result.set_exception(error)
+        pending.result.set_exception(error)
 
     def _replace(self, probe: Connection) -> None:
         """Switch to the new connection and resend pending requests."""
@@ -227,37 +227,38 @@
             seconds=round(old.unanswered_seconds(), 1),
             waiting=len(self._pending),
         )
-        for entry in list(self._pending.values()):
-            self._resend(entry, old)
+        for pending in list(self._pending.values()):
+            self._resend(pending, old)
         old.close()
 
-    def _resend(self, entry: _PendingRequest, old: Connection) -> None:
+    def _resend(self, pending: _PendingRequest, old: Connection) -> None:
         """Resend a request if the peer can recognise it.
 
         A new process does not know which requests its predecessor handled.
         """
-        unsent = entry.ticket is not None and old.withdraw(entry.ticket)
+        unsent = pending.ticket is not None and old.withdraw(pending.ticket)
         is_same_process = old.boot and old.boot == self._current.boot
         if not unsent and not is_same_process:
-            self._pending.pop(entry.envelope.id, None)
+            self._pending.pop(pending.envelope.id, None)
             problem = 'lost its connection and may have restarted'
-            entry.result.set_exception(self._make_uncertain_error(problem))
+            pending.result.set_exception(self._make_uncertain_error(problem))
             return
-        envelope = entry.envelope
+        envelope = pending.envelope
         if not unsent:
-            entry.resent = True
-            age = self._clock.now() - entry.first_sent_at
+            pending.resent = True
+            age = self._clock.now() - pending.first_sent_at
             envelope = msgspec.structs.replace(envelope, age=age)
-        entry.ticket = self._current.put([encode_envelope(envelope)])
+        pending.ticket = self._current.put([encode_envelope(envelope)])
 
-    def _fail_on_timeout(self, entry: _PendingRequest) -> Exception:
-        return self._fail(entry, 'gave no reply in time')
+    def _make_timeout_error(self, pending: _PendingRequest) -> Exception:
+        return self._withdraw(pending, 'gave no reply in time')
 
-    def _fail(self, entry: _PendingRequest, problem: str) -> LinkError:
-        unsent = entry.ticket is not None and self._current.withdraw(
-            entry.ticket
+    def _withdraw(self, pending: _PendingRequest, problem: str) -> LinkError:
+        """Withdraw a request if it is still queued; return its error."""
+        unsent = pending.ticket is not None and self._current.withdraw(
+            pending.ticket
         )
-        if unsent and not entry.resent:
+        if unsent and not pending.resent:
             return LinkRefusedError(
                 f'{self._peer} could not be reached',
                 'ask another instance; this one was not given the message',
@@ -279,5 +280,7 @@
     def _fail_all(self) -> None:
         """Fail pending requests when the connection breaks or can't be made."""
         waiting, self._pending = self._pending, {}
-        for entry in waiting.values():
-            entry.result.set_exception(self._fail(entry, 'lost its connection'))
+        for pending in waiting.values():
+            pending.result.set_exception(
+                self._withdraw(pending, 'lost its connection')
+            )
--- a/guavagate/links/_server.py
+++ b/guavagate/links/_server.py
@@ -83,11 +83,11 @@
 
     def _accept_once(self, identity: bytes, envelope: Envelope) -> None:
         """Handle a request unless it is resent and was already accepted."""
-        entry = self._handled_requests.find((envelope.boot, envelope.id))
-        if entry is not None:
-            entry.identity = identity
-            if entry.done:
-                self._repeat_reply(envelope.id, entry)
+        handled = self._handled_requests.find((envelope.boot, envelope.id))
+        if handled is not None:
+            handled.identity = identity
+            if handled.done:
+                self._repeat_reply(envelope.id, handled)
             return
         sent_at = self._clock.now() - envelope.age
         if envelope.age >= 0 and self._handled_requests.may_have_dropped(
@@ -128,15 +128,17 @@
             )
             return
         self._running += 1
-        entry = HandledRequest(identity, 0)
+        handled = HandledRequest(identity, 0)
         if envelope.act == Act.REQUEST:
             key = (envelope.boot, envelope.id)
-            entry = self._handled_requests.add(key, identity, self._clock.now())
-        gevent.spawn(self._handle, entry, envelope, handler, message)
+            handled = self._handled_requests.add(
+                key, identity, self._clock.now()
+            )
+        gevent.spawn(self._handle, handled, envelope, handler, message)
 
     def _handle(
         self,
-        entry: HandledRequest,
+        handled: HandledRequest,
         envelope: Envelope,
         handler: Handler,
         message: Message,
@@ -150,15 +152,15 @@
         if envelope.act != Act.REQUEST:
             return
         frame = self._wrap(envelope.id, act, body)
-        self._handled_requests.record_reply(entry, frame)
-        self._put(entry.identity, frame)
+        self._handled_requests.record_reply(handled, frame)
+        self._put(handled.identity, frame)
 
-    def _repeat_reply(self, number: int, entry: HandledRequest) -> None:
-        if entry.reply is not None:
-            self._put(entry.identity, entry.reply)
+    def _repeat_reply(self, number: int, handled: HandledRequest) -> None:
+        if handled.reply is not None:
+            self._put(handled.identity, handled.reply)
             return
         uncertain = encode_error(_make_uncertain_error(self._me))
-        self._answer(entry.identity, number, Act.ERROR, uncertain)
+        self._answer(handled.identity, number, Act.ERROR, uncertain)
 
     def _refuse(
         self, identity: bytes, envelope: Envelope, problem: str, remedy: str
--- a/guavagate/membership/_detector.py
+++ b/guavagate/membership/_detector.py
@@ -11,8 +11,8 @@
 - A claim that a member is dead counts as a suspicion until three instances
   could not reach the member. An instance that receives nothing therefore can't
   take healthy instances out of use by its claims.
-- Instances that learn of a suspicion probe the suspect at once (on average ten
-  of them in a large fleet). The probe carries the suspicion, so the suspect
+- Some of the instances that learn of a suspicion probe the suspect at once (in
+  a large fleet ten on average). The probe carries the suspicion, so the suspect
   can refute it.
 - A detector that receives nothing at all accuses no member for a while.
 - A detector whose own process was paused restarts all its timers.
@@ -34,11 +34,12 @@
 
 _LOGGER: Final = logging.getLogger(__name__)
 
-# Over 80 seeds all others had taken a dead one of nine instances out of use
-# after 1.9 s (p50) and 2.9 s (worst); with 0.25 s the worst was 3.2 s.
+# Of nine instances, a dead one is out of use at all others after 1.9 s (p50) or
+# 2.9 s (worst of 80 seeds). An interval of 0.25 s raises the worst to 3.2 s.
 PROBE_INTERVAL_SECONDS: Final = 0.2
 # Time to refute. The shorter limit applies once three instances could not reach
-# the suspect; a process that is paused for a second survives either limit.
+# the suspect. A process that is paused for a second survives either limit,
+# because the unanswered probes before a suspicion take another 0.6 s.
 SUSPICION_SECONDS: Final = 1.2
 CONFIRMED_SUSPICION_SECONDS: Final = 0.8
 # An instance that receives nothing for a time between these two limits assumes
@@ -46,6 +47,7 @@
 ISOLATED_AFTER_SECONDS: Final = 1.0
 LOCAL_FAULT_LIMIT_SECONDS: Final = 6.0
 PAUSED_AFTER_SECONDS: Final = 1.0
+# Average number of instances that probe a new suspect at once.
 _SUSPECT_PROBERS: Final = 10
 
 
@@ -98,18 +100,18 @@
         queries = self._process_header(address, packet, now)
         # Other members already know a page's claims. Gossiping them again
         # would fill every member's datagrams for minutes after a start.
-        self.apply_claims(packet.updates, now, news=packet.act != Act.PAGE)
+        self.apply_claims(packet.updates, now, gossip=packet.act != Act.PAGE)
         return queries + self._respond(address, packet, now)
 
     def apply_claims(
-        self, updates: Iterable[Update], now: float, *, news: bool = True
+        self, updates: Iterable[Update], now: float, *, gossip: bool = True
     ) -> None:
-        """Apply claims and, for news, gossip those that changed anything."""
+        """Apply claims; with `gossip`, gossip those that changed anything."""
         for update in updates:
             if update.id == self.identity.me.id:
                 self.identity.refute(update)
             elif self._apply(update, now):
-                if news:
+                if gossip:
                     self.identity.gossip.add(update)
                 self._probe_early(update, now)
 
@@ -142,7 +144,7 @@
         return len(self.table.reachable()) > 1
 
     def isolated(self, now: float) -> bool:
-        """Return whether members are known but none has sent anything."""
+        """Return whether members are known but none sent anything lately."""
         known = bool(self.table.members)
         return known and now - self._last_message_at > ISOLATED_AFTER_SECONDS
 
@@ -173,7 +175,7 @@
         if packet.act == Act.ACK:
             return self._prober.accept_ack(packet)
         if packet.act == Act.PING_REQUEST:
-            return self._prober.relay(address, packet, now)
+            return self._prober.probe_indirectly(address, packet, now)
         if packet.act == Act.SYNC:
             return [(address, self.joiner.build_page(packet))]
         if packet.act == Act.PAGE:
@@ -204,7 +206,7 @@
         self.apply_claims((claim,), now)
 
     def _probe_early(self, update: Update, now: float) -> None:
-        """Probe a suspect next, so that it can refute in time."""
+        """Probe a suspect next, by chance, so that it can refute in time."""
         if MemberState(update.state) not in ACCUSED:
             return
         chance = _SUSPECT_PROBERS / max(len(self.table.members), 1)
--- a/guavagate/membership/_gossip.py
+++ b/guavagate/membership/_gossip.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Entry:
+class _QueuedClaim:
     update: Update
     sent: int = 0
 
@@ -26,22 +26,22 @@
     """The newest claim about each member; those sent least go first."""
 
     def __init__(self) -> None:
-        self._entries: dict[InstanceId, _Entry] = {}
+        self._claims: dict[InstanceId, _QueuedClaim] = {}
 
     def add(self, update: Update) -> None:
         """Queue a claim; it replaces an earlier one about the same member."""
-        self._entries[update.id] = _Entry(update)
+        self._claims[update.id] = _QueuedClaim(update)
 
     def take(self, member_count: int, capacity: int) -> tuple[Update, ...]:
         """Return at most `capacity` claims to send in one datagram."""
-        if not self._entries:
+        if not self._claims:
             return ()
         send_limit = _REPEATS * math.ceil(math.log2(member_count + 2))
-        chosen = sorted(self._entries.values(), key=lambda entry: entry.sent)[
+        chosen = sorted(self._claims.values(), key=lambda claim: claim.sent)[
             : max(capacity, 0)
         ]
-        for entry in chosen:
-            entry.sent += 1
-            if entry.sent >= send_limit:
-                self._entries.pop(entry.update.id)
-        return tuple(entry.update for entry in chosen)
+        for claim in chosen:
+            claim.sent += 1
+            if claim.sent >= send_limit:
+                self._claims.pop(claim.update.id)
+        return tuple(claim.update for claim in chosen)
--- a/guavagate/membership/_identity.py
+++ b/guavagate/membership/_identity.py
@@ -74,8 +74,8 @@
         if other is not None and other.boot > self.boot:
             self._mark_superseded()
             return
-        mine = other is None or other == self.contact
-        if mine and claim == self._describe_as_claimed(claim):
+        is_own_contact = other is None or other == self.contact
+        if is_own_contact and claim == self._describe_in_terms_of(claim):
             return
         self.incarnation = claim.incarnation + 1
         self.announce()
@@ -112,8 +112,11 @@
             facts=self.facts if act in {Act.PING, Act.ACK} else {},
         )
 
-    def _describe_as_claimed(self, claim: Update) -> Update:
-        """Return this instance's own claim with another claim's source."""
+    def _describe_in_terms_of(self, claim: Update) -> Update:
+        """Return the own state with the source and contact of a claim.
+
+        It equals the claim if the claim states nothing that is wrong.
+        """
         return Update(
             self.me.id,
             self.state.value,
--- a/guavagate/membership/_join.py
+++ b/guavagate/membership/_join.py
@@ -1,4 +1,4 @@
-"""Member discovery: joining, syncing tables and healing partitions."""
+"""Member discovery: joins, syncs tables and ends network partitions."""
 
 import random
 from typing import Final
@@ -17,8 +17,8 @@
 # assume that its predecessor still does its work. Announcing to eighty takes
 # 0.3 s, with 100 bytes each, once per process.
 ANNOUNCE_BATCH: Final = 32
-# Instances that become known later are not announced to: they don't show which
-# members the predecessor worked with.
+# Only instances that become known this soon get the announcement: the
+# predecessor need not have worked with later ones.
 ANNOUNCE_SECONDS: Final = 3.0
 _FIRST_PAGE: Final = InstanceId('')
 
@@ -114,8 +114,8 @@
     def _probe_candidates(self, now: float) -> list[Send]:
         """Ping some known instances that are not members or are dead.
 
-        After a partition each side considers the other side dead; without
-        these pings neither would contact the other again.
+        After a network partition each side considers the other side dead;
+        without these pings neither would contact the other again.
         """
         members = self._table.reachable()
         joined = bool(members)
--- a/guavagate/membership/_probes.py
+++ b/guavagate/membership/_probes.py
@@ -15,7 +15,7 @@
 DIRECT_TIMEOUT_SECONDS: Final = 0.25
 INDIRECT_TIMEOUT_SECONDS: Final = 0.35
 INDIRECT_PROBERS: Final = 3
-_RELAY_LIMIT: Final = 256
+_MAX_INDIRECT_PROBES: Final = 256
 _NO_TARGET: Final = InstanceId('')
 
 
@@ -30,8 +30,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Relay:
-    """A probe made on behalf of another instance."""
+class _IndirectProbe:
+    """A probe on behalf of another instance, which requested it."""
 
     address: str
     sequence: int
@@ -49,7 +49,7 @@
         self._random = rng
         self._sequence = itertools.count(1)
         self._probes: dict[int, _Probe] = {}
-        self._relays: dict[int, _Relay] = {}
+        self._indirect_probes: dict[int, _IndirectProbe] = {}
         self._round: list[InstanceId] = []
 
     def start(self, now: float) -> list[Send]:
@@ -65,7 +65,7 @@
         self._round = self._table.reachable()
         self._random.shuffle(self._round)
         self._table.drop_expired(now)
-        self._expire_relays(now)
+        self._expire_indirect_probes(now)
         if not self._round:
             return []
         return [self._probe(self._round.pop(), now)]
@@ -92,27 +92,29 @@
         self._probes.clear()
 
     def accept_ack(self, packet: Packet) -> list[Send]:
-        """Record an answer; forward it if the probe was for another."""
+        """Record an answer; forward it if another instance requested it."""
         self._probes.pop(packet.sequence, None)
-        relay = self._relays.pop(packet.sequence, None)
-        if relay is None:
+        indirect_probe = self._indirect_probes.pop(packet.sequence, None)
+        if indirect_probe is None:
             return []
         answer = self._build_packet(
             Act.ACK,
             packet.updates[:INDIRECT_PROBERS],
             target=packet.sender,
-            sequence=relay.sequence,
+            sequence=indirect_probe.sequence,
         )
-        return [(relay.address, answer)]
+        return [(indirect_probe.address, answer)]
 
-    def relay(self, address: str, packet: Packet, now: float) -> list[Send]:
-        """Probe a member on behalf of another instance."""
-        if len(self._relays) >= _RELAY_LIMIT:
-            self._expire_relays(now)
-        if len(self._relays) >= _RELAY_LIMIT:
+    def probe_indirectly(
+        self, address: str, packet: Packet, now: float
+    ) -> list[Send]:
+        """Probe a member on behalf of the instance at an address."""
+        if len(self._indirect_probes) >= _MAX_INDIRECT_PROBES:
+            self._expire_indirect_probes(now)
+        if len(self._indirect_probes) >= _MAX_INDIRECT_PROBES:
             return []
         number = next(self._sequence)
-        self._relays[number] = _Relay(
+        self._indirect_probes[number] = _IndirectProbe(
             address, packet.sequence, now + INDIRECT_TIMEOUT_SECONDS
         )
         claims = self._table.describe_accused(packet.target)
@@ -147,11 +149,11 @@
         )
         return [(self._table.address(each), request) for each in probers]
 
-    def _expire_relays(self, now: float) -> None:
-        self._relays = {
-            number: relay
-            for number, relay in self._relays.items()
-            if relay.until > now
+    def _expire_indirect_probes(self, now: float) -> None:
+        self._indirect_probes = {
+            number: probe
+            for number, probe in self._indirect_probes.items()
+            if probe.until > now
         }
 
     def _build_packet(
--- a/guavagate/membership/_table.py
+++ b/guavagate/membership/_table.py
@@ -11,10 +11,11 @@
 from guavagate.membership._packet import Contact, MemberState, Update
 from guavagate.models import InstanceId
 
-# Partitions between regions can last an hour. A member that is dropped from the
-# table meanwhile would not be probed when the partition ends.
+# A network partition between regions can last an hour. A member that is dropped
+# from the table meanwhile would not be probed when the partition ends.
 TOMBSTONE_SECONDS: Final = 7200.0
 
+# Number of accusers that confirms a suspicion.
 CONFIRMATIONS: Final = 3
 
 _USABLE: Final = frozenset((MemberState.ALIVE, MemberState.SUSPECT))
@@ -162,8 +163,9 @@
     def _record_leaving(self, known: Member, update: Update) -> bool:
         """Take a leaving member out of use that is already suspected.
 
-        Its suspicion may arrive before its own claim that it leaves. Members
-        that received them in this order would otherwise still give it work.
+        The suspicion may arrive before the member's own claim that it leaves.
+        Instances that received them in this order would otherwise still give
+        it work.
         """
         if update.incarnation < known.incarnation or not known.serving:
             return False
--- a/guavagate/membership/registry.py
+++ b/guavagate/membership/registry.py
@@ -100,7 +100,7 @@
             self._clock.sleep(POLL_INTERVAL_SECONDS)
 
     def _had_time_for_replies(self) -> bool:
-        """Return whether running members had the time to answer."""
+        """Return whether running members had time to answer, and one did."""
         if self._listed_at is None:
             return False
         waited = self._clock.now() - self._listed_at > REPLY_WAIT_SECONDS
--- a/guavagate/partitions/_hosting.py
+++ b/guavagate/partitions/_hosting.py
@@ -1,4 +1,8 @@
-"""Takes over, serves and hands over the partitions of one instance."""
+"""Takes over, serves and hands over the partitions of one instance.
+
+A partition's owner is the instance that should lead it, by the membership; its
+holder is the instance that its record names.
+"""
 
 import dataclasses
 import logging
@@ -61,6 +65,8 @@
     ----------
     list_alive
         Returns the usable instances.
+    record_decision
+        Records a decision; see `runtime.DecisionLog`.
     make_id
         Returns a unique id; tests use ids that are reproducible from a seed.
     """
@@ -147,7 +153,7 @@
         self.rescan_needed.set()
 
     def submit(self, request: msg.Submit) -> msg.SubmitReply:
-        """Apply a command here or return the expected holder."""
+        """Apply a command here or return the partition's owner."""
         primary = self.primaries.get(request.partition)
         if primary is None and self._is_owned_here(request.partition):
             self.rescan_needed.set()
--- a/guavagate/partitions/_messages.py
+++ b/guavagate/partitions/_messages.py
@@ -21,7 +21,9 @@
     """The result of submitting a command.
 
     `MOVED` and `REFUSED` mean that this attempt has applied nothing and never
-    will. After `REFUSED` an immediate retry is useless.
+    will. After `REFUSED` an immediate retry is useless. After `UNKNOWN` and
+    `FORGOTTEN` the command may have been applied; `FORGOTTEN` means that its
+    outcome may no longer be stored.
     """
 
     DONE = 'done'
--- a/guavagate/partitions/_primary.py
+++ b/guavagate/partitions/_primary.py
@@ -30,7 +30,8 @@
 # does not wait; a keyed request has two commands, and the second one waits for
 # up to this time.
 WRITE_INTERVAL_SECONDS: Final = 0.01
-# Maximum payload of one write; further entries wait for the next one.
+# Once the payload of a write reaches this size, further entries wait for the
+# next one.
 MAX_BATCH_BYTES: Final = 400_000
 # After a write has had no response for this long, the store counts as
 # unavailable. New commands are refused at once, as the outage may last.
@@ -238,7 +239,7 @@
             self.holder = error.holder
             # The new holder may have read a record with these entries; it
             # recognizes repeated commands by their ids.
-            verdict = Verdict.UNKNOWN if error.unsure else Verdict.MOVED
+            verdict = Verdict.UNKNOWN if error.may_be_written else Verdict.MOVED
             self._step_down(batch, verdict, f'{error.holder} holds the record')
         except StoreError as error:
             verdict = Verdict.UNKNOWN
--- a/guavagate/partitions/_record_writer.py
+++ b/guavagate/partitions/_record_writer.py
@@ -37,13 +37,14 @@
 class SupersededError(Exception):
     """Another instance has replaced the record.
 
-    `unsure` means that this instance's write may have taken effect before.
+    `may_be_written` means that this instance's write may have taken effect
+    before.
     """
 
-    def __init__(self, holder: InstanceId, *, unsure: bool) -> None:
+    def __init__(self, holder: InstanceId, *, may_be_written: bool) -> None:
         super().__init__(f'{holder} holds the record')
         self.holder = holder
-        self.unsure = unsure
+        self.may_be_written = may_be_written
 
 
 class RecordWriter:
@@ -97,7 +98,7 @@
         )
         # A write without a response may have succeeded; the next attempt reads
         # its result.
-        self._write(record, unsure=False)
+        self._write(record, may_be_written=False)
         # Only the holder adds blobs, and this instance is now the holder.
         self._clock.spawn(self._blobs.delete_unreferenced, record.list_blobs())
 
@@ -139,40 +140,44 @@
         Repeating the same conditional write can't take effect twice. On a
         conflict, the change id shows whether the earlier attempt succeeded.
         """
-        unsure = False
+        may_be_written = False
         while True:
             try:
-                self._write(record, unsure=unsure)
+                self._write(record, may_be_written=may_be_written)
             except StoreUnavailableError as error:
-                unsure = unsure or error.may_be_written
-                if unsure and not self._safeguards.settle:
+                may_be_written = may_be_written or error.may_be_written
+                if may_be_written and not self._safeguards.settle:
                     raise
                 self._clock.sleep(RETRY_SECONDS)
             else:
                 return
 
-    def _write(self, record: Record, *, unsure: bool) -> None:
+    def _write(self, record: Record, *, may_be_written: bool) -> None:
         raw = msgspec.json.encode(record)
         condition = self._revision if self._safeguards.conditional else None
         try:
             self._revision = self._store.put(self._path, raw, condition)
         except StoreConflictError as conflict:
             self._revision = self._resolve_conflict(
-                conflict, record, unsure=unsure
+                conflict, record, may_be_written=may_be_written
             )
         self.record = record
 
     def _resolve_conflict(
-        self, conflict: StoreConflictError, record: Record, *, unsure: bool
+        self,
+        conflict: StoreConflictError,
+        record: Record,
+        *,
+        may_be_written: bool,
     ) -> Revision:
         """Return the revision of our own write or raise `SupersededError`."""
         found = conflict.current or self._read_newer()
         if found is None:
-            raise SupersededError(InstanceId(''), unsure=unsure)
+            raise SupersededError(InstanceId(''), may_be_written=may_be_written)
         current = decode_record(found)
         if current.change == record.change:
             return found.version
-        raise SupersededError(current.holder, unsure=unsure)
+        raise SupersededError(current.holder, may_be_written=may_be_written)
 
     def _read_newer(self) -> StoredObject | None:
         """Read the record that caused a conflict, ignoring stale reads.
@@ -201,7 +206,9 @@
             for segment in record.segments:
                 machine.apply_all(_decode_segment(self._blobs, segment))
         except BlobDeletedError as error:
-            raise SupersededError(record.holder, unsure=False) from error
+            raise SupersededError(
+                record.holder, may_be_written=False
+            ) from error
         machine.apply_all(record.tail)
 
 
--- a/guavagate/partitions/_state_machine.py
+++ b/guavagate/partitions/_state_machine.py
@@ -12,8 +12,8 @@
 from guavagate.partitions._messages import Entry
 from guavagate.partitions._state import Command, PartitionState, SupportsPreview
 
-_MAX_RESULTS: Final = 4096
-_MAX_RESULT_BYTES: Final = 4_000_000
+_MAX_OUTCOMES: Final = 4096
+_MAX_OUTCOME_BYTES: Final = 4_000_000
 
 States = Mapping[type[Command], PartitionState]
 
@@ -42,6 +42,7 @@
         self._states = dict(states)
         self._applied: dict[str, AppliedCommand] = {}
         self._applied_bytes = 0
+        # Outcomes of commands up to this time may have been dropped.
         self._horizon = float('-inf')
 
     def find_state(self, command: type[Command]) -> PartitionState:
@@ -125,8 +126,8 @@
         self._applied[applied.command_id] = applied
         self._applied_bytes += len(applied.outcome)
         while (
-            len(self._applied) > _MAX_RESULTS
-            or self._applied_bytes > _MAX_RESULT_BYTES
+            len(self._applied) > _MAX_OUTCOMES
+            or self._applied_bytes > _MAX_OUTCOME_BYTES
         ):
             oldest = self._applied.pop(next(iter(self._applied)))
             self._applied_bytes -= len(oldest.outcome)
--- a/guavagate/partitions/_stored.py
+++ b/guavagate/partitions/_stored.py
@@ -228,7 +228,7 @@
         repeated: bool,
         end: float,
     ) -> tuple[SubmitReply | None, bool]:
-        """Try one instance; also return if it may have applied the command."""
+        """Try one instance; also return whether it may have applied it."""
         request = Submit(
             partition=partition,
             entry=entry,
--- a/guavagate/runs/_commands.py
+++ b/guavagate/runs/_commands.py
@@ -88,7 +88,7 @@
 
 
 class ConfirmOrder(RunCommand, frozen=True, kw_only=True):
-    """Proves that the primary still owns the partition before it orders."""
+    """Proves that the primary still leads the partition before it orders."""
 
     version: WeightVersion
 
--- a/guavagate/runs/_driver.py
+++ b/guavagate/runs/_driver.py
@@ -36,7 +36,7 @@
 
 TICK_SECONDS: Final = 0.05
 # Tick interval while this instance is primary of no run. Waking up 20 times a
-# second took a quarter of an idle instance's processor time.
+# second would take a quarter of an idle instance's processor time.
 IDLE_TICK_SECONDS: Final = 0.5
 # Samples assigned to workers for each slot of the deployment. With 1, a slot is
 # idle while the next sample is on its way. With many, samples wait in the
@@ -61,6 +61,7 @@
     (Verdict.ACCEPTED, Verdict.DUPLICATE, Verdict.UNKNOWN_STEP)
 )
 
+# Returns the states of the partitions led here, with their epochs.
 HostedStates = Callable[[], Iterable[tuple[Epoch, RunsState]]]
 _SampleKey = tuple[DeploymentId, RunId, SampleId]
 
@@ -94,12 +95,12 @@
         return self._mean_seconds.get(deployment_key)
 
     def tick(self) -> None:
-        """Reassign lost samples and assign pending ones to free slots."""
-        self._release_lost()
+        """Unassign lost workers' samples, and assign pending ones."""
+        self._unassign_lost_workers()
         now = self._runtime.clock.now()
         if now >= self._next_cleanup_at:
             self._next_cleanup_at = now + CLEANUP_INTERVAL_SECONDS
-            self._remove_settled()
+            self._remove_not_pending()
         for _, state in self._hosted():
             for deployment_key in list(state.lineages):
                 deployment = find_deployment(self._runtime, deployment_key)
@@ -109,7 +110,7 @@
                 ):
                     self._assign_pending(deployment_key, deployment, state)
 
-    def _remove_settled(self) -> None:
+    def _remove_not_pending(self) -> None:
         """Remove assignments whose samples are not pending on this primary."""
         pending: set[_SampleKey] = set()
         for _, state in self._hosted():
@@ -251,8 +252,11 @@
                 counts[run] = counts.get(run, 0) + 1
         return counts
 
-    def _release_lost(self) -> None:
-        # A leaving worker is still a member and finishes its samples.
+    def _unassign_lost_workers(self) -> None:
+        """Unassign the samples of workers that are no longer members.
+
+        A leaving worker is still a member and finishes its samples.
+        """
         lost = {
             worker
             for worker in {
--- a/guavagate/runs/_run.py
+++ b/guavagate/runs/_run.py
@@ -39,8 +39,9 @@
 
     `cursor` is the last presented cursor and `offered` the newest batch that
     follows it. `confirmed` is set once the trainer has presented a cursor of
-    this incarnation. `kept` stores the cursors of consumers that don't keep
-    their own.
+    this incarnation, and `issued` is the number of cursors issued so far.
+    `kept` stores the cursors of consumers that don't keep their own.
+    `regenerated` counts finished samples that were stale.
     """
 
     run: RunId
--- a/guavagate/runs/_state.py
+++ b/guavagate/runs/_state.py
@@ -51,7 +51,10 @@
 
 
 class Lineage(msgspec.Struct, kw_only=True):
-    """A deployment's published versions, oldest first, and its runs."""
+    """A deployment's published versions, oldest first, and its runs.
+
+    `publish_seconds` is the time between the last two versions.
+    """
 
     published: list[WeightVersion] = msgspec.field(default_factory=list)
     published_at: float = 0
--- a/guavagate/runs/_worker.py
+++ b/guavagate/runs/_worker.py
@@ -61,7 +61,8 @@
 SCORE_ATTEMPTS: Final = 3
 SCORE_RETRY_SECONDS: Final = 0.2
 
-# Scores a team's sample with one of the team's services.
+# Scores a sample with one of its team's services; called with the team, the
+# service, the sample's id, the prompt and the text.
 Scorer = Callable[[TeamId, ServiceId, SampleId, str, str], float]
 _AttemptKey = tuple[RunId, SampleId, int]
 
--- a/guavagate/settings/_check.py
+++ b/guavagate/settings/_check.py
@@ -112,7 +112,7 @@
         self, node: Any, kind: Kind | None, value: Any, path: str
     ) -> None:
         try:
-            # Converts nothing but an integer to a float: TOML 1 for 1.0.
+            # The only conversion is of an integer to a float: TOML 1 for 1.0.
             msgspec.convert(value, _python_type(node))
         except msgspec.ValidationError as error:
             text = str(error)
--- a/guavagate/settings/_errors.py
+++ b/guavagate/settings/_errors.py
@@ -33,7 +33,7 @@
 
 
 class SettingsUnsureError(SettingsError):
-    """The store may or may not have taken a change."""
+    """The store may or may not have accepted a change."""
 
 
 def _describe_conflict(
--- a/guavagate/settings/_peer_sync.py
+++ b/guavagate/settings/_peer_sync.py
@@ -27,7 +27,7 @@
 
 DIGEST_INTERVAL_SECONDS: Final = 1.0
 REQUEST_TIMEOUT_SECONDS: Final = 1.0
-_FETCH_TIMEOUT: Final = 3.0
+_FETCH_TIMEOUT_SECONDS: Final = 3.0
 
 
 class PeerSync:
@@ -92,7 +92,10 @@
 
     def _fetch(self, peer: InstanceId, team: TeamId) -> None:
         fetched = self._bus.request(
-            peer, SettingsFetch(team=team), SettingsFetched, _FETCH_TIMEOUT
+            peer,
+            SettingsFetch(team=team),
+            SettingsFetched,
+            _FETCH_TIMEOUT_SECONDS,
         )
         if fetched.record is not None:
             self._table.apply_if_newer(fetched.record)
--- a/guavagate/settings/_writer.py
+++ b/guavagate/settings/_writer.py
@@ -224,7 +224,7 @@
         return self._put(stored)
 
     def _is_stale(self, stored: Stored) -> bool:
-        """Return whether the store lacks an accepted revision."""
+        """Return whether the store lacks an accepted revision; restore it."""
         in_force = self._table.record(self._request.team)
         if in_force is None or stored.revision >= in_force.revision:
             return False
--- a/guavagate/weights/_deployment.py
+++ b/guavagate/weights/_deployment.py
@@ -22,7 +22,25 @@
 
 
 class DeploymentRollout(msgspec.Struct, kw_only=True):
-    """The progress of a rollout to one deployment's samplers."""
+    """The progress of a rollout to one deployment's samplers.
+
+    Attributes
+    ----------
+    since
+        When this instance became the primary.
+    read_next
+        When each sampler's report is due.
+    confirmed_at
+        When the last confirmation of the epoch was requested, by the boot
+        clock.
+    allowance
+        Prefetches that the weight store's rate limit allows, as of
+        `refilled_at`.
+    ordered
+        Orders that are being sent.
+    fetching
+        Deadline of each sampler's prefetch.
+    """
 
     epoch: Epoch
     since: float
--- a/tests/partitions/test_stored.py
+++ b/tests/partitions/test_stored.py
@@ -99,11 +99,11 @@
     first = fleet.add(primary, timeout=3)
     fleet.clock.run_until(first.ready)
     assert isinstance(first.exception, OutcomeUnknownError)
-    asked = fleet.clock.now()
+    sent_at = fleet.clock.now()
     second = fleet.add(primary, timeout=3)
     fleet.clock.run_until(second.ready)
     assert isinstance(second.exception, NotAppliedError)
-    assert fleet.clock.now() - asked < 0.1
+    assert fleet.clock.now() - sent_at < 0.1
     fleet.clock.advance(7)
     fleet.world.store.outage = False
     fleet.clock.advance(3)
--- a/tests/runs/test_delivery.py
+++ b/tests/runs/test_delivery.py
@@ -209,8 +209,8 @@
         text='x',
         versions=((WeightVersion(77), 8),),
     )
-    entered = trainer.apply(FinishSample, step_id='s0', sample=sample)
-    assert entered.verdict is Verdict.STALE
+    outcome = trainer.apply(FinishSample, step_id='s0', sample=sample)
+    assert outcome.verdict is Verdict.STALE
 
 
 def test_a_late_duplicate_pull_is_superseded() -> None:
