--- a/guavagate/ports/dialect.py
+++ b/guavagate/ports/dialect.py
@@ -31,6 +31,7 @@
 
     `not_run`: the upstream has not run the request.
     `mismatched`: the answer belongs to another request.
+    `busy`: the upstream's running and waiting requests, if it reports them.
     """
 
     not_run: bool = False
--- a/guavagate/runs/_messages.py
+++ b/guavagate/runs/_messages.py
@@ -20,6 +20,8 @@
         Distinguishes the attempts at one sample.
     oldest
         The oldest version within the staleness bound, if any is known.
+    weight
+        The run's weight among the runs of its deployment.
     """
 
     team: TeamId
