--- a/guavagate/rollouts/_renewals.py
+++ b/guavagate/rollouts/_renewals.py
@@ -55,8 +55,8 @@
         A missed renewal leaves another nonce in the store, and the renewals
         received before it tell nothing about the orders that it allowed.
         """
-        received, received_at = self._received.get(newest.path, (None, 0))
-        return received_at if received == newest else None
+        received, at = self._received.get(newest.path, (None, 0))
+        return at if received == newest else None
 
     def _on_renewed(self, _: InstanceId, message: Message) -> None:
         renewed = expect(message, LeaseRenewed)
