--- a/guavagate/feeds/_feed.py
+++ b/guavagate/feeds/_feed.py
@@ -367,8 +367,8 @@
         loaded = all(each.loaded for each in self._mirrors)
         if not self.relaying or not loaded:
             raise LinkError(
-                f'{self._me} does not relay',
-                'ask another instance',
+                f'{self._me} does not relay the feed',
+                'send the request to another instance',
             )
         return FeedCopy(
             boot=self._boot,
--- a/guavagate/feeds/_packing.py
+++ b/guavagate/feeds/_packing.py
@@ -40,12 +40,12 @@
         content = unpacker.decompress(packed, MAX_UNPACKED_BYTES)
         if not unpacker.eof:
             raise LinkError(
-                'a copy of the feed is cut off or too large',
-                'nothing; another relay is asked',
+                'a snapshot of the feed is truncated or too large',
+                'no action needed; another relay is tried',
             )
         return msgspec.msgpack.decode(content, type=list[FeedEntry])
     except (zlib.error, msgspec.MsgspecError) as error:
         raise LinkError(
-            f'a copy of the feed can not be read: {error}',
-            'nothing; another relay is asked',
+            f'a snapshot of the feed cannot be decoded: {error}',
+            'no action needed; another relay is tried',
         ) from error
--- a/guavagate/helpers/event_stream.py
+++ b/guavagate/helpers/event_stream.py
@@ -41,8 +41,8 @@
         if rest.strip():
             self.cancel()
             raise UpstreamError(
-                'ended in the middle of an event',
-                'nothing; the item goes on elsewhere',
+                'the event stream ended in the middle of an event',
+                'no action needed; the item resumes on another sampler',
             )
 
     def cancel(self) -> None:
--- a/guavagate/jobs/_runner.py
+++ b/guavagate/jobs/_runner.py
@@ -160,7 +160,7 @@
             raise UpstreamError(
                 f'{upstream.id} sent event {event.number} after'
                 f' {progress.text.last_number}',
-                'check the sampler; the item goes on after the last whole one',
+                'check the sampler; the item resumes after the last good event',
             )
         self._states.record_version(upstream.id, job.model, event.version)
         progress.text.add(event)
@@ -168,8 +168,9 @@
         if not progress.text.meets_version_bounds(job.min_version, single):
             progress.text = Text()
             raise UpstreamError(
-                f'{upstream.id} made an event under version {event.version}',
-                'nothing; the item starts anew under a version that fits',
+                f'{upstream.id} sent an event of version {event.version},'
+                ' which the job does not accept',
+                'no action needed; the item restarts with an accepted version',
             )
 
     def _discard_unusable_text(
@@ -225,6 +226,6 @@
 
 def _make_timeout_error(upstream: Upstream) -> Callable[[], Exception]:
     return lambda: UpstreamError(
-        f'{upstream.id} was silent',
-        'check the sampler; the item goes on',
+        f'{upstream.id} sent nothing before the timeout',
+        'check the sampler; the item resumes elsewhere',
     )
--- a/guavagate/partitions/_state_machine.py
+++ b/guavagate/partitions/_state_machine.py
@@ -91,7 +91,8 @@
         for entry in entries:
             if not self.is_registered(entry.kind):
                 raise StoreError(
-                    f'the record holds {entry.kind}, unknown to this release',
+                    f'the record contains {entry.kind},'
+                    ' which this release does not know',
                     'stop this instance, or run the release that wrote it',
                 )
             self.apply(entry)
--- a/guavagate/platform/_samplers.py
+++ b/guavagate/platform/_samplers.py
@@ -82,7 +82,7 @@
         try:
             report = msgspec.json.decode(body, type=_Report)
         except msgspec.MsgspecError as error:
-            raise _make_error(f'{upstream.id} sent no report') from error
+            raise _make_error(f'{upstream.id} sent no valid report') from error
         return SamplerReport(
             busy=report.busy,
             orders_taken=report.seq,
@@ -136,7 +136,7 @@
     if marks.not_run:
         raise UpstreamNotStartedError(
             f'{upstream.id} answered {answer.status}, not run',
-            'ask another sampler',
+            'use another sampler',
         )
     if answer.status == _IMPOSSIBLE:
         raise ItemImpossibleError
@@ -146,4 +146,4 @@
 
 
 def _make_error(problem: str) -> UpstreamError:
-    return UpstreamError(problem, 'nothing; the item goes on elsewhere')
+    return UpstreamError(problem, 'no action; the item continues elsewhere')
--- a/guavagate/platform/_servers.py
+++ b/guavagate/platform/_servers.py
@@ -50,11 +50,11 @@
     """
     server = msgspec.json.decode(value, type=_Server)
     if server.state not in _STATES:
-        raise ValueError(f'the state {server.state!r} is not known')
+        raise ValueError(f'unknown state {server.state!r}')
     if not _is_address(server.address):
-        raise ValueError(f'{server.address!r} is no IP address with a port')
+        raise ValueError(f'{server.address!r} is not an IP address with a port')
     if not 0 <= server.slots <= _MAX_SLOTS:
-        raise ValueError(f'{server.slots} slots are none')
+        raise ValueError(f'slots must be 0 to {_MAX_SLOTS}, not {server.slots}')
     return Upstream(
         id=UpstreamId(name),
         service=ServiceId(server.service),
--- a/guavagate/platform/_settings.py
+++ b/guavagate/platform/_settings.py
@@ -107,6 +107,6 @@
             return msgspec.toml.decode(file.read(), type=NodeSettings)
     except (OSError, msgspec.MsgspecError) as error:
         raise SettingsError(
-            f'the settings file {path} can not be used ({error})',
+            f'the settings file {path} cannot be used ({error})',
             'correct it; the platform writes it at each start',
         ) from error
--- a/guavagate/platform/_store.py
+++ b/guavagate/platform/_store.py
@@ -172,7 +172,7 @@
     if answer.status != _OK:
         raise StoreUnavailableError(
             f'the store answered {answer.status}: {answer.body[:200]!r}',
-            'see the log; the call is not one that this store takes',
+            'see the log; the store does not support this call',
             may_be_written=False,
         )
     return answer
@@ -181,12 +181,12 @@
 def _read_new_revision(path: str, answer: Answer) -> Revision:
     if answer.status == _CONFLICT:
         raise StoreConflictError(
-            f'{path} is not as it was expected to be',
-            'read it and decide again',
+            f'{path} does not have the expected revision',
+            'read it again and retry',
             _to_stored(path, _decode(answer, _Object)),
         )
     if answer.status == _NOT_FOUND:
-        raise StoreConflictError(f'{path} is gone', 'decide again')
+        raise StoreConflictError(f'{path} does not exist', 'read it again')
     written = _decode(_require_ok(answer), _Object)
     return Revision(written.metadata.revision or 0)
 
@@ -207,8 +207,8 @@
         return decode_leniently(answer.body, kind)
     except msgspec.MsgspecError as error:
         raise StoreUnavailableError(
-            f'the store sent what is no answer ({error})',
-            'check what the address of the store leads to',
+            f'the store sent a malformed answer ({error})',
+            'check which server listens at the address of the store',
         ) from error
 
 
--- a/guavagate/rollouts/_coordinator.py
+++ b/guavagate/rollouts/_coordinator.py
@@ -354,8 +354,8 @@
             return
         if state is not before and incarnation < state.incarnation:
             raise UpstreamError(
-                f'{upstream.id} reported of a former start',
-                'nothing; it is asked again',
+                f'{upstream.id} sent a report of a previous incarnation',
+                'no action needed; the report is requested again',
             )
         self._states.reset(upstream.id, incarnation)
 
