--- a/tests/decisions/test_background.py
+++ b/tests/decisions/test_background.py
@@ -97,9 +97,9 @@
     """96 texts end together and request rewards while callers send requests.
 
     Sent all at once, the burst is queued before every caller. With the limit,
-    nine of ten callers get an answer within 150 ms, and the burst takes at
-    most twice as long as without it. Cases: all upstreams equal, one slow, only
-    one left, and many callers.
+    nine of ten callers get an answer within 150 ms (600 ms if one upstream is
+    four times slower), and the burst takes at most twice as long as without
+    it. Cases: all upstreams equal, one slow, only one left, and many callers.
     """
     waits, over = _simulate(
         [_Upstream(each) for each in slowness], gap, bounded=True
--- a/tests/decisions/test_patterns.py
+++ b/tests/decisions/test_patterns.py
@@ -132,8 +132,9 @@
 def test_wrongly_configured_slots_are_corrected() -> None:
     """Twice as many slots are configured as fit in the engines' memory.
 
-    Engines swap streams in and out, and all streams slow down together. The
-    limit is found within a minute, and callers get the samplers' full capacity.
+    Engines swap streams in and out, and all streams slow down together. Once
+    the limit is found, callers get nearly the samplers' full capacity; without
+    it they get less than half.
     """
     figures = _run('wrong-slots')
     without = _run('wrong-slots', 'without-limit')
--- a/tests/duties/test_cluster_clock.py
+++ b/tests/duties/test_cluster_clock.py
@@ -64,7 +64,10 @@
 
 
 def test_clocks_of_lost_instances_are_ignored() -> None:
-    """A zone with wrong clocks is lost."""
+    """Five other clocks are 9 s ahead, and four of their instances are lost.
+
+    The time is then the median of the one that is left and the own clock.
+    """
     clocks, cluster_clock = _make()
     for number in range(5):
         cluster_clock.record(InstanceId(f'i{number}'), clocks.read_true() + 9)
--- a/tests/duties/test_scaler.py
+++ b/tests/duties/test_scaler.py
@@ -144,7 +144,10 @@
 
 
 def test_the_first_steps_get_slots() -> None:
-    """Their demand is unknown, and a boot takes seconds."""
+    """Spot upstreams are ordered at the start, before any step arrives.
+
+    The demand is unknown, and a boot takes too long to wait for the first step.
+    """
     setup = _Setup()
     setup.start()
     setup.clock.advance(6)
--- a/tests/duties/test_targets.py
+++ b/tests/duties/test_targets.py
@@ -61,8 +61,8 @@
     assert targets[_A, CapacityType.SPOT] == 8
 
 
-def test_spot_upstreams_are_unavailable_in_every_zone() -> None:
-    """The burst gets regular upstreams in every zone."""
+def test_regular_upstreams_replace_spot_ones_in_every_zone() -> None:
+    """No zone has spot upstreams; the burst gets regular ones instead."""
     targets = choose_targets(_SCALING, _BASE, 500, set(_BASE))
     assert _count(targets, CapacityType.SPOT) == 0
     assert _count(targets, CapacityType.REGULAR) == 48
--- a/tests/duties/test_usage.py
+++ b/tests/duties/test_usage.py
@@ -83,7 +83,7 @@
 
 
 def test_disabled_usage_accounting_counts_and_sends_nothing() -> None:
-    """Other deployments have no cost from it."""
+    """Deployments without usage reports must not pay for store calls."""
     world, platform, parts = _make(enabled=False)
     world.store.calls.clear()
     for usage in parts:
--- a/tests/feeds/test_feed.py
+++ b/tests/feeds/test_feed.py
@@ -38,7 +38,7 @@
 
 
 def test_few_instances_call_an_unavailable_store() -> None:
-    """The store answers no call of forty instances for six seconds.
+    """Every call of forty instances to the store fails for six seconds.
 
     The relay reports that its data is stale. If each instance then called the
     store itself, these would be hundreds of billed calls a second, and as many
@@ -82,7 +82,7 @@
     assert fleet.list_values(others) == {b'2'}
 
 
-def test_relay_and_standby_are_cut_off_from_the_store() -> None:
+def test_a_change_takes_effect_when_relay_and_standby_are_cut_off() -> None:
     """They still send heartbeats; the next standbys relay a change in time."""
     fleet = Fleet([f'n{number}' for number in range(20)])
     for name in fleet.order_relays()[:2]:
@@ -110,7 +110,9 @@
     assert fleet.list_values(others) == {b'2'}
 
 
-def test_the_relays_are_cut_off_from_the_store(fleet: Fleet) -> None:
+def test_a_change_takes_effect_when_the_relays_are_cut_off(
+    fleet: Fleet,
+) -> None:
     """Their watches hang, so they see no change, but they send heartbeats.
 
     The heartbeats contain the age of their data, so the others stop following.
--- a/tests/feeds/test_proof.py
+++ b/tests/feeds/test_proof.py
@@ -33,7 +33,7 @@
 
 
 def test_the_age_is_infinite_without_a_proof() -> None:
-    """An instance that has just started honours no key."""
+    """An instance that has just started accepts no key."""
     assert Proof(float).age() == math.inf
 
 
@@ -84,7 +84,7 @@
 
 
 def test_an_older_proof_does_not_replace_a_newer_one() -> None:
-    """Of two relays, one is cut off from the store and sends old proofs."""
+    """A proof that is three seconds older arrives after the newer one."""
     machines = _Machines()
     machines.proof.record_own(machines.read_here())
     machines.proof.record_own(machines.read_here() - 3)
--- a/tests/forwarding/common.py
+++ b/tests/forwarding/common.py
@@ -1,4 +1,4 @@
-"""Test upstreams that exchange raw bytes over real sockets."""
+"""Starts upstreams for tests that exchange raw bytes over real sockets."""
 
 from collections.abc import Callable
 
--- a/tests/forwarding/test_forward.py
+++ b/tests/forwarding/test_forward.py
@@ -171,7 +171,7 @@
 
 
 def test_at_most_the_attempts_of_the_route_are_made() -> None:
-    """Three upstreams lose their answers; the route allows two."""
+    """Two of three upstreams lose answers; the route allows two attempts."""
     bench = _Bench(a=_LOST, b=_LOST, c=_GOOD)
     outcome, _ = bench.forward()
     assert len(bench.attempts.made) == 2
@@ -214,7 +214,10 @@
 
 
 def test_short_deadlines_make_no_upstream_unresponsive() -> None:
-    """Its deadline is shorter than an answer usually takes."""
+    """Five requests have deadlines that are shorter than an answer takes.
+
+    Their timeouts say nothing about the upstream and are not counted.
+    """
     bench = _Bench(a=_SLOW, b=_SLOW)
     for _ in range(5):
         bench.forward(limit=0.2)
--- a/tests/helpers/test_listeners.py
+++ b/tests/helpers/test_listeners.py
@@ -1,4 +1,4 @@
-"""Test sockets that listen while an instance starts."""
+"""Tests of sockets that listen while an instance starts."""
 
 import pathlib
 import socket
--- a/tests/helpers/test_mirror.py
+++ b/tests/helpers/test_mirror.py
@@ -1,4 +1,4 @@
-"""Test the mirror through outages and dropped watch history."""
+"""Tests of the mirror during outages and after a dropped watch history."""
 
 from guavagate.clock import PausedClock
 from guavagate.exceptions import StoreUnavailableError
--- a/tests/jobs/test_overload.py
+++ b/tests/jobs/test_overload.py
@@ -81,7 +81,10 @@
 
 
 def test_a_large_trainer_does_not_delay_small_ones() -> None:
-    """It requests three times as much, and only its own steps are late."""
+    """It requests three times as much, and only its own steps are late.
+
+    Each trainer's model has three of the nine samplers.
+    """
     large = TrainerProfile(8, 12, 24)
     small = TrainerProfile(4, 8, 24)
     outcomes = _play(
--- a/tests/jobs/test_owner.py
+++ b/tests/jobs/test_owner.py
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def fleet() -> JobFleet:
-    """Three instances before three samplers."""
+    """Return three instances with three samplers."""
     return JobFleet()
 
 
--- a/tests/jobs/test_stalls.py
+++ b/tests/jobs/test_stalls.py
@@ -94,7 +94,10 @@
 
 
 def test_a_weight_load_does_not_count_as_unresponsive(fleet: JobFleet) -> None:
-    """Its streams may stall for a second; moving them would gain nothing."""
+    """A sampler that loads weights may stall its streams for a second.
+
+    Moving them would gain nothing.
+    """
     node = fleet.nodes[fleet.owner()]
     fleet.submit(make_job(groups=4, size=2), 'a')
     fleet.clock.advance(1)
--- a/tests/links/test_stalled_connection.py
+++ b/tests/links/test_stalled_connection.py
@@ -1,4 +1,4 @@
-"""Tests of connections that stall for good behind a relay."""
+"""Tests of connections that stall permanently behind a relay."""
 
 from collections.abc import Iterator
 
@@ -125,7 +125,11 @@
 
 
 def test_a_dropped_request_is_not_mistaken_for_a_new_one() -> None:
-    """A request is resent after the store of handled requests dropped it."""
+    """The full store of handled requests drops one that is then resent.
+
+    The store must report that it may have dropped a request of that time, as
+    the request would otherwise run twice.
+    """
     requests = module.HandledRequests()
     for number in range(module.MAX_REQUESTS + 1):
         requests.add((1, number), b'x', now=100 + number / 1e6)
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -290,7 +290,7 @@
 
 
 def test_a_leaving_instance_gets_no_new_work() -> None:
-    """It announces that it leaves, still answers probes, then stops."""
+    """An instance announces that it leaves, still answers probes, and stops."""
     network = make_network(9)
     leaver: Detector = network.detectors['i004']
     network.send('i004', leaver.leave(MemberState.LEAVING))
--- a/tests/partitions/test_record_writer.py
+++ b/tests/partitions/test_record_writer.py
@@ -149,13 +149,14 @@
     assert bench.state.objects['partitions/7'].value == b'not a record'
 
 
-def test_snapshots_cost_no_more_than_entries(
+def test_snapshot_bytes_are_proportional_to_entries(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A state grows by many small entries, as with the samples of a step.
 
     With a snapshot each time the record is full, every snapshot would contain
-    all earlier data, and a step of 30 MB would write gigabytes.
+    all earlier data, and a step of 30 MB would write gigabytes. All blobs
+    together must have less than six times the bytes of the entries.
     """
     monkeypatch.setattr(record_writer, 'MAX_TAIL_BYTES', 2_000)
     monkeypatch.setattr(record_writer, 'MIN_SNAPSHOT_INTERVAL_BYTES', 10_000)
--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -117,7 +117,7 @@
 
 
 def test_a_late_older_version_is_ignored() -> None:
-    """A list that is read after a lost watch contains known versions."""
+    """A list that is read after a lost watch contains an older version."""
     setup = _Setup()
     setup.publish(3)
     setup.clock.advance(8)
--- a/tests/rollouts/test_lease.py
+++ b/tests/rollouts/test_lease.py
@@ -255,7 +255,10 @@
 
 
 def test_a_holder_that_sent_orders_is_always_waited_for() -> None:
-    """The holder in between sent orders before it stepped down."""
+    """An instance takes the lease back from one that could send orders.
+
+    Its earlier wait does not cover those orders, so it waits again.
+    """
     holders = _Holders()
     holders.acquire_or_renew(holders.make('before'))
     first, second = holders.make('a'), holders.make('b')
--- a/tests/routing/test_routes.py
+++ b/tests/routing/test_routes.py
@@ -63,7 +63,7 @@
 
 
 def test_an_older_configuration_is_rejected() -> None:
-    """A lagging replica offers an earlier configuration."""
+    """A replica of the store that lags returns an earlier configuration."""
     table = RouteTable()
     assert table.apply(_configure(7, make_route('/new/')))
     assert not table.apply(_configure(4, make_route('/old/')))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -177,7 +177,7 @@
     assert '10.0.0.9:1' in unreachable.output
 
 
-def test_lists_read_well(
+def test_lists_match_their_snapshots(
     run: Run, file: pathlib.Path, snapshot: SnapshotAssertion
 ) -> None:
     """The lists as tables and JSON match their snapshots."""
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Test the paused clock."""
+"""Tests of the paused clock."""
 
 import gevent
 import pytest
--- a/tests/test_demo_verdict.py
+++ b/tests/test_demo_verdict.py
@@ -1,4 +1,4 @@
-"""Test that the demo's summary detects each violated guarantee."""
+"""Tests that the demo's summary detects each violated guarantee."""
 
 from collections.abc import Callable
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Test that the documentation matches the code."""
+"""Tests that the documentation matches the code."""
 
 import json
 import os
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -1,4 +1,4 @@
-"""Test the complete path through one instance over HTTP with stand-ins."""
+"""Tests of the complete path through one instance over HTTP with stand-ins."""
 
 import json
 import socket
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Test log lines and the decisions stored in memory."""
+"""Tests of log lines and the decisions stored in memory."""
 
 import io
 import json
--- a/tests/test_object_api.py
+++ b/tests/test_object_api.py
@@ -81,7 +81,7 @@
         store.watch('partitions/', revision, 1)
 
 
-def test_a_lost_answer_is_not_repeated(
+def test_a_write_whose_answer_is_lost_is_not_repeated(
     store: ObjectApi, transport: Transport
 ) -> None:
     """A write takes effect and its answer is lost.
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Tests the operators' HTTP API by the responses that operators receive."""
+"""Tests of the operators' HTTP API by the responses that operators receive."""
 
 import pytest
 
--- a/tests/test_real_processes.py
+++ b/tests/test_real_processes.py
@@ -1,4 +1,4 @@
-"""Test a fleet of real processes under load, with kills and pauses."""
+"""Tests of a fleet of real processes under load, with kills and pauses."""
 
 from pathlib import Path
 
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""Test that the generated pages match the code."""
+"""Tests that the generated pages match the code."""
 
 import pathlib
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Tests the reports of one instance for operators."""
+"""Tests of the reports of one instance for operators."""
 
 import os
 import signal
--- a/tests/test_settings_in_force.py
+++ b/tests/test_settings_in_force.py
@@ -31,7 +31,7 @@
 
 
 def test_a_store_outage_refuses_changes_and_reverts_nothing() -> None:
-    """For an hour changes are surely refused, and all settings stay."""
+    """The store is down for an hour: a change is refused, all settings stay."""
     fleet = make_fleet(2, ['i0', 'i1'])
     fleet.world.store.outage = True
     refused = fleet.change('i1', 2, 5)
@@ -113,7 +113,7 @@
 
 
 def test_an_instance_without_store_and_peers_is_not_ready() -> None:
-    """It must not serve by settings that may be outdated.
+    """It must not serve with settings that may be outdated.
 
     It names what it waits for and becomes ready once the store answers. When
     it is cut off again for longer than the limit, its readiness check fails.
@@ -289,7 +289,7 @@
     """An exception of a subscriber must not end the task that calls it.
 
     Otherwise the watch or the handler of messages ends, and the instance
-    serves by old settings although it reports itself ready.
+    serves with old settings although it reports itself ready.
     """
     fleet = make_fleet()
 
@@ -333,7 +333,10 @@
 
 
 def test_changes_are_in_force_on_all_instances_in_time() -> None:
-    """200 changes on nine instances, with one killed and one paused."""
+    """None of 200 changes is late while one of nine instances is killed.
+
+    Another one is paused meanwhile.
+    """
     spread = measure_propagation(instances=9, changes=200, seed=1)
     assert spread.p99 <= 2
     assert (spread.late, spread.reverts) == (0, 0)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Test that a start loads no unneeded modules."""
+"""Tests that a start loads no unneeded modules."""
 
 import subprocess
 import sys
--- a/tests/test_tour.py
+++ b/tests/test_tour.py
@@ -1,4 +1,4 @@
-"""Test the commands of the tour in the documentation."""
+"""Tests of the commands of the tour in the documentation."""
 
 import pathlib
 import re
--- a/tests/util/test_uptime.py
+++ b/tests/util/test_uptime.py
@@ -13,7 +13,7 @@
 
 
 def test_a_restarted_instance_does_not_take_its_duty_back() -> None:
-    """Its standby has begun to work; a second takeover would lose that."""
+    """Its standby has begun to work; a second takeover would discard that."""
     owner, standby, _ = rank_by_uptime('k', _BOOTS, _BOOTS.get)
     boots = {**_BOOTS, owner: 1_020_000}
     assert rank_by_uptime('k', boots, boots.get)[0] == standby
