--- a/guavagate/measure/_checks.py
+++ b/guavagate/measure/_checks.py
@@ -107,12 +107,16 @@
 
 def check_versions(events: _History) -> Iterator[hist.Violation]:
     """Find samples that report other versions than their pieces have."""
-    made: dict[str, dict[str, list[hist.GeneratedPiece]]] = defaultdict(dict)
+    pieces_by_sample: dict[str, dict[str, list[hist.GeneratedPiece]]] = (
+        defaultdict(dict)
+    )
     for piece in _select(events, hist.GeneratedPiece):
-        made[piece.sample].setdefault(piece.exchange, []).append(piece)
+        pieces_by_sample[piece.sample].setdefault(piece.exchange, []).append(
+            piece
+        )
     for batch in _select(events, hist.PulledBatch):
         for sample in batch.samples:
-            if not _can_explain(sample, made[sample.sample]):
+            if not _can_explain(sample, pieces_by_sample[sample.sample]):
                 yield hist.Violation(
                     hist.Promise.TRUE_VERSIONS,
                     sample.sample,
@@ -252,7 +256,7 @@
 
 def _can_explain(
     sample: hist.PulledSample,
-    made: dict[str, list[hist.GeneratedPiece]],
+    pieces_by_exchange: dict[str, list[hist.GeneratedPiece]],
 ) -> bool:
     """Return whether pieces explain a sample's text and versions.
 
@@ -260,22 +264,28 @@
     comes from a single exchange, or from pieces in an unrecorded order.
     """
     named = set(sample.versions)
-    if not made and not sample.exchanges:
+    if not pieces_by_exchange and not sample.exchanges:
         # Engines that don't know sample ids record none. `standins` checks
         # their histories by the texts instead.
         return True
     if len(sample.exchanges) > 1:
-        parts = [made.get(exchange, []) for exchange in sample.exchanges]
+        parts = [
+            pieces_by_exchange.get(exchange, [])
+            for exchange in sample.exchanges
+        ]
         return named <= _list_versions(parts)
-    wanted = sample.exchanges or tuple(made)
+    exchanges = sample.exchanges or tuple(pieces_by_exchange)
     complete = [
-        made[exchange]
-        for exchange in wanted
-        if exchange in made and _join(made[exchange]) == sample.text
+        pieces_by_exchange[exchange]
+        for exchange in exchanges
+        if exchange in pieces_by_exchange
+        and _join(pieces_by_exchange[exchange]) == sample.text
     ]
     if complete:
         return any(_list_versions([pieces]) == named for pieces in complete)
-    return not sample.exchanges and named <= _list_versions(made.values())
+    return not sample.exchanges and named <= _list_versions(
+        pieces_by_exchange.values()
+    )
 
 
 def _join(pieces: list[hist.GeneratedPiece]) -> str:
--- a/guavagate/measure/_load.py
+++ b/guavagate/measure/_load.py
@@ -60,7 +60,7 @@
 
 
 def measure_overload(policy: Policy, seed: int) -> Figures:
-    """Twice the capacity for a minute after a minute of full load."""
+    """Twice the capacity for 80 s; the figures leave out the first 20 s."""
     rng = np.random.default_rng(seed)
     rate = 2 * compute_capacity(_MEAN_TOKENS, SAMPLERS, SLOTS)
     requests = _draw_callers(rng, rate, 0, _END_SECONDS)
@@ -102,7 +102,7 @@
 
 
 def measure_hot_caller(policy: Policy, seed: int) -> Figures:
-    """Twenty callers at 70 % of the capacity; one sends twenty times that."""
+    """Twenty callers share 70 % of capacity; one sends 20 times its share."""
     rng = np.random.default_rng(seed)
     share = 0.7 * compute_capacity(_MEAN_TOKENS, SAMPLERS, SLOTS) / _CALLERS
     others = []
--- a/guavagate/measure/_trainers.py
+++ b/guavagate/measure/_trainers.py
@@ -34,7 +34,7 @@
 # A stalled sampler generates almost nothing during the stall.
 _STALL_SLOWDOWN_FACTOR: Final = 100.0
 _STALL_SECONDS: Final = 60.0
-# Throughput of all samplers, in healthy ones, while one is slow.
+# Throughput of all samplers while one is slow, in units of a healthy sampler.
 _EFFECTIVE_SAMPLERS: Final = SAMPLERS - 1 + 1 / _SLOWDOWN_FACTOR
 # Time to train a step, as a multiple of the time to generate a mean step when
 # all lengths are known in advance. Samplers are provisioned so that the
--- a/guavagate/measure/_workload.py
+++ b/guavagate/measure/_workload.py
@@ -30,7 +30,7 @@
     """Parameters of the requests of one caller.
 
     `rate` is in requests per second, `timeout_seconds` the time from arrival to
-    the deadline, and `sigma` that of the lognormal lengths.
+    the deadline, and `sigma` the shape parameter of the lognormal lengths.
     """
 
     caller: str
--- a/guavagate/measure/fakes/_bus.py
+++ b/guavagate/measure/fakes/_bus.py
@@ -135,7 +135,9 @@
             len(raw),
             lambda: self._arrive(peer, kind, raw, answer),
         )
-        with self.host.clock.timeout(timeout, lambda: _no_reply(peer, kind)):
+        with self.host.clock.timeout(
+            timeout, lambda: _make_no_reply_error(peer, kind)
+        ):
             outcome = waiter.get()
         if isinstance(outcome, GuavagateError):
             raise outcome
@@ -215,6 +217,6 @@
         answer(_ENCODER.encode(reply))
 
 
-def _no_reply(peer: InstanceId, kind: str) -> LinkError:
+def _make_no_reply_error(peer: InstanceId, kind: str) -> LinkError:
     """Return the error of a request that timed out."""
     return LinkError(f'{peer} did not reply to {kind}', 'retry the request')
--- a/guavagate/measure/fakes/_store.py
+++ b/guavagate/measure/fakes/_store.py
@@ -114,7 +114,7 @@
             self.lose_next -= 1
             lost = True
         if lost:
-            raise _unavailable()
+            raise _make_unavailable_error()
 
 
 class MemoryStore:
@@ -152,7 +152,7 @@
         self._call_write_hook('put', path, applied=False)
         if self.state.rng.random() < self.state.late_write_share:
             self._put_later(path, value, expected)
-            raise _unavailable()
+            raise _make_unavailable_error()
         self.state.check_version(path, expected)
         version = self.state.change(path, value)
         self.state.maybe_lose_answer()
@@ -188,7 +188,7 @@
                 return changes, Revision(self.state.revision)
             self._wait(end)
         if self.state.outage:
-            raise _unavailable()
+            raise _make_unavailable_error()
         return [], Revision(self.state.revision)
 
     def _put_later(
@@ -237,10 +237,10 @@
             else _CALL_SECONDS + state.added_delay
         )
         if state.outage:
-            raise _unavailable()
+            raise _make_unavailable_error()
 
 
-def _unavailable() -> StoreUnavailableError:
+def _make_unavailable_error() -> StoreUnavailableError:
     """Return the error of an outage or a lost answer."""
     return StoreUnavailableError(
         'the object API did not answer', 'read back before writing again'
--- a/guavagate/measure/outcomes/_command.py
+++ b/guavagate/measure/outcomes/_command.py
@@ -15,7 +15,7 @@
 from guavagate.measure.outcomes._mutations import find_catching_runs
 from guavagate.measure.outcomes._run import Run, run_once
 
-_TRACE: Final = 25
+_MAX_TRACE_EVENTS: Final = 25
 
 
 def _measure(
@@ -105,7 +105,7 @@
     for violation in run.violations[:1]:
         click.echo(f'  {violation.promise.value}: {violation.subject}')
         click.echo(f'  {violation.problem}')
-        for event in violation.trace[:_TRACE]:
+        for event in violation.trace[:_MAX_TRACE_EVENTS]:
             click.echo(f'    {describe(event)}')
 
 
--- a/guavagate/measure/outcomes/_fault_injector.py
+++ b/guavagate/measure/outcomes/_fault_injector.py
@@ -93,7 +93,7 @@
         return self._fleet.list_running()
 
     def on_message(self, act: Callable[[str], None], role: str) -> None:
-        """Act when an instance sends the nth message of a random kind."""
+        """Call `act` when an instance sends the nth message of one kind."""
         kind = self._rng.choice(_MESSAGE_KINDS)
         remaining = [self._rng.randint(1, 12)]
 
@@ -114,7 +114,7 @@
     def on_write(
         self, act: Callable[[str], None], *, after_write: bool
     ) -> None:
-        """Act when the nth write of a partition reaches the store.
+        """Call `act` when the nth write of a partition reaches the store.
 
         Parameters
         ----------
@@ -138,7 +138,7 @@
         self._world.store.on_write = act_on_put
 
     def on_upstream_call(self, act: Callable[[str], None]) -> None:
-        """Act on an entry before, during or after an upstream call."""
+        """Call `act` on an entry before, during or after an upstream call."""
         chosen_stage = self._rng.choice(STAGES)
         remaining = [self._rng.randint(1, 6)]
 
@@ -172,7 +172,7 @@
         )
 
     def stop_one(self) -> None:
-        """Stop an instance in an orderly way, then start it again."""
+        """Stop an instance gracefully, then start it again."""
         name = self.pick('entry')
         if name:
             self._record('planned stop', name)
@@ -221,7 +221,7 @@
         self._record(name, '')
 
     def schedule(self, low: float, high: float, act: Callable[[], Any]) -> None:
-        """Act after a random delay between two bounds, in seconds."""
+        """Call `act` after a random delay between two bounds, in seconds."""
         self._schedule(self._rng.uniform(low, high), act)
 
     def _record(self, name: str, instance: str) -> None:
@@ -235,7 +235,7 @@
         )
 
     def _schedule(self, wait: float, act: Callable[[], Any]) -> None:
-        """Act in a new task after some seconds."""
+        """Call `act` in a new task after some seconds."""
         clock = self._fleet.clock
 
         def run() -> None:
--- a/guavagate/measure/outcomes/_scenarios.py
+++ b/guavagate/measure/outcomes/_scenarios.py
@@ -94,7 +94,7 @@
         return len(set(totals)) < len(totals)
 
 
-def write_records_at_once(safeguards: Safeguards) -> bool:
+def write_records_concurrently(safeguards: Safeguards) -> bool:
     """Show what `conditional` prevents.
 
     Two instances lose their connection. Each takes over the partition and
@@ -113,7 +113,7 @@
     return fleet.breaks_promise('a')
 
 
-def die_before_the_store_answers(safeguards: Safeguards) -> bool:
+def kill_primary_before_store_answers(safeguards: Safeguards) -> bool:
     """Show what `durable_first` prevents.
 
     The store is slow. The primary answers an addition that the store has not
@@ -129,7 +129,7 @@
     return fleet.breaks_promise(next(name for name in 'abc' if name != primary))
 
 
-def take_a_lost_answer_for_a_refusal(safeguards: Safeguards) -> bool:
+def report_lost_answer_as_refusal(safeguards: Safeguards) -> bool:
     """Show what `settle` prevents.
 
     The store writes an addition and its answer is lost. The caller gets the
@@ -142,7 +142,7 @@
     return fleet.breaks_promise(fleet.primary())
 
 
-def go_on_from_what_was_never_kept(safeguards: Safeguards) -> bool:
+def keep_unwritten_state(safeguards: Safeguards) -> bool:
     """Show what `discard` prevents.
 
     A primary is paused after it applied an addition that the store has not
@@ -189,9 +189,9 @@
 Scenario = Callable[[Any], bool]
 
 SCENARIOS: Final[dict[str, Scenario]] = {
-    'conditional': write_records_at_once,
-    'durable_first': die_before_the_store_answers,
-    'settle': take_a_lost_answer_for_a_refusal,
-    'discard': go_on_from_what_was_never_kept,
+    'conditional': write_records_concurrently,
+    'durable_first': kill_primary_before_store_answers,
+    'settle': report_lost_answer_as_refusal,
+    'discard': keep_unwritten_state,
     'deduplicate': repeat_after_a_lost_reply,
 }
--- a/guavagate/measure/outcomes/_steps.py
+++ b/guavagate/measure/outcomes/_steps.py
@@ -33,7 +33,7 @@
 _GROUPS: Final = 4
 _SAMPLES_PER_GROUP: Final = 2
 _WORKERS: Final = 3
-_STALENESS: Final = 2
+_MAX_STALENESS: Final = 2
 _GENERATE_SECONDS: Final = (0.1, 1.5)
 _PUBLISH_SECONDS: Final = (1.0, 4.0)
 _TIMEOUT_SECONDS: Final = 8.0
@@ -163,7 +163,7 @@
             return False
         self._newest = version
         self._record(
-            hist.PublishedVersion, version=version, max_staleness=_STALENESS
+            hist.PublishedVersion, version=version, max_staleness=_MAX_STALENESS
         )
         return True
 
@@ -181,7 +181,7 @@
         return (
             self._call(
                 lambda client: client.submit_step(
-                    self._address, self._step, groups, _STALENESS
+                    self._address, self._step, groups, _MAX_STALENESS
                 )
             )
             is not None
--- a/guavagate/measure/slopes/_runs.py
+++ b/guavagate/measure/slopes/_runs.py
@@ -1,4 +1,4 @@
-"""Measures what samples cost the primary of their partition and a backup."""
+"""Measures what samples cost the primary of their partition."""
 
 import itertools
 from functools import partial
--- a/standins/demo/_verdict.py
+++ b/standins/demo/_verdict.py
@@ -142,11 +142,11 @@
     delivered: dict[tuple[str, str], Counter[str]] = defaultdict(Counter)
     seen: set[tuple[str, str, str]] = set()
     for batch in _select_kind(events, hist.PulledBatch):
-        place = (batch.run, batch.step, batch.follows)
-        if place in acked and place not in seen:
-            seen.add(place)
+        batch_key = (batch.run, batch.step, batch.follows)
+        if batch_key in acked and batch_key not in seen:
+            seen.add(batch_key)
             names = [sample.sample for sample in batch.samples]
-            delivered[place[:2]].update(names)
+            delivered[batch_key[:2]].update(names)
     done = {(one.run, one.step) for one in _select_kind(events, hist.StepDone)}
     summary.steps = len(done)
     for counts in delivered.values():
--- a/standins/platform/proxy.py
+++ b/standins/platform/proxy.py
@@ -11,7 +11,10 @@
 
 
 class Proxy:
-    """Forwards connections; `fault` is empty, delay, reset or silent."""
+    """Forwards connections unless `fault` is set.
+
+    `fault` is empty, delay, reset or silent (connections stay open and stall).
+    """
 
     def __init__(self, address: str, target: str) -> None:
         host, _, port = address.rpartition(':')
@@ -26,27 +29,27 @@
     def _serve(self, sock: socket.socket, _: object) -> None:
         host, _, port = self._target.rpartition(':')
         try:
-            there = socket.create_connection((host, int(port)), timeout=2)
+            upstream = socket.create_connection((host, int(port)), timeout=2)
         except OSError:
             sock.close()
             return
-        there.settimeout(None)
-        back = gevent.spawn(self._pump, there, sock)
-        self._pump(sock, there)
-        back.join()
+        upstream.settimeout(None)
+        responses = gevent.spawn(self._pump, upstream, sock)
+        self._pump(sock, upstream)
+        responses.join()
 
-    def _pump(self, one: socket.socket, other: socket.socket) -> None:
+    def _pump(self, source: socket.socket, target: socket.socket) -> None:
         with contextlib.suppress(OSError):
             while True:
-                data = one.recv(_BYTES)
+                data = source.recv(_BYTES)
                 if self.fault == 'reset' or not data:
                     break
                 while self.fault == 'silent':
                     gevent.sleep(0.05)
                 if self.fault == 'delay':
                     gevent.sleep(0.2)
-                other.sendall(data)
-        for sock in (one, other):
+                target.sendall(data)
+        for sock in (source, target):
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
             sock.close()
--- a/standins/platform/sampler.py
+++ b/standins/platform/sampler.py
@@ -38,8 +38,8 @@
         self.teams: Counter[str] = Counter()
         self.keys_seen = 0
         self.orders: list[tuple[float, str, int]] = []
-        # Name and arrival time of each reward request, by the seal that
-        # answered it.
+        # Name and arrival time of each reward request, by the signature in its
+        # answer.
         self.rewards: dict[str, tuple[str, float]] = {}
         # When the last event of an item was first sent.
         self.completed_at: dict[str, float] = {}
@@ -79,7 +79,7 @@
         self._server: HttpServer | None = None
 
     def listen(self, address: str) -> None:
-        """Set the address to serve at, which a proxy may stand before."""
+        """Set the address to listen on; a proxy may forward to it."""
         self._server = HttpServer(address, self._clock, self._handle)
 
     def start(self) -> None:
--- a/standins/platform/store.py
+++ b/standins/platform/store.py
@@ -20,7 +20,11 @@
 
 
 class Store:
-    """Stores objects by kind and name, with a shared revision and watches."""
+    """Stores objects by kind and name, with a shared revision and watches.
+
+    `fault` is empty, busy (status 503), silent (no answer), lost (some writes
+    take effect without an answer) or slow.
+    """
 
     def __init__(self, address: str, seed: int) -> None:
         self.kinds: dict[str, dict[str, dict[str, Any]]] = {}
--- a/tests/decisions/test_background.py
+++ b/tests/decisions/test_background.py
@@ -13,9 +13,9 @@
 )
 
 _SLOTS = 6
-_WORK = 0.2
-_CALL = 0.04
-_STEP = 0.005
+_WORK_SECONDS = 0.2
+_CALL_SECONDS = 0.04
+_STEP_SECONDS = 0.005
 _ORDER = itertools.count()
 
 
@@ -73,7 +73,7 @@
             share = 96 // len(upstreams) + 1
             most = limit if bounded else share
             while left and upstream.background < most:
-                upstream.admit(_WORK, None)
+                upstream.admit(_WORK_SECONDS, None)
                 upstream.background += 1
                 left -= 1
             waits += upstream.advance(now)
@@ -81,9 +81,9 @@
             over = now
         if next_call <= now < 4:
             chosen = min(upstreams, key=_count_busy)
-            chosen.admit(_CALL, now)
+            chosen.admit(_CALL_SECONDS, now)
             next_call += gap
-        now = round(now + _STEP, 6)
+        now = round(now + _STEP_SECONDS, 6)
     return waits, over
 
 
--- a/tests/duties/test_reporter.py
+++ b/tests/duties/test_reporter.py
@@ -21,7 +21,7 @@
 from guavagate.rollouts import Lease, Renewals
 
 _BLUE = TeamId('blue')
-_LENGTH = 5.0
+_WINDOW_SECONDS = 5.0
 _LEASE_SECONDS = 3.0
 
 
@@ -100,7 +100,7 @@
             me,
             host.clock,
             self.world.bus(name),
-            UsageCounter(_LENGTH),
+            UsageCounter(_WINDOW_SECONDS),
             cluster_clock,
             rank,
         )
@@ -113,7 +113,7 @@
             lease,
             self.platform,
             cluster_clock,
-            _LENGTH,
+            _WINDOW_SECONDS,
             lambda: rank()[0] == me,
         ).start()
         publisher.start()
@@ -128,15 +128,15 @@
 
     def current_window(self) -> int:
         """Return the number of the current window."""
-        return int(self.clock.wall() // _LENGTH)
+        return int(self.clock.wall() // _WINDOW_SECONDS)
 
 
 @pytest.fixture
 def fleet() -> _Fleet:
     """Return three instances at the start of a window."""
     instances = _Fleet()
-    rest = _LENGTH - instances.clock.wall() % _LENGTH
-    instances.clock.advance(rest + _LENGTH + 0.01)
+    rest = _WINDOW_SECONDS - instances.clock.wall() % _WINDOW_SECONDS
+    instances.clock.advance(rest + _WINDOW_SECONDS + 0.01)
     return instances
 
 
@@ -146,9 +146,9 @@
     """Without failures, even a window without requests is reported."""
     window = fleet.current_window()
     fleet.count_requests('a', 'b', 'b', 'c')
-    fleet.clock.advance(_LENGTH + 4)
+    fleet.clock.advance(_WINDOW_SECONDS + 4)
     assert fleet.platform.list_contents(window) == [{_BLUE: 4}]
-    fleet.clock.advance(_LENGTH)
+    fleet.clock.advance(_WINDOW_SECONDS)
     assert fleet.platform.list_contents(window + 1) == [{}]
     fleet.platform.check()
 
@@ -159,7 +159,7 @@
     fleet.count_requests('c')
     fleet.clock.advance(0.5)
     fleet.world.kill('c')
-    fleet.clock.advance(_LENGTH + 4)
+    fleet.clock.advance(_WINDOW_SECONDS + 4)
     assert fleet.platform.list_contents(window) == [{_BLUE: 1}]
 
 
@@ -171,7 +171,7 @@
     fleet.count_requests('a', 'b', 'c')
     fleet.clock.advance(3)
     fleet.world.kill('a')
-    fleet.clock.advance(_LENGTH + 9)
+    fleet.clock.advance(_WINDOW_SECONDS + 9)
     assert fleet.platform.list_contents(window)[0] == {_BLUE: 3}
     fleet.platform.check()
 
@@ -203,7 +203,7 @@
     fleet.count_requests('a', 'b')
     fleet.clock.advance(4)
     fleet.platform.answers = [DutyAnswer.UNKNOWN] * 4
-    fleet.clock.advance(_LENGTH)
+    fleet.clock.advance(_WINDOW_SECONDS)
     assert len(fleet.platform.list_contents(window)) > 1
     fleet.count_requests('b')
     fleet.clock.advance(10)
@@ -231,7 +231,7 @@
     """The store is down for six seconds from the end of a window."""
     window = fleet.current_window()
     fleet.count_requests('a', 'b')
-    fleet.clock.advance(_LENGTH)
+    fleet.clock.advance(_WINDOW_SECONDS)
     fleet.world.store.outage = True
     fleet.clock.advance(6)
     fleet.world.store.outage = False
@@ -246,7 +246,7 @@
     fleet.clock.advance(3)
     for name in 'abc':
         fleet.world.kill(name)
-    fleet.clock.advance(_LENGTH)
+    fleet.clock.advance(_WINDOW_SECONDS)
     for name in 'abc':
         fleet.world.add(name)
     fleet.clock.advance(1)
--- a/tests/duties/test_scaler.py
+++ b/tests/duties/test_scaler.py
@@ -16,7 +16,7 @@
 
 _SERVICE = ServiceId('llm')
 _ZONES = tuple(ZoneId(name) for name in 'pqr')
-_BOOT = 4.0
+_BOOT_SECONDS = 4.0
 _SLOTS = 8
 
 
@@ -44,7 +44,7 @@
         if order.spot and order.amount and order.zone in self.spot_unavailable:
             return DutyAnswer.UNAVAILABLE
         clock = self._setup.clock
-        clock.call_at(clock.now() + _BOOT, lambda: self._execute(order))
+        clock.call_at(clock.now() + _BOOT_SECONDS, lambda: self._execute(order))
         return DutyAnswer.ACCEPTED
 
     def _execute(self, order: ScaleOrder) -> None:
@@ -70,7 +70,7 @@
             Scaling(
                 min_upstreams=1,
                 max_upstreams=16,
-                boot_seconds=_BOOT,
+                boot_seconds=_BOOT_SECONDS,
                 spot_price=0.2,
                 zone_prices=dict.fromkeys(_ZONES, 1.0),
             )
--- a/tests/duties/test_usage.py
+++ b/tests/duties/test_usage.py
@@ -13,7 +13,7 @@
 from guavagate.rollouts import Renewals
 
 _BLUE = TeamId('blue')
-_LENGTH = 5.0
+_WINDOW_SECONDS = 5.0
 
 
 class _Platform:
@@ -50,7 +50,7 @@
         members,
         ownership,
         Renewals(world.bus(name), world.clock.now),
-        _LENGTH,
+        _WINDOW_SECONDS,
         3.0,
         enabled=enabled,
         serves_callers=True,
@@ -74,10 +74,10 @@
 def test_one_instance_reports_the_counts_of_all() -> None:
     """Each instance counts the requests of its own callers."""
     world, platform, parts = _make()
-    world.clock.advance(2 * _LENGTH)
+    world.clock.advance(2 * _WINDOW_SECONDS)
     for usage in parts:
         usage.record(_BLUE, 0)
-    world.clock.advance(2 * _LENGTH)
+    world.clock.advance(2 * _WINDOW_SECONDS)
     total = sum(counts.get(_BLUE, 0) for counts in platform.windows.values())
     assert total == 3
 
@@ -88,7 +88,7 @@
     world.store.calls.clear()
     for usage in parts:
         usage.record(_BLUE, 0)
-    world.clock.advance(4 * _LENGTH)
+    world.clock.advance(4 * _WINDOW_SECONDS)
     assert not platform.windows
     assert not world.store.calls
 
--- a/tests/links/relay.py
+++ b/tests/links/relay.py
@@ -8,7 +8,7 @@
 
 
 class Relay:
-    """Forwards in both directions until `forget` is called.
+    """Forwards in both directions until `stall_connections` is called.
 
     Tests may change `backend`; later connections go there.
     """
@@ -22,14 +22,14 @@
         self._server.start()
         self.address = f'127.0.0.1:{self._server.server_port}'
 
-    def forget(self) -> None:
+    def stall_connections(self) -> None:
         """Stop forwarding on the open connections without closing them."""
         for forwarder in self._forwarders:
             forwarder.kill()
 
     def stop(self) -> None:
         """Close the relay."""
-        self.forget()
+        self.stall_connections()
         self._stopped.set()
         self._server.stop()
 
--- a/tests/links/test_stalled_connection.py
+++ b/tests/links/test_stalled_connection.py
@@ -84,7 +84,7 @@
     """
     assert peers.ask('first') == 'first'
     pending = peers.start_request('held')
-    peers.relay.forget()
+    peers.relay.stall_connections()
     peers.release.set()
     later = gevent.spawn(peers.ask, 'later')
     assert [pending.get(), later.get()] == ['held', 'later']
@@ -113,7 +113,7 @@
     """
     assert peers.ask('first') == 'first'
     pending = peers.start_request('held')
-    peers.relay.forget()
+    peers.relay.stall_connections()
     successor = peers.make_peer(free_address())
     peers.relay.backend = successor._address
     with pytest.raises(LinkError) as caught:
