--- a/tests/test_settings_in_force.py
+++ b/tests/test_settings_in_force.py
@@ -335,7 +335,7 @@
 def test_changes_are_in_force_on_all_instances_in_time() -> None:
     """None of 200 changes is late while one of nine instances is killed.
 
-    Another one is paused meanwhile.
+    Another one is paused later, and both return after twenty changes.
     """
     spread = measure_propagation(instances=9, changes=200, seed=1)
     assert spread.p99 <= 2
