--- a/guavagate/events/fleet.py
+++ b/guavagate/events/fleet.py
@@ -5,16 +5,18 @@
 
 from guavagate.events._event import Event
 
-MEMBER_ALIVE: Final = Event(3001, logging.INFO, 'An instance is in use')
+MEMBER_ALIVE: Final = Event(
+    3001, logging.INFO, 'An instance is alive and can receive work'
+)
 MEMBER_SUSPECT: Final = Event(
     3002,
     logging.INFO,
-    'An instance does not respond; it is suspected but may still refute',
+    'An instance does not respond; if this lasts, it is declared dead',
 )
 MEMBER_DEAD: Final = Event(
     3003,
     logging.WARNING,
-    'An instance is out of use',
+    'An instance was declared dead and receives no work',
     'if the platform does not replace it, see operators/lost-instance.md',
 )
 MEMBER_LEAVING: Final = Event(
@@ -26,13 +28,13 @@
 SUPERSEDED: Final = Event(
     3006,
     logging.ERROR,
-    'A newer process has the same instance id; this one is out of use',
+    'A newer process has the same instance id; this one is not ready',
     'stop this process, or give it a unique id and check its clock',
 )
 ISOLATED: Final = Event(
     3007,
     logging.WARNING,
-    'No other instance is heard',
+    'No messages arrive from other instances',
     'check this instance, its network and the cluster credential',
 )
 ISOLATION_ENDED: Final = Event(
@@ -41,7 +43,7 @@
 PROCESS_PAUSED: Final = Event(
     3009,
     logging.WARNING,
-    'This process did not run for a while',
+    'This process was paused or blocked',
     'if this repeats, give the instance more CPU time',
 )
 MEMBER_LEFT: Final = Event(
@@ -50,11 +52,13 @@
 LINK_STALLED: Final = Event(
     3101,
     logging.WARNING,
-    'A connection was silent while a new one worked; it is replaced',
+    'A connection to a peer stalled and was replaced by a new one',
     'if this repeats, see operators/silent-connection.md',
 )
 LINK_SLOW: Final = Event(
-    3102, logging.INFO, 'A peer is slow on a new connection as well'
+    3102,
+    logging.INFO,
+    'A peer does not respond in time on a new connection either',
 )
 FRAME_DROPPED: Final = Event(
     3103,
@@ -71,10 +75,10 @@
 STORE_DOWN: Final = Event(
     3201,
     logging.WARNING,
-    'The object API gives no answers; calls are held back',
+    'The object API is unavailable; calls fail at once until it recovers',
     'see operators/store-outage.md; requests are still served',
 )
-STORE_UP: Final = Event(3202, logging.INFO, 'The object API answers again')
+STORE_UP: Final = Event(3202, logging.INFO, 'The object API is available again')
 STORE_STALE: Final = Event(
     3203,
     logging.WARNING,
