--- a/guavagate/decisions/_sampler.py
+++ b/guavagate/decisions/_sampler.py
@@ -162,9 +162,9 @@
         if report.adapters is not None:
             self.adapters = report.adapters
         self.leaving = self.leaving or report.leaving
-        then = sum(run.start <= report.at for run in self.running.values())
+        started = sum(run.start <= report.at for run in self.running.values())
         ended = sum(
             start <= report.at < end for start, end in self._ended_spans
         )
-        self.foreign_running = max(report.running - then - ended, 0)
+        self.foreign_running = max(report.running - started - ended, 0)
         self.occupied = len(self.running) + self.foreign_running
