--- a/guavagate/events/duties.py
+++ b/guavagate/events/duties.py
@@ -29,7 +29,7 @@
 USAGE_UNKNOWN: Final = Event(
     9206,
     logging.WARNING,
-    'No instance has counts of a window any more; it is not reported',
+    'No instance has the counts of a usage window; it is not reported',
     'find the requests of that window in the logs of the entries',
 )
 SCALE_ORDERED: Final = Event(
@@ -41,5 +41,5 @@
     9211,
     logging.WARNING,
     'The platform did not accept an order of upstreams',
-    'the zone may have no capacity; other zones are tried',
+    'if this lasts, ask the platform for capacity; other zones are tried',
 )
--- a/guavagate/events/edge.py
+++ b/guavagate/events/edge.py
@@ -21,7 +21,7 @@
 SETTINGS_NEED_RESTART = Event(
     5042,
     logging.WARNING,
-    "The instance's settings file is read only at startup",
+    "The instance's settings file was not reloaded: this needs a restart",
     'restart the instance to apply the changed file',
 )
 SETTINGS_UNREADABLE = Event(
@@ -40,7 +40,7 @@
     5015,
     logging.INFO,
     'A request was denied because of its key',
-    'the key was revoked or never issued; the caller needs a new one',
+    'see the reason; if the caller should have access, check its key',
 )
 REFUSED_UNPROVEN = Event(
     5016,
@@ -49,7 +49,9 @@
     'if this lasts, check that the store or a relay is reachable',
 )
 EDGE_LISTENING = Event(5020, logging.INFO, 'The HTTP edge accepts connections')
-STOP_PROGRESS = Event(5030, logging.INFO, 'Progress of a planned stop')
+STOP_PROGRESS = Event(
+    5030, logging.INFO, 'A planned stop reached another phase'
+)
 DRAIN_REQUESTED = Event(
     5031, logging.INFO, 'An operator requested a planned stop'
 )
--- a/guavagate/events/forwarding.py
+++ b/guavagate/events/forwarding.py
@@ -26,11 +26,13 @@
 REQUEST_GIVEN_UP: Final = Event(
     8012,
     logging.WARNING,
-    'A request was given up',
+    'A request ended without an answer from an upstream',
     'see the reason, and search the logs for the upstream',
 )
 CALLER_DISCONNECTED: Final = Event(
-    8013, logging.INFO, 'The caller disconnected before it was answered'
+    8013,
+    logging.INFO,
+    'A caller disconnected before its request was answered',
 )
 MIRROR_STALE: Final = Event(
     8020,
@@ -47,7 +49,7 @@
 OBJECT_UNREADABLE: Final = Event(
     8022,
     logging.ERROR,
-    'An object of the store can not be read and is left out',
+    'An object in the store cannot be read and is not used',
     'correct the object, or upgrade guavagate to a release that supports it',
 )
 STORE_THROUGH_PEER: Final = Event(
--- a/guavagate/events/jobs.py
+++ b/guavagate/events/jobs.py
@@ -68,7 +68,7 @@
 GROUP_DEFERRED: Final = Event(
     9022,
     logging.INFO,
-    'A group cannot be complete in time and was deferred behind others',
+    'A group cannot finish in time and was deferred behind others',
     'if this lasts, add samplers or run fewer trainers at once',
 )
 SAMPLER_STALLED: Final = Event(
--- a/guavagate/events/routing.py
+++ b/guavagate/events/routing.py
@@ -5,7 +5,7 @@
 
 from guavagate.events._event import Event
 
-DECIDED: Final = Event(1000, logging.INFO, 'decided')
+DECIDED: Final = Event(1000, logging.INFO, 'A decision was made')
 PERMIT_GRANTED: Final = Event(
     1001, logging.DEBUG, 'An entry received a permit for its request'
 )
--- a/guavagate/events/runs.py
+++ b/guavagate/events/runs.py
@@ -26,7 +26,7 @@
     6020, logging.INFO, 'A sampler was ordered to load other weights'
 )
 SWAP_CONFIRMED = Event(
-    6021, logging.INFO, 'A sampler reports the ordered weights'
+    6021, logging.INFO, 'A sampler reports that it loaded other weights'
 )
 SWAP_FAILED = Event(
     6022,
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -154,9 +154,8 @@
         for version in range(4, 30):
             table.apply(_entry('b', b'"\xff', version))
     assert sorted(each.id for each in upstreams.all()) == ['a', 'c']
-    assert (
-        sum('can not be read' in each.message for each in caplog.records) == 1
-    )
+    text = 'An object in the store cannot be read and is not used'
+    assert sum(text in each.message for each in caplog.records) == 1
     assert len(changes_seen) == 29
     table.apply(_entry('c', b'{}', 30))
     assert [each.id for each in upstreams.all()] == ['a']
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -34,7 +34,8 @@
 def test_a_decision_is_logged_on_one_line_in_both_formats() -> None:
     """Both formats contain the event, subject and reason of a decision."""
     human = _record('human')
-    assert 'INFO GG1000 decided subject=req-1 kind=sampler' in human
+    text = 'INFO GG1000 A decision was made subject=req-1 kind=sampler'
+    assert text in human
     assert 'reason="least loaded"' in human
     assert human.count('\n') == 1
     machine = json.loads(_record('json'))
