--- a/guavagate/duties/__init__.py
+++ b/guavagate/duties/__init__.py
@@ -5,15 +5,19 @@
 from guavagate.duties._publisher import UsagePublisher
 from guavagate.duties._reporter import UsageReporter
 from guavagate.duties._scaler import Scaler
-from guavagate.duties._targets import CapacityType, Fleet, choose_targets
+from guavagate.duties._targets import (
+    CapacityType,
+    UpstreamCounts,
+    choose_targets,
+)
 from guavagate.duties._totals import UsageTotals
 from guavagate.duties._usage import UsageAccounting
 
 __all__ = (
     'CapacityType',
     'ClusterClock',
-    'Fleet',
     'Scaler',
+    'UpstreamCounts',
     'UsageAccounting',
     'UsageCounter',
     'UsagePublisher',
--- a/guavagate/duties/_scaler.py
+++ b/guavagate/duties/_scaler.py
@@ -8,8 +8,8 @@
 from guavagate.clock import Clock, Task
 from guavagate.duties._targets import (
     CapacityType,
-    Fleet,
     Targets,
+    UpstreamCounts,
     choose_targets,
 )
 from guavagate.events import duties as events
@@ -113,12 +113,12 @@
             return
         now = self._clock.now()
         demand = self._compute_demand()
-        fleets = self._count_fleets(configured.scaling)
+        counts = self._count_upstreams(configured.scaling)
         if now - self._started_at < PEAK_SECONDS:
             # The bursts are still unknown. One that gets too few slots is late,
             # and delays the next steps of its trainer; idle upstreams for half
             # a minute cost less.
-            demand = max(demand, configured.scaling.max_upstreams * len(fleets))
+            demand = max(demand, configured.scaling.max_upstreams * len(counts))
         spot_unavailable = [
             zone
             for zone, end in self._spot_unavailable_until.items()
@@ -128,7 +128,7 @@
             configured.scaling, self._baseline, demand, spot_unavailable
         )
         for key, amount in targets.items():
-            if self._is_due(key, amount, fleets, configured.scaling):
+            if self._is_due(key, amount, counts, configured.scaling):
                 self._send_order(key, amount)
 
     def _compute_demand(self) -> float:
@@ -148,15 +148,17 @@
         items = sum(each[0][1] for each in self._peaks.values() if each)
         return items / max(self._count_slots(), 1)
 
-    def _count_fleets(self, scaling: Scaling) -> dict[ZoneId, Fleet]:
-        fleets = {zone: Fleet() for zone in scaling.zone_prices}
+    def _count_upstreams(
+        self, scaling: Scaling
+    ) -> dict[ZoneId, UpstreamCounts]:
+        counts = {zone: UpstreamCounts() for zone in scaling.zone_prices}
         for upstream in self._upstreams.serving(self._service):
-            fleet = fleets.setdefault(upstream.zone, Fleet())
-            fleet.spot += upstream.spot
-            fleet.regular += not upstream.spot
-        for zone, fleet in fleets.items():
-            self._update_baseline(zone, fleet.regular)
-        return fleets
+            count = counts.setdefault(upstream.zone, UpstreamCounts())
+            count.spot += upstream.spot
+            count.regular += not upstream.spot
+        for zone, count in counts.items():
+            self._update_baseline(zone, count.regular)
+        return counts
 
     def _update_baseline(self, zone: ZoneId, regular: int) -> None:
         """Raise a zone's baseline to the largest number of regular upstreams.
@@ -174,12 +176,12 @@
         self,
         key: _Key,
         amount: int,
-        fleets: dict[ZoneId, Fleet],
+        counts: dict[ZoneId, UpstreamCounts],
         scaling: Scaling,
     ) -> bool:
         zone, kind = key
-        fleet = fleets.get(zone, Fleet())
-        current = fleet.spot if kind is CapacityType.SPOT else fleet.regular
+        count = counts.get(zone, UpstreamCounts())
+        current = count.spot if kind is CapacityType.SPOT else count.regular
         if self._ordered.get(key, current) != amount:
             return True
         if current >= amount:
--- a/guavagate/duties/_targets.py
+++ b/guavagate/duties/_targets.py
@@ -27,7 +27,7 @@
     SPOT = 'spot'
 
 
-class Fleet(msgspec.Struct):
+class UpstreamCounts(msgspec.Struct):
     """A service's upstreams in a zone, without those that are leaving."""
 
     regular: int = 0
