--- a/guavagate/decisions/__init__.py
+++ b/guavagate/decisions/__init__.py
@@ -2,9 +2,9 @@
 
 from guavagate.decisions._policy import PoolSettings
 from guavagate.decisions._sampler import (
+    PoolSamplerState,
     SamplerInfo,
     SamplerReport,
-    SamplerState,
 )
 from guavagate.decisions._work import (
     ALL_SAFEGUARDS,
@@ -29,6 +29,7 @@
     'Kind',
     'Placement',
     'Pool',
+    'PoolSamplerState',
     'PoolSettings',
     'PoolView',
     'Queued',
@@ -37,7 +38,6 @@
     'Safeguard',
     'SamplerInfo',
     'SamplerReport',
-    'SamplerState',
     'Work',
     'choose_pool',
     'decide_weight_swap',
--- a/guavagate/decisions/_attempts.py
+++ b/guavagate/decisions/_attempts.py
@@ -7,7 +7,7 @@
 
 from guavagate.decisions import retries
 from guavagate.decisions._fleet import Fleet
-from guavagate.decisions._sampler import RunningWork, SamplerState
+from guavagate.decisions._sampler import PoolSamplerState, RunningWork
 from guavagate.decisions._work import (
     RefusalReason,
     Safeguard,
@@ -86,7 +86,7 @@
         self.reserve.record_arrival(attempts.work, attempts.cost, now)
 
     def must_leave_headroom(
-        self, attempts: Attempts, fitting: list[SamplerState]
+        self, attempts: Attempts, fitting: list[PoolSamplerState]
     ) -> bool:
         """Return whether free slots are reserved for other requesters."""
         if Safeguard.HEADROOM not in self._enabled:
@@ -126,7 +126,7 @@
         self._retry_budget.earn()
 
     def start(
-        self, attempts: Attempts, state: SamplerState, now: float
+        self, attempts: Attempts, state: PoolSamplerState, now: float
     ) -> RunningWork:
         """Record an attempt that starts."""
         work = attempts.work
--- a/guavagate/decisions/_fleet.py
+++ b/guavagate/decisions/_fleet.py
@@ -5,7 +5,11 @@
 from typing import Final
 
 from guavagate.decisions import ejection
-from guavagate.decisions._sampler import RunningWork, SamplerInfo, SamplerState
+from guavagate.decisions._sampler import (
+    PoolSamplerState,
+    RunningWork,
+    SamplerInfo,
+)
 from guavagate.decisions._work import (
     PREFILL_SHARE,
     Kind,
@@ -32,7 +36,7 @@
     def __init__(self, safeguards: frozenset[Safeguard]) -> None:
         self._enabled = safeguards
         self._refreshed = float('-inf')
-        self.samplers: dict[SamplerId, SamplerState] = {}
+        self.samplers: dict[SamplerId, PoolSamplerState] = {}
         self.length = LengthEstimate()
         self.token_interval = INITIAL_TOKEN_INTERVAL_SECONDS
         self.median_interval: float | None = None
@@ -47,7 +51,7 @@
         for info in declared.values():
             state = self.samplers.get(info.id)
             if state is None:
-                state = SamplerState(
+                state = PoolSamplerState(
                     info,
                     learning=Safeguard.LIMIT in self._enabled,
                     healing=Safeguard.GAPS in self._enabled,
@@ -63,7 +67,7 @@
                 return True
         return False
 
-    def find_fitting(self, work: Work) -> list[SamplerState]:
+    def find_fitting(self, work: Work) -> list[PoolSamplerState]:
         """Return the samplers that may start this work now."""
         if has_constraints(work):
             return [
@@ -116,7 +120,7 @@
     def record_answer(
         self,
         running: RunningWork,
-        state: SamplerState,
+        state: PoolSamplerState,
         now: float,
         tokens: int,
         cached_tokens: int | None,
@@ -136,7 +140,7 @@
             token_interval - self.token_interval
         )
 
-    def _eject(self, states: list[SamplerState], now: float) -> None:
+    def _eject(self, states: list[PoolSamplerState], now: float) -> None:
         median_interval = self.median_interval or 0
         ejected = sum(now < state.health.ejected_until for state in states)
         for state in states:
@@ -153,7 +157,7 @@
                 ejected += 1
 
     def _check_oldest(
-        self, state: SamplerState, median_interval: float, now: float
+        self, state: PoolSamplerState, median_interval: float, now: float
     ) -> None:
         """Record slowness of the longest-running work before it ends."""
         oldest = next(iter(state.running.values()), None)
@@ -165,7 +169,7 @@
 
 
 def _learn_cache(
-    running: RunningWork, state: SamplerState, cached_tokens: int
+    running: RunningWork, state: PoolSamplerState, cached_tokens: int
 ) -> None:
     """Correct the prefix index when less was cached than expected."""
     keys = running.work.prefix_keys
--- a/guavagate/decisions/_reasons.py
+++ b/guavagate/decisions/_reasons.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from guavagate.decisions._sampler import SamplerState
+from guavagate.decisions._sampler import PoolSamplerState
 from guavagate.decisions._work import (
     Decision,
     Queued,
@@ -42,9 +42,9 @@
 
 def make_placed(
     work: Work,
-    chosen: SamplerState,
+    chosen: PoolSamplerState,
     reason: str,
-    samplers: Iterable[SamplerState],
+    samplers: Iterable[PoolSamplerState],
     kind: str = 'sampler',
 ) -> Decision:
     """Return where the work goes, and why not to the other samplers."""
@@ -58,7 +58,7 @@
 
 
 def _explain_others(
-    work: Work, chosen: SamplerState, samplers: Iterable[SamplerState]
+    work: Work, chosen: PoolSamplerState, samplers: Iterable[PoolSamplerState]
 ) -> dict[str, str]:
     # One plain loop, as a function call for each sampler took a fifth of the
     # time of a placement.
--- a/guavagate/decisions/_sampler.py
+++ b/guavagate/decisions/_sampler.py
@@ -67,7 +67,7 @@
         self.token_interval: float | None = None
 
 
-class SamplerState:
+class PoolSamplerState:
     """One sampler's slots, versions, prefix cache and health."""
 
     def __init__(
--- a/guavagate/decisions/_speculation.py
+++ b/guavagate/decisions/_speculation.py
@@ -3,7 +3,7 @@
 from guavagate.decisions import _reasons, ejection, retries, tail
 from guavagate.decisions._attempts import Attempts, AttemptTable
 from guavagate.decisions._fleet import Fleet
-from guavagate.decisions._sampler import RunningWork, SamplerState
+from guavagate.decisions._sampler import PoolSamplerState, RunningWork
 from guavagate.decisions._work import Kind, Placement, Safeguard
 from guavagate.decisions.placement import choose_least_loaded
 
@@ -54,7 +54,7 @@
 
 
 def _get_token_interval(
-    fleet: Fleet, state: SamplerState, running: RunningWork
+    fleet: Fleet, state: PoolSamplerState, running: RunningWork
 ) -> float:
     return (
         running.token_interval
@@ -125,7 +125,7 @@
     fleet: Fleet,
     table: AttemptTable,
     attempts: Attempts,
-    state: SamplerState,
+    state: PoolSamplerState,
     now: float,
 ) -> Placement | None:
     work = attempts.work
--- a/guavagate/decisions/placement.py
+++ b/guavagate/decisions/placement.py
@@ -21,7 +21,7 @@
 
 import xxhash
 
-from guavagate.decisions._sampler import SamplerState
+from guavagate.decisions._sampler import PoolSamplerState
 from guavagate.decisions._work import Work, estimate_cost
 from guavagate.models import SamplerId
 
@@ -30,12 +30,14 @@
 LOAD_BOUND: Final = 1.2
 _SEED_MASK: Final = 0xFFFFFFFFFFFFFFFF
 
-Choose = Callable[[Work, Sequence[SamplerState]], tuple[SamplerState, str]]
+Choose = Callable[
+    [Work, Sequence[PoolSamplerState]], tuple[PoolSamplerState, str]
+]
 
 
 def choose_by_prefix(
-    work: Work, samplers: Sequence[SamplerState]
-) -> tuple[SamplerState, str]:
+    work: Work, samplers: Sequence[PoolSamplerState]
+) -> tuple[PoolSamplerState, str]:
     """Choose the longest cached prefix within the bound, else by rendezvous."""
     if not work.prefix_keys:
         return choose_least_loaded(work, samplers)
@@ -56,8 +58,8 @@
 
 
 def choose_unbounded(
-    work: Work, samplers: Sequence[SamplerState]
-) -> tuple[SamplerState, str]:
+    work: Work, samplers: Sequence[PoolSamplerState]
+) -> tuple[PoolSamplerState, str]:
     """Choose the longest cached prefix at any load, to measure the bound."""
     if not work.prefix_keys:
         return choose_least_loaded(work, samplers)
@@ -69,8 +71,8 @@
 
 
 def choose_rendezvous(
-    work: Work, samplers: Sequence[SamplerState]
-) -> tuple[SamplerState, str]:
+    work: Work, samplers: Sequence[PoolSamplerState]
+) -> tuple[PoolSamplerState, str]:
     """Choose by rendezvous hash of the prompt's first prefix."""
     key = work.prefix_keys[0] if work.prefix_keys else hash_id(work.id)
     best = max(samplers, key=lambda state: rank(key, state.id))
@@ -78,16 +80,16 @@
 
 
 def choose_modulo(
-    work: Work, samplers: Sequence[SamplerState]
-) -> tuple[SamplerState, str]:
+    work: Work, samplers: Sequence[PoolSamplerState]
+) -> tuple[PoolSamplerState, str]:
     """Choose a position in the list by hash of the prompt's first prefix."""
     key = work.prefix_keys[0] if work.prefix_keys else hash_id(work.id)
     return samplers[key % len(samplers)], 'position by hash'
 
 
 def choose_least_loaded(
-    work: Work, samplers: Sequence[SamplerState]
-) -> tuple[SamplerState, str]:
+    work: Work, samplers: Sequence[PoolSamplerState]
+) -> tuple[PoolSamplerState, str]:
     """Choose the lowest load per slot; prefer the work's zone among equals."""
     best = min(
         samplers,
@@ -97,8 +99,8 @@
 
 
 def choose_least_of_two(
-    work: Work, samplers: Sequence[SamplerState]
-) -> tuple[SamplerState, str]:
+    work: Work, samplers: Sequence[PoolSamplerState]
+) -> tuple[PoolSamplerState, str]:
     """Choose the less loaded of two samplers given by the work's own hash."""
     pick = hash_id(work.id)
     count = len(samplers)
@@ -109,8 +111,8 @@
 
 
 def choose_least_connections(
-    work: Work, samplers: Sequence[SamplerState]
-) -> tuple[SamplerState, str]:
+    work: Work, samplers: Sequence[PoolSamplerState]
+) -> tuple[PoolSamplerState, str]:
     """Choose the fewest running requests; the baseline."""
     best = min(samplers, key=lambda state: len(state.running))
     return best, 'fewest connections'
@@ -126,7 +128,7 @@
     return xxhash.xxh3_64_intdigest(name.encode(), seed & _SEED_MASK)
 
 
-def compute_load(state: SamplerState) -> float:
+def compute_load(state: PoolSamplerState) -> float:
     """Return occupied slots per slot that the sampler may use."""
     if state.usable <= 0:
         return math.inf
@@ -134,8 +136,8 @@
 
 
 def _within_bound(
-    work: Work, samplers: Sequence[SamplerState]
-) -> Sequence[SamplerState]:
+    work: Work, samplers: Sequence[PoolSamplerState]
+) -> Sequence[PoolSamplerState]:
     running = sum(state.occupied for state in samplers)
     usable = sum(state.usable for state in samplers)
     bound = LOAD_BOUND * (running + 1) / max(usable, 1)
@@ -147,7 +149,9 @@
     return within or samplers
 
 
-def estimate_sampler_cost(work: Work, state: SamplerState) -> tuple[float, int]:
+def estimate_sampler_cost(
+    work: Work, state: PoolSamplerState
+) -> tuple[float, int]:
     """Return the cost on this sampler and the number of cached prefix keys."""
     keys = work.prefix_keys
     if not keys:
--- a/guavagate/decisions/pool.py
+++ b/guavagate/decisions/pool.py
@@ -15,10 +15,10 @@
 from guavagate.decisions._fleet import Fleet
 from guavagate.decisions._policy import PoolSettings, apply_safeguards
 from guavagate.decisions._sampler import (
+    PoolSamplerState,
     RunningWork,
     SamplerInfo,
     SamplerReport,
-    SamplerState,
 )
 from guavagate.decisions._work import (
     Placement,
@@ -79,7 +79,7 @@
         return self._fleet.slots
 
     @property
-    def samplers(self) -> Sequence[SamplerState]:
+    def samplers(self) -> Sequence[PoolSamplerState]:
         """Return the state of each sampler."""
         return tuple(self._fleet.samplers.values())
 
--- a/guavagate/measure/_policies.py
+++ b/guavagate/measure/_policies.py
@@ -8,10 +8,10 @@
 from guavagate.decisions import (
     ALL_SAFEGUARDS,
     Pool,
+    PoolSamplerState,
     PoolSettings,
     Safeguard,
     SamplerInfo,
-    SamplerState,
     Work,
     order,
     placement,
@@ -107,8 +107,8 @@
     turn = [0]
 
     def choose(
-        work: Work, samplers: Sequence[SamplerState]
-    ) -> tuple[SamplerState, str]:
+        work: Work, samplers: Sequence[PoolSamplerState]
+    ) -> tuple[PoolSamplerState, str]:
         turn[0] += 1
         return samplers[turn[0] % len(samplers)], 'next in turn'
 
