--- a/guavagate/jobs/_dispatch.py
+++ b/guavagate/jobs/_dispatch.py
@@ -13,7 +13,7 @@
 from guavagate.jobs._models import GroupId, JobId
 from guavagate.jobs._runner import ItemRunner
 from guavagate.jobs._schedule import (
-    Placement,
+    ItemPlacement,
     SamplerSlots,
     find_moves,
     place,
@@ -214,7 +214,9 @@
             backlog=round(planned.backlogs.get(job.model, 0), 2),
         )
 
-    def _start(self, work: JobWork, placement: Placement, now: float) -> None:
+    def _start(
+        self, work: JobWork, placement: ItemPlacement, now: float
+    ) -> None:
         upstream = self._upstreams.get(placement.sampler)
         if upstream is None:
             return
--- a/guavagate/jobs/_lengths.py
+++ b/guavagate/jobs/_lengths.py
@@ -23,7 +23,7 @@
 MIN_TEXTS: Final = 20
 
 
-class LengthEstimate(msgspec.Struct, frozen=True):
+class RemainingLength(msgspec.Struct, frozen=True):
     """The remaining length of a text, in events.
 
     `typical` predicts the use of a sampler's time. `conservative` is for
@@ -93,7 +93,7 @@
         history = self._histories.get(model)
         return history is not None and len(history.events) >= MIN_TEXTS
 
-    def estimate(self, model: str, progress: ItemProgress) -> LengthEstimate:
+    def estimate(self, model: str, progress: ItemProgress) -> RemainingLength:
         """Return the remaining length of an item; at least one event.
 
         A text that already exceeds its estimate is assumed to go on for a
@@ -112,6 +112,6 @@
             conservative = min(conservative, history.longest or conservative)
             typical = conservative
         minimum = max(history.mean / 4, 1)
-        return LengthEstimate(
+        return RemainingLength(
             max(typical - done, minimum), max(conservative - done, minimum)
         )
--- a/guavagate/jobs/_schedule.py
+++ b/guavagate/jobs/_schedule.py
@@ -63,7 +63,7 @@
 EstimateSeconds = Callable[[JobWork, ItemProgress], float]
 
 
-class Placement(msgspec.Struct, frozen=True):
+class ItemPlacement(msgspec.Struct, frozen=True):
     """An item to start and the sampler to start it on."""
 
     job: JobId
@@ -75,9 +75,9 @@
     plans: Sequence[GroupPlan],
     samplers: Sequence[SamplerSlots],
     lengths: LengthEstimator,
-) -> list[Placement]:
+) -> list[ItemPlacement]:
     """Return the items to start now; reserve their slots in `samplers`."""
-    placements: list[Placement] = []
+    placements: list[ItemPlacement] = []
     for plan, progress in order_items(plans, lengths):
         if not any(sampler.free for sampler in samplers):
             break
@@ -87,7 +87,7 @@
         sampler.free -= 1
         sampler.groups.add(progress.item.group)
         placements.append(
-            Placement(plan.work.job.id, progress.item.id, sampler.id)
+            ItemPlacement(plan.work.job.id, progress.item.id, sampler.id)
         )
     return placements
 
--- a/tests/jobs/test_schedule.py
+++ b/tests/jobs/test_schedule.py
@@ -7,7 +7,7 @@
 from guavagate.jobs._lengths import LengthEstimator
 from guavagate.jobs._result_log import ResultLog
 from guavagate.jobs._schedule import (
-    Placement,
+    ItemPlacement,
     SamplerSlots,
     count_demands,
 )
@@ -45,7 +45,7 @@
 
 def place(
     works: list[JobWork], samplers: list[SamplerSlots], now: float
-) -> list[Placement]:
+) -> list[ItemPlacement]:
     """Place the forecast's items while no text has completed yet."""
     lengths = LengthEstimator()
     planned = forecast(works, sum_slots_by_model(samplers), 0, lengths, now)
