--- a/guavagate/links/_connection.py
+++ b/guavagate/links/_connection.py
@@ -11,8 +11,8 @@
     MAX_FRAME_BYTES,
     QUEUE_LIMIT,
     WIRE_VERSION,
-    Act,
     Envelope,
+    EnvelopeType,
     decode_envelope,
     encode_envelope,
 )
@@ -61,7 +61,7 @@
         """Request a heartbeat unless a request is already pending."""
         if self._pinged_at is None:
             self._pinged_at = self._clock.now()
-            frame = encode_envelope(Envelope(WIRE_VERSION, Act.PING))
+            frame = encode_envelope(Envelope(WIRE_VERSION, EnvelopeType.PING))
             self._owner.put([frame])
 
     def unanswered_seconds(self) -> float:
--- a/guavagate/links/_envelope.py
+++ b/guavagate/links/_envelope.py
@@ -20,7 +20,7 @@
 _PLAIN_TYPES: Final = (str, int, float, bool, type(None))
 
 
-class Act(enum.IntEnum):
+class EnvelopeType(enum.IntEnum):
     """Type of an envelope; the numbers must not change between releases."""
 
     REQUEST = 1
@@ -41,8 +41,8 @@
     Parameters
     ----------
     act
-        An `Act`; a plain number, so that an unknown value decodes and the
-        envelope's id can still be answered.
+        An `EnvelopeType`; a plain number, so that an unknown value decodes and
+        the envelope's id can still be answered.
     boot
         Random number of the sending process. A request is resent only to the
         process that may have received it before.
--- a/guavagate/links/_link.py
+++ b/guavagate/links/_link.py
@@ -26,8 +26,8 @@
 from guavagate.links._connection import Connection
 from guavagate.links._envelope import (
     WIRE_VERSION,
-    Act,
     Envelope,
+    EnvelopeType,
     decode_error,
     encode_envelope,
 )
@@ -95,7 +95,7 @@
         self, number: int, kind: str, body: bytes, timeout: float
     ) -> msgspec.Raw:
         """Send a request and return the body of its reply."""
-        envelope = self._wrap(Act.REQUEST, number, kind, body)
+        envelope = self._wrap(EnvelopeType.REQUEST, number, kind, body)
         pending = _PendingRequest(AsyncResult(), envelope, self._clock.now())
         pending.ticket = self._put(envelope)
         self._pending[number] = pending
@@ -109,7 +109,7 @@
 
     def send(self, kind: str, body: bytes) -> None:
         """Send a one-way message; raise `LinkRefusedError` on a full queue."""
-        self._put(self._wrap(Act.SEND, 0, kind, body))
+        self._put(self._wrap(EnvelopeType.SEND, 0, kind, body))
 
     def check(self) -> bool:
         """Check for a stall; return False if the link is idle for long."""
@@ -174,7 +174,9 @@
             self._slow = True
             write(_LOGGER, fleet.LINK_SLOW, peer=self._peer)
 
-    def _wrap(self, act: Act, number: int, kind: str, body: bytes) -> Envelope:
+    def _wrap(
+        self, act: EnvelopeType, number: int, kind: str, body: bytes
+    ) -> Envelope:
         return Envelope(
             WIRE_VERSION,
             act,
@@ -204,11 +206,11 @@
         if pending is None:  # A heartbeat, or a reply after the timeout.
             return
         self._pending.pop(envelope.id)
-        if envelope.act == Act.REPLY:
+        if envelope.act == EnvelopeType.REPLY:
             pending.result.set(envelope.body)
             return
         error: Exception = decode_error(envelope.body)
-        if envelope.act == Act.REFUSED and pending.resent:
+        if envelope.act == EnvelopeType.REFUSED and pending.resent:
             # The peer may have handled the first message.
             error = self._make_uncertain_error('refused a repeated message')
         pending.result.set_exception(error)
--- a/guavagate/links/_server.py
+++ b/guavagate/links/_server.py
@@ -17,8 +17,8 @@
     MAX_FRAME_BYTES,
     QUEUE_LIMIT,
     WIRE_VERSION,
-    Act,
     Envelope,
+    EnvelopeType,
     decode_envelope,
     encode_envelope,
     encode_error,
@@ -72,13 +72,13 @@
             write(_LOGGER, fleet.FRAME_DROPPED, size=len(frames[-1]))
             return
         identity = frames[0]
-        if envelope.act == Act.PING:
+        if envelope.act == EnvelopeType.PING:
             # Answered without a new task: a heartbeat shows that the
             # connection works, however busy the handlers are.
-            self._answer(identity, envelope.id, Act.PONG, _EMPTY_BODY)
-        elif envelope.act == Act.SEND:
+            self._answer(identity, envelope.id, EnvelopeType.PONG, _EMPTY_BODY)
+        elif envelope.act == EnvelopeType.SEND:
             self._accept(identity, envelope)
-        elif envelope.act == Act.REQUEST:
+        elif envelope.act == EnvelopeType.REQUEST:
             self._accept_once(identity, envelope)
 
     def _accept_once(self, identity: bytes, envelope: Envelope) -> None:
@@ -94,7 +94,7 @@
             sent_at
         ):
             uncertain = encode_error(_make_uncertain_error(self._me))
-            self._answer(identity, envelope.id, Act.ERROR, uncertain)
+            self._answer(identity, envelope.id, EnvelopeType.ERROR, uncertain)
             return
         self._accept(identity, envelope)
 
@@ -129,7 +129,7 @@
             return
         self._running += 1
         handled = HandledRequest(identity, 0)
-        if envelope.act == Act.REQUEST:
+        if envelope.act == EnvelopeType.REQUEST:
             key = (envelope.boot, envelope.id)
             handled = self._handled_requests.add(
                 key, identity, self._clock.now()
@@ -149,7 +149,7 @@
             )
         finally:
             self._running -= 1
-        if envelope.act != Act.REQUEST:
+        if envelope.act != EnvelopeType.REQUEST:
             return
         frame = self._wrap(envelope.id, act, body)
         self._handled_requests.record_reply(handled, frame)
@@ -160,21 +160,21 @@
             self._put(handled.identity, handled.reply)
             return
         uncertain = encode_error(_make_uncertain_error(self._me))
-        self._answer(handled.identity, number, Act.ERROR, uncertain)
+        self._answer(handled.identity, number, EnvelopeType.ERROR, uncertain)
 
     def _refuse(
         self, identity: bytes, envelope: Envelope, problem: str, remedy: str
     ) -> None:
-        if envelope.act == Act.REQUEST:
+        if envelope.act == EnvelopeType.REQUEST:
             refusal = encode_refusal(problem, remedy)
-            self._answer(identity, envelope.id, Act.REFUSED, refusal)
+            self._answer(identity, envelope.id, EnvelopeType.REFUSED, refusal)
 
     def _answer(
-        self, identity: bytes, number: int, act: Act, body: bytes
+        self, identity: bytes, number: int, act: EnvelopeType, body: bytes
     ) -> None:
         self._put(identity, self._wrap(number, act, body))
 
-    def _wrap(self, number: int, act: Act, body: bytes) -> bytes:
+    def _wrap(self, number: int, act: EnvelopeType, body: bytes) -> bytes:
         return encode_envelope(
             Envelope(
                 WIRE_VERSION,
@@ -201,22 +201,22 @@
 
 def _run_handler(
     handler: Handler, sender: InstanceId, message: Message
-) -> tuple[Act, bytes]:
+) -> tuple[EnvelopeType, bytes]:
     try:
         reply = handler(sender, message)
     except GuavagateError as error:
-        return Act.ERROR, encode_error(error)
+        return EnvelopeType.ERROR, encode_error(error)
     except Exception as fault:
         kind = type(message).__name__
         write(_LOGGER, fleet.HANDLER_FAILED, kind=kind, sender=sender)
         _LOGGER.exception('Handler failed on %s', kind)
-        return Act.ERROR, encode_error(
+        return EnvelopeType.ERROR, encode_error(
             LinkError(
                 f'the handler failed with {type(fault).__name__}',
                 "see the peer's log; the message may have taken effect",
             ),
         )
-    return Act.REPLY, _EMPTY_BODY if reply is None else _encode(reply)
+    return EnvelopeType.REPLY, _EMPTY_BODY if reply is None else _encode(reply)
 
 
 def bind_server(
--- a/guavagate/membership/_detector.py
+++ b/guavagate/membership/_detector.py
@@ -26,7 +26,7 @@
 from guavagate.events import fleet, write
 from guavagate.membership._identity import Identity
 from guavagate.membership._join import Joiner
-from guavagate.membership._packet import Act, MemberState, Packet, Update
+from guavagate.membership._packet import MemberState, Packet, PacketType, Update
 from guavagate.membership._probes import INDIRECT_PROBERS, Prober, Send
 from guavagate.membership._table import ACCUSED, Member, Table
 from guavagate.models import InstanceId
@@ -95,12 +95,14 @@
         if packet.sender == self.identity.me.id or self.identity.superseded:
             return []
         self._last_message_at = now
-        if packet.act in {Act.PING, Act.ACK}:
+        if packet.act in {PacketType.PING, PacketType.ACK}:
             self.peer_facts[packet.sender] = packet.facts
         queries = self._process_header(address, packet, now)
         # Other members already know a page's claims. Gossiping them again
         # would fill every member's datagrams for minutes after a start.
-        self.apply_claims(packet.updates, now, gossip=packet.act != Act.PAGE)
+        self.apply_claims(
+            packet.updates, now, gossip=packet.act != PacketType.PAGE
+        )
         return queries + self._respond(address, packet, now)
 
     def apply_claims(
@@ -124,7 +126,10 @@
         )
         claims = (self.identity.describe(),)
         return [
-            (self.table.address(each), self._build_packet(Act.GOSSIP, claims))
+            (
+                self.table.address(each),
+                self._build_packet(PacketType.GOSSIP, claims),
+            )
             for each in chosen
         ]
 
@@ -155,7 +160,9 @@
         sends = []
         if packet.unknown:
             own_claim = (self.identity.describe(),)
-            sends.append((address, self._build_packet(Act.GOSSIP, own_claim)))
+            sends.append(
+                (address, self._build_packet(PacketType.GOSSIP, own_claim))
+            )
         known = self.table.members.get(packet.sender)
         if known is not None and _is_known_process(known, packet):
             claim = Update(
@@ -164,21 +171,23 @@
             self.apply_claims((claim,), now)
             return sends
         claims = () if known is None else (self.table.describe(packet.sender),)
-        query = self._build_packet(Act.GOSSIP, claims, unknown=True)
+        query = self._build_packet(PacketType.GOSSIP, claims, unknown=True)
         return [*sends, (address, query)]
 
     def _respond(self, address: str, packet: Packet, now: float) -> list[Send]:
-        if packet.act == Act.PING:
+        if packet.act == PacketType.PING:
             claims = self.table.describe_accused(packet.sender)
-            ack = self._build_packet(Act.ACK, claims, sequence=packet.sequence)
+            ack = self._build_packet(
+                PacketType.ACK, claims, sequence=packet.sequence
+            )
             return [(address, ack)]
-        if packet.act == Act.ACK:
+        if packet.act == PacketType.ACK:
             return self._prober.accept_ack(packet)
-        if packet.act == Act.PING_REQUEST:
+        if packet.act == PacketType.PING_REQUEST:
             return self._prober.probe_indirectly(address, packet, now)
-        if packet.act == Act.SYNC:
+        if packet.act == PacketType.SYNC:
             return [(address, self.joiner.build_page(packet))]
-        if packet.act == Act.PAGE:
+        if packet.act == PacketType.PAGE:
             return self.joiner.accept_page(address, packet)
         return []
 
@@ -269,7 +278,7 @@
 
     def _build_packet(
         self,
-        act: Act,
+        act: PacketType,
         updates: tuple[Update, ...] = (),
         *,
         unknown: bool = False,
--- a/guavagate/membership/_identity.py
+++ b/guavagate/membership/_identity.py
@@ -7,9 +7,9 @@
 from guavagate.membership._gossip import UPDATES_PER_PACKET, Gossip
 from guavagate.membership._packet import (
     WIRE_VERSION,
-    Act,
     MemberState,
     Packet,
+    PacketType,
     Update,
     describe_contact,
 )
@@ -82,7 +82,7 @@
 
     def build_packet(
         self,
-        act: Act,
+        act: PacketType,
         member_count: int,
         updates: tuple[Update, ...] = (),
         *,
@@ -109,7 +109,9 @@
             address=address,
             unknown=unknown,
             updates=updates + extra,
-            facts=self.facts if act in {Act.PING, Act.ACK} else {},
+            facts=self.facts
+            if act in {PacketType.PING, PacketType.ACK}
+            else {},
         )
 
     def _describe_in_terms_of(self, claim: Update) -> Update:
--- a/guavagate/membership/_join.py
+++ b/guavagate/membership/_join.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from guavagate.membership._identity import Identity
-from guavagate.membership._packet import Act, Packet
+from guavagate.membership._packet import Packet, PacketType
 from guavagate.membership._probes import INDIRECT_PROBERS, Send
 from guavagate.membership._table import Table
 from guavagate.models import InstanceId
@@ -81,7 +81,7 @@
         # The packet's target names the page's last member: the datagram's last
         # update may be gossip that is not part of the page.
         cursor = updates[-1].id if updates else _FIRST_PAGE
-        return self._build_packet(Act.PAGE, updates, cursor)
+        return self._build_packet(PacketType.PAGE, updates, cursor)
 
     def accept_page(self, address: str, packet: Packet) -> list[Send]:
         """Request the next page while joining.
@@ -94,7 +94,9 @@
             self._has_full_table = True
         if self._has_full_table:
             return []
-        return [(address, self._build_packet(Act.SYNC, (), self._cursor))]
+        return [
+            (address, self._build_packet(PacketType.SYNC, (), self._cursor))
+        ]
 
     def _announce(self, now: float) -> list[Send]:
         """Ping instances that don't know yet that this process started."""
@@ -103,7 +105,9 @@
         chosen = self._unannounced[:ANNOUNCE_BATCH]
         self._unannounced = self._unannounced[ANNOUNCE_BATCH:]
         ping = self._identity.build_packet(
-            Act.PING, len(self._table.members), (self._identity.describe(),)
+            PacketType.PING,
+            len(self._table.members),
+            (self._identity.describe(),),
         )
         return [
             (self._addresses[each], ping)
@@ -132,7 +136,7 @@
             # Others may have contacted this process before it could request a
             # page, or a page was lost: continue from the last cursor.
             chosen = self._random.choice(members)
-            packet = self._build_packet(Act.SYNC, (), self._cursor)
+            packet = self._build_packet(PacketType.SYNC, (), self._cursor)
             sends.append((self._table.address(chosen), packet))
         for _ in range(
             min(1 if joined else INDIRECT_PROBERS, len(self._candidates))
@@ -150,14 +154,14 @@
             address = self._table.address(candidate)
         claims = self._table.describe_accused(candidate)
         ping = self._identity.build_packet(
-            Act.PING,
+            PacketType.PING,
             len(self._table.members),
             (self._identity.describe(), *claims),
         )
         sends = [(address, ping)]
         if not joined:
             sends.append(
-                (address, self._build_packet(Act.SYNC, (), _FIRST_PAGE))
+                (address, self._build_packet(PacketType.SYNC, (), _FIRST_PAGE))
             )
         return sends
 
@@ -180,11 +184,11 @@
         if not members:
             return []
         chosen = self._random.choice(members)
-        packet = self._build_packet(Act.SYNC, (), self._cursor)
+        packet = self._build_packet(PacketType.SYNC, (), self._cursor)
         return [(self._table.address(chosen), packet)]
 
     def _build_packet(
-        self, act: Act, updates: tuple, target: InstanceId
+        self, act: PacketType, updates: tuple, target: InstanceId
     ) -> Packet:
         return self._identity.build_packet(
             act, len(self._table.members), updates, target=target
--- a/guavagate/membership/_packet.py
+++ b/guavagate/membership/_packet.py
@@ -24,7 +24,7 @@
     DEAD = 4
 
 
-class Act(enum.IntEnum):
+class PacketType(enum.IntEnum):
     """Type of a datagram."""
 
     PING = 1
--- a/guavagate/membership/_probes.py
+++ b/guavagate/membership/_probes.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from guavagate.membership._identity import Identity
-from guavagate.membership._packet import Act, Packet, Update
+from guavagate.membership._packet import Packet, PacketType, Update
 from guavagate.membership._table import Table
 from guavagate.models import InstanceId
 
@@ -98,7 +98,7 @@
         if indirect_probe is None:
             return []
         answer = self._build_packet(
-            Act.ACK,
+            PacketType.ACK,
             packet.updates[:INDIRECT_PROBERS],
             target=packet.sender,
             sequence=indirect_probe.sequence,
@@ -118,7 +118,7 @@
             address, packet.sequence, now + INDIRECT_TIMEOUT_SECONDS
         )
         claims = self._table.describe_accused(packet.target)
-        ping = self._build_packet(Act.PING, claims, sequence=number)
+        ping = self._build_packet(PacketType.PING, claims, sequence=number)
         return [(packet.address, ping)]
 
     def _probe(self, target: InstanceId, now: float) -> Send:
@@ -128,7 +128,7 @@
             target, direct_until, direct_until + INDIRECT_TIMEOUT_SECONDS
         )
         claims = self._table.describe_accused(target)
-        ping = self._build_packet(Act.PING, claims, sequence=number)
+        ping = self._build_packet(PacketType.PING, claims, sequence=number)
         return self._table.address(target), ping
 
     def _request_indirect_probes(
@@ -139,7 +139,7 @@
             return []
         others = [each for each in self._table.reachable() if each != target]
         request = self._build_packet(
-            Act.PING_REQUEST,
+            PacketType.PING_REQUEST,
             target=target,
             sequence=number,
             address=member.contact.peer_address,
@@ -158,7 +158,7 @@
 
     def _build_packet(
         self,
-        act: Act,
+        act: PacketType,
         updates: tuple[Update, ...] = (),
         *,
         target: InstanceId = _NO_TARGET,
