--- a/guavagate/cli/_context.py
+++ b/guavagate/cli/_context.py
@@ -9,7 +9,7 @@
 from guavagate.cli._client import Client
 from guavagate.cli._errors import ExitCode, ToolError, to_tool_error
 from guavagate.exceptions import SettingsError
-from guavagate.settings import Kind, describe, parse_settings
+from guavagate.settings import ValueKind, describe, parse_settings
 
 DEFAULT_CONFIG: Final = '~/.config/guavagate/cli.toml'
 
@@ -20,7 +20,7 @@
     """The tool's own TOML file."""
 
     endpoints: Annotated[
-        tuple[Annotated[str, describe('Base URL', Kind.URL)], ...],
+        tuple[Annotated[str, describe('Base URL', ValueKind.URL)], ...],
         describe('Instances, tried in this order'),
     ] = ()
     token_file: Annotated[str, describe('File that holds the token')] = ''
--- a/guavagate/decisions/__init__.py
+++ b/guavagate/decisions/__init__.py
@@ -9,13 +9,13 @@
 from guavagate.decisions._work import (
     ALL_SAFEGUARDS,
     Decision,
-    Kind,
     Placement,
     Queued,
     RefusalReason,
     Refused,
     Safeguard,
     Work,
+    WorkKind,
 )
 from guavagate.decisions.ejection import SLOW_STREAM_FACTOR
 from guavagate.decisions.pool import Pool
@@ -26,7 +26,6 @@
     'ALL_SAFEGUARDS',
     'SLOW_STREAM_FACTOR',
     'Decision',
-    'Kind',
     'Placement',
     'Pool',
     'PoolSamplerState',
@@ -39,6 +38,7 @@
     'SamplerInfo',
     'SamplerReport',
     'Work',
+    'WorkKind',
     'choose_pool',
     'decide_weight_swap',
 )
--- a/guavagate/decisions/_fleet.py
+++ b/guavagate/decisions/_fleet.py
@@ -12,9 +12,9 @@
 )
 from guavagate.decisions._work import (
     PREFILL_SHARE,
-    Kind,
     Safeguard,
     Work,
+    WorkKind,
     has_constraints,
 )
 from guavagate.decisions.admission import LengthEstimate
@@ -77,7 +77,7 @@
                 and not state.find_block_reason(work)
             ]
         # Leaving samplers have no usable slots.
-        if work.kind is Kind.ROLLOUT:
+        if work.kind is WorkKind.ROLLOUT:
             return [
                 state
                 for state in self.samplers.values()
@@ -91,7 +91,7 @@
 
     def count_slots(self, work: Work) -> int:
         """Return the number of slots for this work's kind."""
-        if work.kind is Kind.ROLLOUT:
+        if work.kind is WorkKind.ROLLOUT:
             return self._rollout_slots
         return self.slots
 
--- a/guavagate/decisions/_sampler.py
+++ b/guavagate/decisions/_sampler.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from guavagate.decisions._work import Kind, Work
+from guavagate.decisions._work import Work, WorkKind
 from guavagate.decisions.ejection import Health
 from guavagate.decisions.limits import ConcurrencyLimit
 from guavagate.decisions.prefixes import PrefixIndex
@@ -98,7 +98,7 @@
 
     def count_free(self, work: Work) -> int:
         """Return how many more runs of this work's kind may start."""
-        if work.kind is Kind.ROLLOUT:
+        if work.kind is WorkKind.ROLLOUT:
             return self.usable_rollout - self.occupied
         return self.usable - self.occupied
 
--- a/guavagate/decisions/_speculation.py
+++ b/guavagate/decisions/_speculation.py
@@ -4,7 +4,7 @@
 from guavagate.decisions._attempts import Attempts, AttemptTable
 from guavagate.decisions._fleet import Fleet
 from guavagate.decisions._sampler import PoolSamplerState, RunningWork
-from guavagate.decisions._work import Kind, Placement, Safeguard
+from guavagate.decisions._work import Placement, Safeguard, WorkKind
 from guavagate.decisions.placement import choose_least_loaded
 
 
@@ -71,7 +71,7 @@
 ) -> bool:
     if not running.work.idempotent:
         return False
-    if running.work.kind is Kind.ROLLOUT:
+    if running.work.kind is WorkKind.ROLLOUT:
         return Safeguard.TAIL in safeguards
     if Safeguard.HEDGING not in safeguards:
         return False
@@ -130,7 +130,7 @@
 ) -> Placement | None:
     work = attempts.work
     # Runs for a step's tail only use idle slots, so no budget limits them.
-    if work.kind is Kind.INTERACTIVE and not table.hedge_budget.spend():
+    if work.kind is WorkKind.INTERACTIVE and not table.hedge_budget.spend():
         return None
     attempts.has_speculative_run = True
     running = table.start(attempts, state, now)
--- a/guavagate/decisions/_work.py
+++ b/guavagate/decisions/_work.py
@@ -33,7 +33,7 @@
     __hash__ = object.__hash__
 
 
-class Kind(_FastHashEnum):
+class WorkKind(_FastHashEnum):
     """Whether a caller waits for the work or a trainer."""
 
     INTERACTIVE = 'interactive'
@@ -101,7 +101,7 @@
     id: RequestId
     team: TeamId
     caller: CallerId
-    kind: Kind = Kind.INTERACTIVE
+    kind: WorkKind = WorkKind.INTERACTIVE
     deadline: float = math.inf
     prefix_keys: tuple[int, ...] = ()
     prompt_tokens: int = 0
--- a/guavagate/decisions/fairness.py
+++ b/guavagate/decisions/fairness.py
@@ -20,12 +20,12 @@
 from collections.abc import Hashable
 from typing import Final
 
-from guavagate.decisions._work import Kind, Work
+from guavagate.decisions._work import Work, WorkKind
 
 # People wait for interactive work, while a rollout sample waits for the rest of
 # its step. Eight to one lets a full pool answer interactive callers at once,
 # and one ninth of all slots still goes to samples, so that each step advances.
-KIND_WEIGHTS: Final = {Kind.INTERACTIVE: 8.0, Kind.ROLLOUT: 1.0}
+KIND_WEIGHTS: Final = {WorkKind.INTERACTIVE: 8.0, WorkKind.ROLLOUT: 1.0}
 
 _REBUILD_SLACK: Final = 64
 
--- a/guavagate/decisions/order.py
+++ b/guavagate/decisions/order.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from guavagate.decisions._work import Kind, Work
+from guavagate.decisions._work import Work, WorkKind
 
 # A request may wait this many times its own expected time before a later one of
 # the same size passes it. See the table in the ADR.
@@ -54,7 +54,7 @@
     """
 
     def order(work: Work, arrival: float, expected: float) -> float:
-        if work.kind is Kind.ROLLOUT:
+        if work.kind is WorkKind.ROLLOUT:
             return order_rollout(work)
         # Admitted work must not be overtaken until it is late, so its key is at
         # most its latest start, assuming twice the expected length.
--- a/guavagate/decisions/reserve.py
+++ b/guavagate/decisions/reserve.py
@@ -13,7 +13,7 @@
 import math
 from typing import Final
 
-from guavagate.decisions._work import Kind, Work
+from guavagate.decisions._work import Work, WorkKind
 
 # Work beyond this multiple of the usual length (geometric mean) is long.
 # Estimates that are wrong by a factor of two either way must not make it long.
@@ -37,7 +37,7 @@
 
     def record_arrival(self, work: Work, cost: float, now: float) -> None:
         """Count work that arrives; `cost` is in tokens."""
-        if work.kind is not Kind.INTERACTIVE:
+        if work.kind is not WorkKind.INTERACTIVE:
             return
         log = math.log(max(cost, 1))
         if self._mean_log_cost is None:
@@ -49,7 +49,7 @@
 
     def is_long(self, work: Work, cost: float) -> bool:
         """Return whether work is long compared to the usual requests."""
-        if work.kind is Kind.ROLLOUT:
+        if work.kind is WorkKind.ROLLOUT:
             return True
         if self._mean_log_cost is None:
             return False
--- a/guavagate/decisions/shares.py
+++ b/guavagate/decisions/shares.py
@@ -16,7 +16,7 @@
 import collections
 from typing import Final
 
-from guavagate.decisions._work import Kind, Work
+from guavagate.decisions._work import Work, WorkKind
 from guavagate.decisions.fairness import KIND_WEIGHTS
 
 # An eighth of the slots: of eight slots on a sampler, one stays free for
@@ -31,7 +31,7 @@
 # loses its claim to a part of the headroom.
 MAX_REQUESTERS: Final = 1_024
 
-Requester = tuple[Kind, str, str]
+Requester = tuple[WorkKind, str, str]
 
 
 class Shares:
--- a/guavagate/measure/_trainers.py
+++ b/guavagate/measure/_trainers.py
@@ -5,7 +5,7 @@
 import msgspec
 import numpy as np
 
-from guavagate.decisions import Kind, Work
+from guavagate.decisions import Work, WorkKind
 from guavagate.measure._engine import BATCH_SLOWDOWN, TOKEN_INTERVAL_SECONDS
 from guavagate.measure._policies import Policy
 from guavagate.measure._record import Record, Request, compute_jain_index, mean
@@ -234,7 +234,7 @@
             id=RequestId(f'{trainer.run}-{step}-{index}'),
             team=TEAM,
             caller=CallerId(trainer.run),
-            kind=Kind.ROLLOUT,
+            kind=WorkKind.ROLLOUT,
             run=RunId(trainer.run),
             step=step,
             prefix_keys=make_shared_keys(group),
--- a/guavagate/measure/_workload.py
+++ b/guavagate/measure/_workload.py
@@ -7,7 +7,7 @@
 import msgspec
 import numpy as np
 
-from guavagate.decisions import Kind, Work
+from guavagate.decisions import Work, WorkKind
 from guavagate.decisions._work import PREFILL_SHARE
 from guavagate.measure._engine import BATCH_SLOWDOWN, TOKEN_INTERVAL_SECONDS
 from guavagate.measure._record import Request
@@ -108,7 +108,7 @@
             id=RequestId(name),
             team=TEAM,
             caller=CallerId(stream.caller),
-            kind=Kind.INTERACTIVE,
+            kind=WorkKind.INTERACTIVE,
             deadline=float(at) + stream.timeout_seconds,
             prefix_keys=keys,
             prompt_tokens=stream.prompt_tokens,
--- a/guavagate/runs/_worker.py
+++ b/guavagate/runs/_worker.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from guavagate.clock import Task
-from guavagate.decisions import Kind, Work
+from guavagate.decisions import Work, WorkKind
 from guavagate.events import write
 from guavagate.events.runs import (
     SAMPLE_FAILED,
@@ -248,7 +248,7 @@
             ),
             team=request.team,
             caller=CallerId(request.run),
-            kind=Kind.ROLLOUT,
+            kind=WorkKind.ROLLOUT,
             deadline=self._runtime.clock.now() + SAMPLE_TIMEOUT_SECONDS,
             prefix_keys=hash_prefixes(request.group.prompt),
             prompt_tokens=estimate_tokens(request.group.prompt),
--- a/guavagate/scoring.py
+++ b/guavagate/scoring.py
@@ -3,7 +3,7 @@
 import uuid
 from typing import Final
 
-from guavagate.decisions import Kind, Work
+from guavagate.decisions import Work, WorkKind
 from guavagate.exceptions import UpstreamError
 from guavagate.integrations.scoring_service import HttpScoringService
 from guavagate.models import CallerId, RequestId, SampleId, ServiceId, TeamId
@@ -41,7 +41,7 @@
             id=RequestId(f'score-{uuid.uuid4().hex}'),
             team=team,
             caller=CallerId('scoring'),
-            kind=Kind.ROLLOUT,
+            kind=WorkKind.ROLLOUT,
             deadline=self._runtime.clock.now() + SCORE_DEADLINE_SECONDS,
             expected_tokens=1,
         )
--- a/guavagate/settings/__init__.py
+++ b/guavagate/settings/__init__.py
@@ -43,17 +43,17 @@
     UpstreamSettings,
 )
 from guavagate.settings._status import InstanceStatus
-from guavagate.settings._value_kinds import Kind, describe
+from guavagate.settings._value_kinds import ValueKind, describe
 from guavagate.settings._writer import ChangeRequest, SettingsWriter
 
 __all__ = (
     'CallerSettings',
     'Change',
+    'ChangeRequest',
     'DeploymentSettings',
     'DeploymentWeights',
     'InstanceSettings',
     'InstanceStatus',
-    'Kind',
     'OperatorSettings',
     'PeerSettings',
     'PlatformSettings',
@@ -70,7 +70,7 @@
     'TeamSettings',
     'TeamSettingsManager',
     'UpstreamSettings',
-    'ChangeRequest',
+    'ValueKind',
     'decode_record',
     'describe',
     'encode_record',
--- a/guavagate/settings/_check.py
+++ b/guavagate/settings/_check.py
@@ -12,7 +12,7 @@
 from msgspec import inspect as inspected
 
 from guavagate.exceptions import SettingsError
-from guavagate.settings._value_kinds import Kind, check_kind
+from guavagate.settings._value_kinds import ValueKind, check_kind
 
 _MAX_SHOWN_CHARS: Final = 60
 
@@ -109,7 +109,7 @@
             self.check(node.item_type, item, f'{path}[{index}]')
 
     def _check_scalar(
-        self, node: Any, kind: Kind | None, value: Any, path: str
+        self, node: Any, kind: ValueKind | None, value: Any, path: str
     ) -> None:
         try:
             # The only conversion is of an integer to a float: TOML 1 for 1.0.
@@ -124,7 +124,7 @@
         try:
             check_kind(kind, value)
         except SettingsError as error:
-            shown = None if kind is Kind.TOKEN_HASH else value
+            shown = None if kind is ValueKind.TOKEN_HASH else value
             self.add(path, shown, error.problem, error.remedy)
 
 
--- a/guavagate/settings/_value_kinds.py
+++ b/guavagate/settings/_value_kinds.py
@@ -18,7 +18,7 @@
 _MAX_NUMBER: Final = 1_000_000
 
 
-class Kind(enum.StrEnum):
+class ValueKind(enum.StrEnum):
     """The kinds of text values in settings."""
 
     ID = 'id'
@@ -31,7 +31,7 @@
 
 def describe(
     text: str,
-    kind: Kind | None = None,
+    kind: ValueKind | None = None,
     *,
     above: float | None = None,
     least: float | None = None,
@@ -55,7 +55,7 @@
     return msgspec.Meta(description=text, extra=extra)
 
 
-def check_kind(kind: Kind, text: str) -> None:
+def check_kind(kind: ValueKind, text: str) -> None:
     """Check that a text is of a kind.
 
     Raises
@@ -129,11 +129,11 @@
         raise SettingsError(f'{text!r} is no time at all', 'write more than 0')
 
 
-_CHECKS: Final[dict[Kind, Callable[[str], object]]] = {
-    Kind.ID: _check_id,
-    Kind.DURATION: _check_duration,
-    Kind.ADDRESS: _check_address,
-    Kind.IP_ADDRESS: _check_ip_address,
-    Kind.URL: _check_url,
-    Kind.TOKEN_HASH: _check_token_hash,
+_CHECKS: Final[dict[ValueKind, Callable[[str], object]]] = {
+    ValueKind.ID: _check_id,
+    ValueKind.DURATION: _check_duration,
+    ValueKind.ADDRESS: _check_address,
+    ValueKind.IP_ADDRESS: _check_ip_address,
+    ValueKind.URL: _check_url,
+    ValueKind.TOKEN_HASH: _check_token_hash,
 }
--- a/tests/decisions/test_safeguards.py
+++ b/tests/decisions/test_safeguards.py
@@ -4,7 +4,6 @@
 
 from guavagate.decisions import (
     ALL_SAFEGUARDS,
-    Kind,
     Placement,
     Pool,
     PoolSettings,
@@ -12,6 +11,7 @@
     Safeguard,
     SamplerInfo,
     Work,
+    WorkKind,
     choose_pool,
     decide_weight_swap,
 )
@@ -84,7 +84,10 @@
             pool.finish(placement.work.id, placement.sampler, 6, tokens=256)
     for number in range(30):
         pool.offer(
-            _make_work(f'sample-{number}', kind=Kind.ROLLOUT, run=RunId('r')), 6
+            _make_work(
+                f'sample-{number}', kind=WorkKind.ROLLOUT, run=RunId('r')
+            ),
+            6,
         )
     pool.place(6)
     pool.offer(_make_work('next'), 6.1)
@@ -262,7 +265,10 @@
     for step, count in ((0, 1), (1, 6)):
         for number in range(count):
             work = _make_work(
-                f'{step}-{number}', run=RunId('r'), kind=Kind.ROLLOUT, step=step
+                f'{step}-{number}',
+                run=RunId('r'),
+                kind=WorkKind.ROLLOUT,
+                step=step,
             )
             pool.offer(work, 0)
     placed = pool.place(0)
