--- a/guavagate/forwarding/__init__.py
+++ b/guavagate/forwarding/__init__.py
@@ -6,7 +6,7 @@
     send_outcome,
     send_text,
 )
-from guavagate.forwarding._attempt import Attempt, Attempts, AttemptState
+from guavagate.forwarding._attempt import Attempt, AttemptRunner, AttemptState
 from guavagate.forwarding._forward import (
     Forwarder,
     Outcome,
@@ -18,8 +18,8 @@
 
 __all__ = (
     'Attempt',
+    'AttemptRunner',
     'AttemptState',
-    'Attempts',
     'Forwarder',
     'Outcome',
     'OutcomeKind',
--- a/guavagate/forwarding/_attempt.py
+++ b/guavagate/forwarding/_attempt.py
@@ -50,7 +50,7 @@
         return answered and self.status < _SERVER_ERROR
 
 
-class Attempts:
+class AttemptRunner:
     """Makes attempts and records their results for the upstreams."""
 
     def __init__(
--- a/guavagate/forwarding/_forward.py
+++ b/guavagate/forwarding/_forward.py
@@ -21,7 +21,7 @@
 from guavagate.forwarding._attempt import (
     GRACE_SECONDS,
     Attempt,
-    Attempts,
+    AttemptRunner,
     AttemptState,
 )
 from guavagate.helpers.waits import QueueTimeoutError, get_within
@@ -106,11 +106,11 @@
     """Forwards requests of routes without streaming."""
 
     def __init__(
-        self, clock: Clock, upstreams: UpstreamChooser, attempts: Attempts
+        self, clock: Clock, upstreams: UpstreamChooser, runner: AttemptRunner
     ) -> None:
         self._clock = clock
         self._upstreams = upstreams
-        self._attempts = attempts
+        self._runner = runner
         self._hedges = Budget(HEDGE_SHARE)
 
     def forward(
@@ -226,7 +226,7 @@
         results = progress.results
 
         def run() -> None:
-            results.put(self._attempts.make(call, upstream, reuse=reuse))
+            results.put(self._runner.make(call, upstream, reuse=reuse))
 
         progress.tasks.append(self._clock.spawn(run))
 
--- a/guavagate/forwarding/_rewards.py
+++ b/guavagate/forwarding/_rewards.py
@@ -6,7 +6,7 @@
 
 from guavagate.clock import Clock
 from guavagate.decisions.background import limit_background
-from guavagate.forwarding._attempt import Attempts
+from guavagate.forwarding._attempt import AttemptRunner
 from guavagate.forwarding._forward import Forwarder, Outcome, OutcomeKind
 from guavagate.models import ServiceId, UpstreamId
 from guavagate.ports.configuration import Route, RouteKind
@@ -87,14 +87,14 @@
         clock: Clock,
         routes: RouteTable,
         upstreams: UpstreamTable,
-        attempts: Attempts,
+        runner: AttemptRunner,
         dialect: Dialect,
     ) -> None:
         self._clock = clock
         self._routes = routes
         self._dialect = dialect
         self._background = BackgroundUpstreams(clock, upstreams)
-        self._forwarder = Forwarder(clock, self._background, attempts)
+        self._forwarder = Forwarder(clock, self._background, runner)
 
     def find_route(self, reward: RewardRequest) -> RewardRoute | None:
         """Return where a request would be sent now, or `None`."""
--- a/guavagate/forwarding/_stream.py
+++ b/guavagate/forwarding/_stream.py
@@ -9,7 +9,7 @@
 from guavagate.events import forwarding as events
 from guavagate.events import write
 from guavagate.exceptions import UpstreamError, UpstreamNotStartedError
-from guavagate.forwarding._attempt import Attempts
+from guavagate.forwarding._attempt import AttemptRunner
 from guavagate.forwarding._forward import Outcome, OutcomeKind
 from guavagate.http1 import Answer, Exchange, drop_hop_by_hop
 from guavagate.models import ServiceId, UpstreamId
@@ -30,11 +30,11 @@
     """Forwards streams; a caller receives complete events only."""
 
     def __init__(
-        self, clock: Clock, upstreams: UpstreamTable, attempts: Attempts
+        self, clock: Clock, upstreams: UpstreamTable, runner: AttemptRunner
     ) -> None:
         self._clock = clock
         self._upstreams = upstreams
-        self._attempts = attempts
+        self._runner = runner
 
     def forward(
         self, exchange: Exchange, call: Call, route: Route, service: ServiceId
@@ -84,7 +84,7 @@
         load.in_flight += 1
         answer: Answer | None = None
         try:
-            answer = self._attempts.open(
+            answer = self._runner.open(
                 progress.call, upstream, progress.last_event_id, reuse=False
             )
             progress.may_have_run = True
--- a/guavagate/platform/_process.py
+++ b/guavagate/platform/_process.py
@@ -11,7 +11,7 @@
 from guavagate.exceptions import SettingsError
 from guavagate.feeds import Feed
 from guavagate.forwarding import (
-    Attempts,
+    AttemptRunner,
     Forwarder,
     RewardForwarder,
     StreamForwarder,
@@ -107,7 +107,7 @@
                 self._clock,
                 self._routes,
                 self._upstreams,
-                self._make_attempts(),
+                self._make_attempt_runner(),
                 PlatformDialect(),
             ),
             settings.bounds.lease_ms / const.MILLIS,
@@ -246,7 +246,7 @@
 
     def _make_edge(self, job_store: JobStore, reader: JobReader) -> Edge:
         clock, routes, metrics = self._clock, self._routes, self._metrics
-        attempts = self._make_attempts()
+        runner = self._make_attempt_runner()
         bounds = self._settings.bounds
         return Edge(
             clock,
@@ -256,8 +256,8 @@
             ),
             RequestHandler(
                 clock,
-                Forwarder(clock, self._upstreams, attempts),
-                StreamForwarder(clock, self._upstreams, attempts),
+                Forwarder(clock, self._upstreams, runner),
+                StreamForwarder(clock, self._upstreams, runner),
                 metrics,
                 self._usage.record,
             ),
@@ -282,8 +282,8 @@
             serves_callers=bool(self._settings.listen.front),
         )
 
-    def _make_attempts(self) -> Attempts:
-        return Attempts(
+    def _make_attempt_runner(self) -> AttemptRunner:
+        return AttemptRunner(
             self._clock, self._pool, self._upstreams, PlatformDialect()
         )
 
--- a/tests/forwarding/test_forward.py
+++ b/tests/forwarding/test_forward.py
@@ -19,8 +19,8 @@
 from tests.routing.test_routes import make_route, make_upstream
 
 
-class _FakeAttempts:
-    """Fake attempts: each upstream answers as planned after a delay."""
+class _FakeAttemptRunner:
+    """Fake runner: each upstream answers as planned after a delay."""
 
     def __init__(self, clock: PausedClock) -> None:
         self.clock = clock
@@ -46,7 +46,7 @@
     def __init__(self, **plans: tuple[float, AttemptState, int]) -> None:
         self.clock = PausedClock()
         self.upstreams = UpstreamTable(self.clock, ZoneId('z'))
-        self.attempts = _FakeAttempts(self.clock)
+        self.attempts = _FakeAttemptRunner(self.clock)
         self.attempts.plans = plans
         for name in plans:
             zone = 'z' if name == 'a' else 'y'
--- a/tests/forwarding/test_rewards.py
+++ b/tests/forwarding/test_rewards.py
@@ -8,7 +8,7 @@
 from gevent.server import StreamServer
 
 from guavagate.clock import SystemClock
-from guavagate.forwarding import Attempts, RewardForwarder
+from guavagate.forwarding import AttemptRunner, RewardForwarder
 from guavagate.http1 import ConnectionPool
 from guavagate.models import ServiceId, UpstreamId, ZoneId
 from guavagate.platform._dialect import PlatformDialect
@@ -52,7 +52,7 @@
             clock,
             self.routes,
             self.upstreams,
-            Attempts(
+            AttemptRunner(
                 clock, ConnectionPool(clock), self.upstreams, PlatformDialect()
             ),
             PlatformDialect(),
--- a/tests/forwarding/test_stream.py
+++ b/tests/forwarding/test_stream.py
@@ -9,7 +9,7 @@
 
 from guavagate.clock import SystemClock
 from guavagate.forwarding import (
-    Attempts,
+    AttemptRunner,
     Outcome,
     OutcomeKind,
     StreamForwarder,
@@ -129,7 +129,7 @@
         forwarder = StreamForwarder(
             self.clock,
             self.upstreams,
-            Attempts(
+            AttemptRunner(
                 self.clock,
                 ConnectionPool(self.clock),
                 self.upstreams,
--- a/tests/platform/test_edge_keys.py
+++ b/tests/platform/test_edge_keys.py
@@ -10,7 +10,7 @@
 from guavagate.auth import hash_token, make_bounds
 from guavagate.clock import SystemClock
 from guavagate.exceptions import StoreUnavailableError
-from guavagate.forwarding import Attempts, Forwarder, StreamForwarder
+from guavagate.forwarding import AttemptRunner, Forwarder, StreamForwarder
 from guavagate.front import JobHandler, KeyAuthenticator, RequestHandler
 from guavagate.http1 import ConnectionPool, HttpServer, ServerLimits
 from guavagate.jobs import Job, LookupStatus
@@ -77,7 +77,7 @@
         upstreams = UpstreamTable(clock, ZoneId('z'))
         self.upstream, upstream = start_upstream('u', 'z', self._serve)
         upstreams.put(upstream)
-        attempts = Attempts(
+        runner = AttemptRunner(
             clock, ConnectionPool(clock), upstreams, PlatformDialect()
         )
         jobs = self.jobs
@@ -92,8 +92,8 @@
             ),
             RequestHandler(
                 clock,
-                Forwarder(clock, upstreams, attempts),
-                StreamForwarder(clock, upstreams, attempts),
+                Forwarder(clock, upstreams, runner),
+                StreamForwarder(clock, upstreams, runner),
                 Metrics(),
                 lambda team, _: self.usage.append(team),
             ),
